--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,11 @@
 	cd tools && GOWORK=off go build -o bin/ tool
 	touch $@
 
+# Renames over all modules of the workspace; a module of its own, since it needs a newer golang.org/x/tools than the other tools.
+$(TOOLS)/gopls: tools/rename/go.mod tools/rename/go.sum
+	cd tools/rename && GOWORK=off go build -o ../bin/ tool
+	touch $@
+
 fmt: $(SCRATCH_TOOLS)
 	@$(TOOLS)/gofumpt -w $(GO_FILES)
 
