--- a/internal/decision/beechlimit/limiter.go
+++ b/internal/decision/beechlimit/limiter.go
@@ -37,14 +37,14 @@
 	Settings struct {
 		// Burst is how much of the rates may be used at once after a quiet time.
 		Burst time.Duration
-		// Settle is how long a smaller number of entry hosts must last before
+		// GrowthDelay is how long a smaller number of entry hosts must last before
 		// the share of this one grows.
-		Settle time.Duration
+		GrowthDelay time.Duration
 		// Skew raises each host's share for callers that the balancer spreads
 		// unevenly; the limits are then exceeded by up to this factor.
 		Skew float64
-		// Entries is the number of hosts reckoned with until one is told.
-		Entries int
+		// EntryHosts is the number of hosts reckoned with until one is told.
+		EntryHosts int
 	}
 
 	// Reason says which bound refused a request.
@@ -57,11 +57,11 @@
 	// has.
 	Admitted struct{ Grant *Grant }
 
-	// Refuse turns a request away, not run. After says when to come back; 0 is
+	// Rejected turns a request away, not run. After says when to come back; 0 is
 	// never, unless the configuration changes.
-	Refuse struct {
-		Reason Reason
-		After  time.Duration
+	Rejected struct {
+		Reason     Reason
+		RetryAfter time.Duration
 	}
 
 	// Usage is what a request took in tokens. Known is false where nothing
@@ -114,10 +114,10 @@
 
 // Defaults are the settings where none are given; the package comment says
 // why.
-var Defaults = Settings{Burst: 5 * time.Second, Settle: 15 * time.Second, Skew: 1, Entries: 1}
+var Defaults = Settings{Burst: 5 * time.Second, GrowthDelay: 15 * time.Second, Skew: 1, EntryHosts: 1}
 
 func (Admitted) decision() {}
-func (Refuse) decision()   {}
+func (Rejected) decision() {}
 
 // New returns a limiter that knows no workspace yet.
 func New(s Settings, c clockwork.Clock) *Limiter {
@@ -126,7 +126,7 @@
 		settings: s,
 		clock:    c,
 		now:      c.Now(),
-		share:    share{entries: s.Entries},
+		share:    share{entries: s.EntryHosts},
 		accounts: make(map[string]*account),
 	}
 }
@@ -135,14 +135,14 @@
 	if s.Burst <= 0 {
 		s.Burst = Defaults.Burst
 	}
-	if s.Settle <= 0 {
-		s.Settle = Defaults.Settle
+	if s.GrowthDelay <= 0 {
+		s.GrowthDelay = Defaults.GrowthDelay
 	}
 	if !(s.Skew >= 1) { // also not a number
 		s.Skew = Defaults.Skew
 	}
-	if s.Entries < 1 {
-		s.Entries = Defaults.Entries
+	if s.EntryHosts < 1 {
+		s.EntryHosts = Defaults.EntryHosts
 	}
 	return s
 }
@@ -169,10 +169,10 @@
 	}
 }
 
-// SetEntries tells how many entry hosts are seen live, this one included. The
+// SetEntryHosts tells how many entry hosts are seen live, this one included. The
 // share shrinks at once and grows late. Less than 1 means that this host is cut
 // off and leaves the share as it is.
-func (l *Limiter) SetEntries(n int) {
+func (l *Limiter) SetEntryHosts(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick()
@@ -190,11 +190,11 @@
 	l.tick()
 	a := l.accounts[workspace]
 	if a == nil {
-		return Refuse{Reason: ReasonUnknown}
+		return Rejected{Reason: ReasonUnknown}
 	}
 	tokens = min(max(tokens, 0), maxTokens)
 	if a.limit.Tokens > 0 && tokens > a.limit.Tokens {
-		return Refuse{Reason: ReasonTooLarge}
+		return Rejected{Reason: ReasonTooLarge}
 	}
 	a.refill(l.now)
 	if r, refused := a.refuse(tokens); refused {
@@ -245,7 +245,7 @@
 	if now := l.clock.Now(); now.After(l.now) {
 		l.now = now
 	}
-	if l.share.settle(l.now, l.settings.Settle) {
+	if l.share.settle(l.now, l.settings.GrowthDelay) {
 		l.divideAll()
 	}
 }
@@ -281,17 +281,17 @@
 	a.tokens.refill(passed)
 }
 
-func (a *account) refuse(tokens int) (r Refuse, refused bool) {
+func (a *account) refuse(tokens int) (r Rejected, refused bool) {
 	if a.slots > 0 && a.running >= a.slots {
-		return Refuse{Reason: ReasonConcurrent, After: bounded(a.hold / time.Duration(a.slots))}, true
+		return Rejected{Reason: ReasonConcurrent, RetryAfter: bounded(a.hold / time.Duration(a.slots))}, true
 	}
 	if a.requests.empty() {
-		return Refuse{Reason: ReasonRequests, After: bounded(a.requests.after(1))}, true
+		return Rejected{Reason: ReasonRequests, RetryAfter: bounded(a.requests.after(1))}, true
 	}
 	if a.tokens.empty() {
-		return Refuse{Reason: ReasonTokens, After: bounded(a.tokens.after(float64(tokens)))}, true
+		return Rejected{Reason: ReasonTokens, RetryAfter: bounded(a.tokens.after(float64(tokens)))}, true
 	}
-	return Refuse{}, false
+	return Rejected{}, false
 }
 
 func bounded(d time.Duration) time.Duration { return min(max(d, minAfter), maxAfter) }
--- a/internal/decision/beechlimit/limiter_test.go
+++ b/internal/decision/beechlimit/limiter_test.go
@@ -30,14 +30,14 @@
 }
 
 func (f *fleet) join() {
-	l := New(Settings{Entries: len(f.hosts) + 1}, f.clock)
+	l := New(Settings{EntryHosts: len(f.hosts) + 1}, f.clock)
 	l.SetLimits(map[string]Limit{"w": {Tokens: limitTokens}})
 	f.hosts = append(f.hosts, l)
 }
 
 func (f *fleet) told(n int) {
 	for _, h := range f.hosts {
-		h.SetEntries(n)
+		h.SetEntryHosts(n)
 	}
 }
 
@@ -103,7 +103,7 @@
 	f.run(2 * time.Minute)
 	f.hosts = f.hosts[:3]
 	f.told(3)
-	before := f.run(Defaults.Settle)
+	before := f.run(Defaults.GrowthDelay)
 	after := f.run(time.Minute)
 	t.Logf("leave: %.3f of the limit until it settles, %.3f after, worst minute %.3f", before, after, f.worst())
 	is.True(before >= 0.7)
@@ -127,7 +127,7 @@
 
 	f = newFleet(4)
 	f.told(2) // two halves, each sees itself
-	early := f.run(Defaults.Settle)
+	early := f.run(Defaults.GrowthDelay)
 	f.run(5 * time.Minute)
 	worst := f.worst()
 	f.told(4)
@@ -162,10 +162,10 @@
 	l.SetLimits(map[string]Limit{"large": {Requests: 60}, "small": {Requests: 60}, "few": {Concurrent: 2}})
 	var last time.Duration
 	for i := range 20 {
-		if r, ok := l.Admit("large", 0).(Refuse); ok {
+		if r, ok := l.Admit("large", 0).(Rejected); ok {
 			is.Equal(r.Reason, ReasonRequests)
-			is.True(r.After > last || r.After >= maxPromised)
-			last = r.After
+			is.True(r.RetryAfter > last || r.RetryAfter >= maxPromised)
+			last = r.RetryAfter
 		} else {
 			is.True(i < 5)
 		}
@@ -175,7 +175,7 @@
 
 	first := l.Admit("few", 0).(Admitted)
 	l.Admit("few", 0)
-	is.Equal(l.Admit("few", 0).(Refuse).Reason, ReasonConcurrent)
+	is.Equal(l.Admit("few", 0).(Rejected).Reason, ReasonConcurrent)
 	first.Grant.Release(Usage{})
 	first.Grant.Release(Usage{})
 	first.Grant.Cancel()
@@ -244,24 +244,24 @@
 func TestBadInput(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	l := New(Settings{Burst: -1, Settle: -1, Skew: math.NaN(), Entries: -3}, clock)
-	is.Equal(l.Admit("w", 1), Refuse{Reason: ReasonUnknown})
+	l := New(Settings{Burst: -1, GrowthDelay: -1, Skew: math.NaN(), EntryHosts: -3}, clock)
+	is.Equal(l.Admit("w", 1), Rejected{Reason: ReasonUnknown})
 	l.SetLimits(map[string]Limit{"w": {Tokens: 600}, "open": {Requests: -1, Tokens: 0, Concurrent: -5}})
-	is.Equal(l.Admit("w", 601), Refuse{Reason: ReasonTooLarge})
+	is.Equal(l.Admit("w", 601), Rejected{Reason: ReasonTooLarge})
 	g := l.Admit("w", 600).(Admitted) // more than a burst: from a full bucket, once
-	is.Equal(l.Admit("w", 1).(Refuse).Reason, ReasonTokens)
+	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens)
 	for range 1000 {
 		_, ok := l.Admit("open", -7).(Admitted)
 		is.True(ok)
 	}
 	clock.Advance(-time.Hour)
-	is.Equal(l.Admit("w", 1).(Refuse).Reason, ReasonTokens)
+	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens)
 	l.SetLimits(map[string]Limit{"w": {Tokens: 6000}})
-	is.Equal(l.Admit("w", 1).(Refuse).Reason, ReasonTokens) // a change gives no new burst
+	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens) // a change gives no new burst
 	l.SetLimits(nil)
 	g.Grant.Release(Usage{Known: true})
-	is.Equal(l.Admit("w", 1), Refuse{Reason: ReasonUnknown})
-	l.SetEntries(1 << 40)
+	is.Equal(l.Admit("w", 1), Rejected{Reason: ReasonUnknown})
+	l.SetEntryHosts(1 << 40)
 	l.SetLimits(map[string]Limit{"w": {Concurrent: 1}})
 	_, ok := l.Admit("w", 1).(Admitted)
 	is.True(ok)
--- a/internal/process/beechentry/completion.go
+++ b/internal/process/beechentry/completion.go
@@ -199,7 +199,7 @@
 }
 
 func limitFailure(decision beechlimit.Decision) *failure {
-	refuse, ok := decision.(beechlimit.Refuse)
+	refuse, ok := decision.(beechlimit.Rejected)
 	if !ok {
 		return notRun(http.StatusInternalServerError, typeServer, "limit", "the limits gave no answer")
 	}
@@ -209,7 +209,7 @@
 	case beechlimit.ReasonUnknown:
 		return busy(http.StatusServiceUnavailable, "no_configuration", time.Second, "the workspace's limits are not known yet")
 	default:
-		return busy(http.StatusTooManyRequests, "limit_"+string(refuse.Reason), refuse.After, "the workspace is over its limit of %s", refuse.Reason)
+		return busy(http.StatusTooManyRequests, "limit_"+string(refuse.Reason), refuse.RetryAfter, "the workspace is over its limit of %s", refuse.Reason)
 	}
 }
 
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -105,7 +105,7 @@
 		store:       d.Store,
 		incarnation: uint64(d.Clock.Now().UnixNano()),
 		holder:      beechmanifest.NewHolder(),
-		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, Settle: limitSettle}, d.Clock),
+		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, GrowthDelay: limitSettle}, d.Clock),
 		budget: beechretry.New(beechretry.Settings{
 			Percent: retryPercent, Spare: spareRetries, MaxAttempts: maxAttempts, Backoff: firstBackoff, MaxBackoff: maxBackoff,
 		}, d.Clock, randv2.NewPCG(randv2.Uint64(), randv2.Uint64())),
--- a/internal/process/beechentry/offers.go
+++ b/internal/process/beechentry/offers.go
@@ -34,7 +34,7 @@
 	f.mu.Unlock()
 	f.router.SetServers(offered.servers)
 	f.setTargets(offered.byTarget)
-	f.entry.limiter.SetEntries(entries)
+	f.entry.limiter.SetEntryHosts(entries)
 }
 
 // setTargets names each target's servers to the health tracker, which compares
