--- a/internal/decision/beechlimit/bucket.go
+++ b/internal/decision/beechlimit/bucket.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// maxPromised bounds, in time of the rate, how far refused callers are spread:
-// not all come back, so what they would take must not add up without end.
-const maxPromised = 10 * time.Second
+// maxPendingRetries caps bucket.pendingRetries, as the time the bucket takes to
+// refill that amount. Not every rejected caller returns, so the retry times must
+// not grow without bound.
+const maxPendingRetries = 10 * time.Second
 
-// bucket is a token bucket that may be in debt. Level and promised are in
-// requests or tokens, rate in those a second; a rate of 0 is no bound.
+// bucket is a token bucket whose level may go negative (debt). Amounts are in
+// requests or tokens, and rate is in those per second; a rate of 0 means
+// unlimited.
 type bucket struct {
-	rate     float64
-	capacity float64
-	maxDebt  float64
-	level    float64
-	promised float64 // asked by refused callers who may come back
+	rate           float64
+	capacity       float64
+	maxDebt        float64
+	level          float64
+	pendingRetries float64 // total that rejected callers may still retry
 }
 
-// configure changes the bounds and keeps what was used. A bucket that is new
-// starts full; one that was filled at each change of configuration would
-// give a burst at each.
+// configure changes the bucket's parameters and keeps its level. Only a new
+// bucket starts full: refilling on every configuration change would allow a burst
+// each time.
 func (b *bucket) configure(rate, capacity, maxDebt float64) {
-	fresh := b.rate == 0
+	isNew := b.rate == 0
 	b.rate, b.capacity, b.maxDebt = rate, capacity, maxDebt
-	if fresh {
+	if isNew {
 		b.level = capacity
 	}
 	b.level = min(b.level, capacity)
 }
 
-func (b *bucket) refill(passed time.Duration) {
-	amount := passed.Seconds() * b.rate
+func (b *bucket) refill(elapsed time.Duration) {
+	amount := elapsed.Seconds() * b.rate
 	b.level = min(b.level+amount, b.capacity)
-	b.promised = max(0, b.promised-amount)
+	b.pendingRetries = max(0, b.pendingRetries-amount)
 }
 
-// empty tells whether nothing may be taken. From any other bucket one request
-// may take more than there is and leaves a debt, which those after it wait for. If
-// a request had to find all of its tokens, small ones would take
-// them before a large one ever did.
-func (b *bucket) empty() bool { return b.rate > 0 && b.level <= 0 }
+// exhausted reports whether nothing may be taken. From any other bucket, one
+// request may take more than the level and leave a debt that later requests wait
+// for. If a request had to find all its tokens in the bucket, small requests
+// would starve large ones.
+func (b *bucket) exhausted() bool { return b.rate > 0 && b.level <= 0 }
 
 func (b *bucket) take(n float64) {
 	if b.rate > 0 {
@@ -46,17 +48,18 @@
 	}
 }
 
-// giveBack corrects what was taken, in both directions. A debt is bounded: an
-// absurd usage must not shut a workspace out.
-func (b *bucket) giveBack(n float64) {
+// refund returns n to the bucket, or takes more if n is negative. The debt is
+// bounded, so that an absurd usage report cannot lock a workspace out.
+func (b *bucket) refund(n float64) {
 	if b.rate > 0 {
 		b.level = min(max(b.level+n, -b.maxDebt), b.capacity)
 	}
 }
 
-// after is when one more refused caller that wants n should come back.
-func (b *bucket) after(n float64) time.Duration {
-	wait := (max(0, -b.level) + b.promised) / b.rate
-	b.promised = min(b.promised+min(n, b.capacity), maxPromised.Seconds()*b.rate)
+// retryAfter returns when a rejected caller that wants n should retry. It adds n
+// to the pending retries, so that the next caller is told a later time.
+func (b *bucket) retryAfter(n float64) time.Duration {
+	wait := (max(0, -b.level) + b.pendingRetries) / b.rate
+	b.pendingRetries = min(b.pendingRetries+min(n, b.capacity), maxPendingRetries.Seconds()*b.rate)
 	return time.Duration(wait * float64(time.Second))
 }
--- a/internal/decision/beechlimit/doc.go
+++ b/internal/decision/beechlimit/doc.go
@@ -1,63 +1,73 @@
-// Package beechlimit holds each workspace to its limits: requests and tokens a
-// minute, and requests at once, over all entry hosts together.
+// Package beechlimit enforces each workspace's rate limits (requests and tokens
+// per minute) and its concurrency limit across all entry hosts.
 //
-// # Load it answers
+// # Why
 //
-// A workspace that sends without end, through all entry hosts at once, while
-// hosts join, die, restart in herds or are cut off from each other. Without it
-// one workspace's fault (a loop in its application, a retry storm) fills every
-// queue behind the entries. The platform's service can't be asked for each
-// request: it takes a few thousand reads a second and has outages.
+// A workspace may send requests without pause through every entry host, while
+// hosts join, crash, restart all at once or are partitioned from each other.
+// Without limits, one workspace's fault (a loop in its application, a retry
+// storm) fills every queue behind the entry hosts. The platform's service cannot
+// be consulted for each request: it serves only a few thousand reads per second
+// and has outages.
 //
-// # How it decides
+// # Algorithm
 //
-// Every host admits its part of each limit: the limit divided by the number of
-// live hosts, which agents tell on their heartbeats. No host asks another.
-// Requests and tokens flow into a bucket that holds a short burst. Tokens are
-// reserved by estimate and corrected by usage; a request that takes more than there
-// is leaves a debt that later ones wait for, as it could never go on otherwise.
+// Each host enforces its own share of every limit: the limit divided by the
+// number of live entry hosts, which agents report in their heartbeats. Hosts do
+// not communicate with each other. Requests and tokens are each metered by a
+// token bucket that allows a short burst. Tokens are reserved by estimate and
+// reconciled with the actual usage. A request may take more tokens than the
+// bucket holds and leave it in debt, which later requests wait for; otherwise a
+// large request could never be admitted.
 //
-// # What is bounded
+// # Guarantees
 //
-// With B the burst's part of a minute (0.083 for 5 s), and not counting the
-// debt that one large request a host may leave, in any minute at most this part of
-// a limit is admitted (Skew 1; a larger one multiplies it):
+// Let B be the burst as a fraction of a minute (0.083 for 5 s). Apart from the
+// debt that one large request per host may leave, the total admitted in any
+// minute, as a multiple of the limit, is at most (for Skew 1; a larger Skew
+// multiplies it):
 //
-//   - steady, or a host that is cut off from all agents: 1 + B. It keeps its share.
-//   - a host joins and the others hear of it after d: 1 + B + (d/minute + B)/n.
-//   - a host dies: 1 + B. Until Settle has passed, only (n-1)/n is usable.
-//   - the fleet is cut into g parts that each serve: g + B, reached no sooner than
-//     by doubling once each Settle.
-//   - all restart at once: 1 + 2B.
+//   - steady state, or a host partitioned from all agents, which keeps its
+//     share: 1 + B.
+//   - a host joins and the others learn of it after d: 1 + B + (d/minute + B)/n.
+//   - a host dies: 1 + B. Until GrowthDelay has passed, only (n-1)/n of the limit
+//     is usable.
+//   - the fleet is partitioned into g groups that all serve: g + B, approached by
+//     at most doubling once per GrowthDelay.
+//   - all hosts restart at once: 1 + 2B.
 //
-// Concurrency is rounded down, but each host admits one: a limit below the
-// number of hosts is exceeded up to that number.
+// The concurrency limit is divided and rounded down, but each host admits at
+// least one request. A limit below the number of hosts can therefore be exceeded,
+// up to that number.
 //
-// # Thresholds
+// # Default settings
 //
-// Burst, 5 s: a page that loads sends a handful of requests at once; more than
-// this would let a restart or a cut add a tenth of a minute's limit. Settle, 15
-// s: several times the silence after which a link counts as lost, so that a
-// restart of a host, which takes seconds, moves no share. Growth is at most twofold each
-// Settle, so a lasting cut does harm slowly enough to be seen. Skew 1: exact; an
-// operator whose balancer pins a workspace's few connections to few hosts
-// raises it, at most to the number of hosts.
+//   - Burst is 5 s: loading a page sends a handful of requests at once. A larger
+//     burst would let a restart or a partition add a tenth of a minute's limit.
+//   - GrowthDelay is 15 s: several times the silence after which a link counts as
+//     lost, so that a host restart, which takes seconds, does not change the
+//     shares. A share at most doubles per GrowthDelay, so a lasting partition
+//     exceeds the limits slowly enough to be noticed.
+//   - Skew is 1: the limits are exact. Operators whose load balancer pins a
+//     workspace's few connections to few hosts may raise it, at most to the
+//     number of hosts.
 //
-// # Bad input
+// # Invalid input
 //
-// Counts below zero are zero and absurd ones are bounded, limits of zero or less
-// are none, an unknown workspace or a request larger than the whole limit is
-// refused without a time to come back, time stands still while the clock steps
-// back, and a number of hosts below one leaves the share as it is.
+// Negative token counts are treated as zero and excessive ones are capped. Limits
+// of zero or less mean unlimited. A request of an unknown workspace, or one larger
+// than the whole token limit, is rejected without a retry time. If the clock steps
+// back, time stands still until it has caught up. A host count below one leaves
+// the shares unchanged.
 //
 // # Usage
 //
 //	l := beechlimit.New(beechlimit.Settings{}, clockwork.NewRealClock())
-//	l.SetLimits(limits)  // at each configuration
-//	l.SetEntries(n)      // at each heartbeat
+//	l.SetLimits(limits)  // on each configuration change
+//	l.SetEntryHosts(n)   // on each heartbeat
 //	switch d := l.Admit(workspace, tokens).(type) {
 //	case beechlimit.Admitted:
-//		defer d.Grant.Release(usage) // or Cancel, where not run is proved
-//	case beechlimit.Refuse: // answer now: not run, come back after d.After
+//		defer d.Grant.Release(usage) // or Cancel, if the request provably did not run
+//	case beechlimit.Rejected: // answer now: not run, retry after d.RetryAfter
 //	}
 package beechlimit
--- a/internal/decision/beechlimit/limiter.go
+++ b/internal/decision/beechlimit/limiter.go
@@ -8,102 +8,107 @@
 )
 
 const (
-	// minAfter and maxAfter bound when a refused caller is asked back.
-	minAfter = 50 * time.Millisecond
-	maxAfter = time.Minute
+	// minRetryAfter and maxRetryAfter bound the retry time told to rejected
+	// callers.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Minute
 
-	// firstHold is how long a request is reckoned to take before one has ended.
-	firstHold = time.Second
+	// initialDuration is the assumed duration of a request until one has
+	// completed.
+	initialDuration = time.Second
 
-	// holdMemory is how many requests the mean time of one goes back.
-	holdMemory = 8
+	// durationSmoothing is the divisor of the exponential moving average of
+	// request durations: roughly the number of recent requests that it covers.
+	durationSmoothing = 8
 
-	// maxTokens bounds what is told of a request; more is a fault.
-	maxTokens = 1 << 30
+	// maxRequestTokens caps the token counts reported for a request; a higher
+	// count is a fault.
+	maxRequestTokens = 1 << 30
 
-	minute = 60.0 // seconds
+	secondsPerMinute = 60.0
 )
 
 type (
-	// Limit bounds a workspace over all entry hosts together. Zero or less is
-	// no bound.
+	// Limit is a workspace's limit over all entry hosts together. Fields that are
+	// zero or less mean unlimited.
 	Limit struct {
-		Requests   int // a minute
-		Tokens     int // a minute, prompt and output
+		Requests   int // per minute
+		Tokens     int // per minute, prompt and output
 		Concurrent int
 	}
 
-	// Settings of the limiter. Zero values are taken from Defaults.
+	// Settings configures a Limiter. Invalid and zero fields are taken from Defaults.
 	Settings struct {
-		// Burst is how much of the rates may be used at once after a quiet time.
+		// Burst is the capacity of the token buckets, as a time at the full rate.
 		Burst time.Duration
-		// GrowthDelay is how long a smaller number of entry hosts must last before
-		// the share of this one grows.
+		// GrowthDelay is how long a lower number of entry hosts must persist
+		// before this host's share grows.
 		GrowthDelay time.Duration
-		// Skew raises each host's share for callers that the balancer spreads
-		// unevenly; the limits are then exceeded by up to this factor.
+		// Skew multiplies each host's share, for workspaces whose requests a load
+		// balancer spreads unevenly. The limits may be exceeded by up to this factor.
 		Skew float64
-		// EntryHosts is the number of hosts reckoned with until one is told.
+		// EntryHosts is the assumed number of entry hosts until SetEntryHosts is
+		// called.
 		EntryHosts int
 	}
 
-	// Reason says which bound refused a request.
+	// Reason says why a request was rejected.
 	Reason string
 
-	// Decision is the answer to Admit: Admitted or Refuse.
+	// Decision is the result of Admit: Admitted or Rejected.
 	Decision interface{ decision() }
 
-	// Admitted lets a request go on. The grant must be ended once the request
-	// has.
+	// Admitted lets a request proceed. The caller must call Release or Cancel on
+	// the grant when the request has ended.
 	Admitted struct{ Grant *Grant }
 
-	// Rejected turns a request away, not run. After says when to come back; 0 is
-	// never, unless the configuration changes.
+	// Rejected means that the request must not run. RetryAfter says when to
+	// retry; 0 means never, unless the configuration changes.
 	Rejected struct {
 		Reason     Reason
 		RetryAfter time.Duration
 	}
 
-	// Usage is what a request took in tokens. Known is false where nothing
-	// was said; then the estimate stands.
+	// Usage is the number of tokens a request used. If Known is false, no usage was
+	// reported and the estimate is kept.
 	Usage struct {
 		Known  bool
 		Tokens int
 	}
 
-	// Grant holds what was reserved for a request.
+	// Grant is the reservation made for an admitted request.
 	Grant struct {
-		limiter *Limiter
-		account *account
-		tokens  int
-		since   time.Time
-		ended   bool
+		limiter    *Limiter
+		state      *workspaceState
+		tokens     int
+		admittedAt time.Time
+		ended      bool
 	}
 
-	// Limiter holds this entry host's share of the limits. It is safe for
+	// Limiter enforces this entry host's share of the limits. It is safe for
 	// concurrent use.
 	Limiter struct {
-		mu       sync.Mutex
-		settings Settings
-		clock    clockwork.Clock
-		now      time.Time // never steps back
-		share    share
-		accounts map[string]*account
+		mu         sync.Mutex
+		settings   Settings
+		clock      clockwork.Clock
+		now        time.Time // never steps back
+		hosts      hostCount
+		workspaces map[string]*workspaceState
 	}
 
-	// account is one workspace's state here.
-	account struct {
-		limit    Limit
-		requests bucket
-		tokens   bucket
-		refilled time.Time
-		running  int
-		slots    int           // of Concurrent, this host's; 0 is no bound
-		hold     time.Duration // mean time of a request
+	// workspaceState is a workspace's limits and usage on this host.
+	workspaceState struct {
+		limit        Limit
+		requests     bucket
+		tokens       bucket
+		refilledAt   time.Time
+		running      int
+		maxRunning   int           // this host's share of Concurrent; 0 is unlimited
+		meanDuration time.Duration // of a request
 	}
 )
 
-// Reasons of Refuse.
+// Reasons for rejection.
 const (
 	ReasonUnknown    Reason = "workspace"
 	ReasonRequests   Reason = "requests"
@@ -112,22 +117,21 @@
 	ReasonTooLarge   Reason = "size"
 )
 
-// Defaults are the settings where none are given; the package comment says
-// why.
+// Defaults are the default settings; the package comment explains them.
 var Defaults = Settings{Burst: 5 * time.Second, GrowthDelay: 15 * time.Second, Skew: 1, EntryHosts: 1}
 
 func (Admitted) decision() {}
 func (Rejected) decision() {}
 
-// New returns a limiter that knows no workspace yet.
+// New returns a Limiter without any workspaces.
 func New(s Settings, c clockwork.Clock) *Limiter {
 	s = s.withDefaults()
 	return &Limiter{
-		settings: s,
-		clock:    c,
-		now:      c.Now(),
-		share:    share{entries: s.EntryHosts},
-		accounts: make(map[string]*account),
+		settings:   s,
+		clock:      c,
+		now:        c.Now(),
+		hosts:      hostCount{current: s.EntryHosts},
+		workspaces: make(map[string]*workspaceState),
 	}
 }
 
@@ -138,7 +142,7 @@
 	if s.GrowthDelay <= 0 {
 		s.GrowthDelay = Defaults.GrowthDelay
 	}
-	if !(s.Skew >= 1) { // also not a number
+	if !(s.Skew >= 1) { // also true for NaN
 		s.Skew = Defaults.Skew
 	}
 	if s.EntryHosts < 1 {
@@ -147,151 +151,152 @@
 	return s
 }
 
-// SetLimits puts the limits of a configuration in force. What was used stays
-// used. A workspace that is missing is refused from here on.
+// SetLimits replaces the limits of all workspaces. Usage so far still counts.
+// Requests of a workspace that is missing are rejected from now on.
 func (l *Limiter) SetLimits(limits map[string]Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tick()
-	for name := range l.accounts {
+	l.advance()
+	for name := range l.workspaces {
 		if _, ok := limits[name]; !ok {
-			delete(l.accounts, name)
+			delete(l.workspaces, name)
 		}
 	}
 	for name, limit := range limits {
-		a := l.accounts[name]
-		if a == nil {
-			a = &account{refilled: l.now, hold: firstHold}
-			l.accounts[name] = a
+		w := l.workspaces[name]
+		if w == nil {
+			w = &workspaceState{refilledAt: l.now, meanDuration: initialDuration}
+			l.workspaces[name] = w
 		}
-		a.limit = limit
-		l.divide(a)
+		w.limit = limit
+		l.applyShare(w)
 	}
 }
 
-// SetEntryHosts tells how many entry hosts are seen live, this one included. The
-// share shrinks at once and grows late. Less than 1 means that this host is cut
-// off and leaves the share as it is.
+// SetEntryHosts sets the number of live entry hosts, including this one. This
+// host's share shrinks immediately and grows after GrowthDelay. A number below 1
+// means that this host is cut off, and leaves the share unchanged.
 func (l *Limiter) SetEntryHosts(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tick()
-	before := l.share.entries
-	l.share.told(n, l.now)
-	if l.share.entries != before {
-		l.divideAll()
+	l.advance()
+	before := l.hosts.current
+	l.hosts.observe(n, l.now)
+	if l.hosts.current != before {
+		l.applyShares()
 	}
 }
 
-// Admit asks whether a request with an estimate of tokens may go on.
+// Admit decides whether a request may proceed, given its estimated tokens.
 func (l *Limiter) Admit(workspace string, tokens int) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tick()
-	a := l.accounts[workspace]
-	if a == nil {
+	l.advance()
+	w := l.workspaces[workspace]
+	if w == nil {
 		return Rejected{Reason: ReasonUnknown}
 	}
-	tokens = min(max(tokens, 0), maxTokens)
-	if a.limit.Tokens > 0 && tokens > a.limit.Tokens {
+	tokens = min(max(tokens, 0), maxRequestTokens)
+	if w.limit.Tokens > 0 && tokens > w.limit.Tokens {
 		return Rejected{Reason: ReasonTooLarge}
 	}
-	a.refill(l.now)
-	if r, refused := a.refuse(tokens); refused {
+	w.refill(l.now)
+	if r, rejected := w.check(tokens); rejected {
 		return r
 	}
-	a.running++
-	a.requests.take(1)
-	a.tokens.take(float64(tokens))
-	return Admitted{Grant: &Grant{limiter: l, account: a, tokens: tokens, since: l.now}}
+	w.running++
+	w.requests.take(1)
+	w.tokens.take(float64(tokens))
+	return Admitted{Grant: &Grant{limiter: l, state: w, tokens: tokens, admittedAt: l.now}}
 }
 
-// Release ends a request that was sent to a server. Tokens are corrected to
-// what it took. A second call does nothing.
+// Release ends a request that was sent to a server, and reconciles the reserved
+// tokens with its usage. A second call does nothing.
 func (g *Grant) Release(u Usage) {
-	g.end(func(a *account) {
+	g.end(func(w *workspaceState) {
 		if u.Known {
-			a.tokens.giveBack(float64(g.tokens - min(max(u.Tokens, 0), maxTokens)))
+			w.tokens.refund(float64(g.tokens - min(max(u.Tokens, 0), maxRequestTokens)))
 		}
-		a.hold += (g.limiter.now.Sub(g.since) - a.hold) / holdMemory
+		w.meanDuration += (g.limiter.now.Sub(g.admittedAt) - w.meanDuration) / durationSmoothing
 	})
 }
 
-// Cancel ends a request that was proved not run; all of it is given back. A
-// second call, or one after Release, does nothing.
+// Cancel ends a request that provably did not run, and refunds all of it. A second
+// call, or a call after Release, does nothing.
 func (g *Grant) Cancel() {
-	g.end(func(a *account) {
-		a.tokens.giveBack(float64(g.tokens))
-		a.requests.giveBack(1)
+	g.end(func(w *workspaceState) {
+		w.tokens.refund(float64(g.tokens))
+		w.requests.refund(1)
 	})
 }
 
-func (g *Grant) end(settle func(*account)) {
+func (g *Grant) end(update func(*workspaceState)) {
 	g.limiter.mu.Lock()
 	defer g.limiter.mu.Unlock()
 	if g.ended {
 		return
 	}
 	g.ended = true
-	g.limiter.tick()
-	g.account.running--
-	g.account.refill(g.limiter.now)
-	settle(g.account)
+	g.limiter.advance()
+	g.state.running--
+	g.state.refill(g.limiter.now)
+	update(g.state)
 }
 
-// tick takes over the time, which stands still while the clock steps back: the
-// buckets would drain by themselves otherwise.
-func (l *Limiter) tick() {
+// advance reads the clock and applies a lower host count once its delay has
+// passed. Time stands still while the clock steps back; otherwise the buckets
+// would drain on their own.
+func (l *Limiter) advance() {
 	if now := l.clock.Now(); now.After(l.now) {
 		l.now = now
 	}
-	if l.share.settle(l.now, l.settings.GrowthDelay) {
-		l.divideAll()
+	if l.hosts.shrink(l.now, l.settings.GrowthDelay) {
+		l.applyShares()
 	}
 }
 
-func (l *Limiter) divideAll() {
-	for _, a := range l.accounts {
-		l.divide(a)
+func (l *Limiter) applyShares() {
+	for _, w := range l.workspaces {
+		l.applyShare(w)
 	}
 }
 
-// divide gives an account this host's part of its limit. Slots are rounded
-// down, so that together they are not exceeded, but each host has one: with
-// fewer than hosts, up to one a host may run.
-func (l *Limiter) divide(a *account) {
-	a.refill(l.now)
-	part := min(1, l.settings.Skew/float64(l.share.entries))
-	requests := float64(max(a.limit.Requests, 0))
-	rate := part * requests / minute
-	a.requests.configure(rate, max(1, rate*l.settings.Burst.Seconds()), requests)
-	tokens := float64(max(a.limit.Tokens, 0))
-	rate = part * tokens / minute
-	a.tokens.configure(rate, rate*l.settings.Burst.Seconds(), tokens)
-	a.slots = 0
-	if a.limit.Concurrent > 0 {
-		a.slots = max(1, int(part*float64(a.limit.Concurrent)))
+// applyShare sets a workspace's limits to this host's share. The concurrency limit
+// is rounded down, so that the hosts together do not exceed it, but each host
+// admits at least one request, even if the limit is below the number of hosts.
+func (l *Limiter) applyShare(w *workspaceState) {
+	w.refill(l.now)
+	fraction := min(1, l.settings.Skew/float64(l.hosts.current))
+	requests := float64(max(w.limit.Requests, 0))
+	rate := fraction * requests / secondsPerMinute
+	w.requests.configure(rate, max(1, rate*l.settings.Burst.Seconds()), requests)
+	tokens := float64(max(w.limit.Tokens, 0))
+	rate = fraction * tokens / secondsPerMinute
+	w.tokens.configure(rate, rate*l.settings.Burst.Seconds(), tokens)
+	w.maxRunning = 0
+	if w.limit.Concurrent > 0 {
+		w.maxRunning = max(1, int(fraction*float64(w.limit.Concurrent)))
 	}
 }
 
-func (a *account) refill(now time.Time) {
-	passed := now.Sub(a.refilled)
-	a.refilled = now
-	a.requests.refill(passed)
-	a.tokens.refill(passed)
+func (w *workspaceState) refill(now time.Time) {
+	elapsed := now.Sub(w.refilledAt)
+	w.refilledAt = now
+	w.requests.refill(elapsed)
+	w.tokens.refill(elapsed)
 }
 
-func (a *account) refuse(tokens int) (r Rejected, refused bool) {
-	if a.slots > 0 && a.running >= a.slots {
-		return Rejected{Reason: ReasonConcurrent, RetryAfter: bounded(a.hold / time.Duration(a.slots))}, true
+func (w *workspaceState) check(tokens int) (r Rejected, rejected bool) {
+	if w.maxRunning > 0 && w.running >= w.maxRunning {
+		return Rejected{Reason: ReasonConcurrent, RetryAfter: clampRetryAfter(w.meanDuration / time.Duration(w.maxRunning))}, true
 	}
-	if a.requests.empty() {
-		return Rejected{Reason: ReasonRequests, RetryAfter: bounded(a.requests.after(1))}, true
+	if w.requests.exhausted() {
+		return Rejected{Reason: ReasonRequests, RetryAfter: clampRetryAfter(w.requests.retryAfter(1))}, true
 	}
-	if a.tokens.empty() {
-		return Rejected{Reason: ReasonTokens, RetryAfter: bounded(a.tokens.after(float64(tokens)))}, true
+	if w.tokens.exhausted() {
+		return Rejected{Reason: ReasonTokens, RetryAfter: clampRetryAfter(w.tokens.retryAfter(float64(tokens)))}, true
 	}
 	return Rejected{}, false
 }
 
-func bounded(d time.Duration) time.Duration { return min(max(d, minAfter), maxAfter) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(max(d, minRetryAfter), maxRetryAfter) }
--- a/internal/decision/beechlimit/limiter_test.go
+++ b/internal/decision/beechlimit/limiter_test.go
@@ -11,38 +11,39 @@
 	"github.com/matryer/is"
 )
 
-const limitTokens = 60000 // a minute, of the workspace that asks without end
+const tokensPerMinute = 60000 // limit of the workspace that sends without pause
 
-// fleet is some entry hosts in front of one workspace that always asks.
+// fleet simulates entry hosts in front of one workspace that always has requests
+// to send.
 type fleet struct {
-	clock   *clockwork.FakeClock
-	hosts   []*Limiter
-	seconds []int // tokens admitted in each second by all
+	clock     *clockwork.FakeClock
+	hosts     []*Limiter
+	perSecond []int // tokens admitted per second by all hosts
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{clock: clockwork.NewFakeClock()}
 	for range n {
-		f.join()
+		f.addHost()
 	}
-	f.told(n)
+	f.setEntryHosts(n)
 	return f
 }
 
-func (f *fleet) join() {
+func (f *fleet) addHost() {
 	l := New(Settings{EntryHosts: len(f.hosts) + 1}, f.clock)
-	l.SetLimits(map[string]Limit{"w": {Tokens: limitTokens}})
+	l.SetLimits(map[string]Limit{"w": {Tokens: tokensPerMinute}})
 	f.hosts = append(f.hosts, l)
 }
 
-func (f *fleet) told(n int) {
+func (f *fleet) setEntryHosts(n int) {
 	for _, h := range f.hosts {
 		h.SetEntryHosts(n)
 	}
 }
 
-// run lets every host admit all it can for a time and gives what was admitted
-// in it against the limit.
+// run lets every host admit all it can for a time and returns the tokens
+// admitted, as a multiple of the limit.
 func (f *fleet) run(d time.Duration) float64 {
 	total := 0
 	for range int(d / time.Second) {
@@ -57,105 +58,108 @@
 				admitted += 100
 			}
 		}
-		f.seconds = append(f.seconds, admitted)
+		f.perSecond = append(f.perSecond, admitted)
 		total += admitted
 		f.clock.Advance(time.Second)
 	}
-	return float64(total) / limitTokens / d.Minutes()
+	return float64(total) / tokensPerMinute / d.Minutes()
 }
 
-// worst is the most that was admitted in any minute against the limit.
-func (f *fleet) worst() float64 {
+// busiestMinute returns the most tokens admitted in any minute, as a multiple of
+// the limit.
+func (f *fleet) busiestMinute() float64 {
 	most := 0
-	for from := 0; from+60 <= len(f.seconds); from++ {
+	for from := 0; from+60 <= len(f.perSecond); from++ {
 		sum := 0
-		for _, s := range f.seconds[from : from+60] {
-			sum += s
+		for _, tokens := range f.perSecond[from : from+60] {
+			sum += tokens
 		}
 		most = max(most, sum)
 	}
-	return float64(most) / limitTokens
+	return float64(most) / tokensPerMinute
 }
 
-// Four hosts share a limit that the workspace asks for without end. One host
-// joins, one dies, the count flaps, one host is cut off from everybody, and
-// then the fleet is cut in two. What all of them admit together in any minute
-// is bounded, and the limit is usable again after each change.
+// Four hosts share the limit of a workspace that sends without pause. A host
+// joins, a host dies, the reported number of hosts flaps, a host is cut off from
+// everything, and the fleet is partitioned in two. The total admitted in any
+// minute must stay bounded, and the full limit must be usable again after each
+// change.
 func TestOvershootIsBounded(t *testing.T) {
 	is := is.New(t)
 	burst := Defaults.Burst.Minutes()
 
 	f := newFleet(4)
 	f.run(2 * time.Minute)
-	t.Logf("steady: worst minute %.3f", f.worst())
-	is.True(f.worst() <= 1+burst)
+	t.Logf("steady: busiest minute %.3f", f.busiestMinute())
+	is.True(f.busiestMinute() <= 1+burst)
 
 	f = newFleet(4)
 	f.run(time.Minute)
-	f.join()
-	f.run(3 * time.Second) // until the others hear of it
-	f.told(5)
+	f.addHost()
+	f.run(3 * time.Second) // until the others are told
+	f.setEntryHosts(5)
 	f.run(2 * time.Minute)
-	t.Logf("join: worst minute %.3f", f.worst())
-	is.True(f.worst() <= 1+burst+(3.0/60+burst)/4)
+	t.Logf("join: busiest minute %.3f", f.busiestMinute())
+	is.True(f.busiestMinute() <= 1+burst+(3.0/60+burst)/4)
 
 	f = newFleet(4)
 	f.run(2 * time.Minute)
 	f.hosts = f.hosts[:3]
-	f.told(3)
-	before := f.run(Defaults.GrowthDelay)
+	f.setEntryHosts(3)
+	delayed := f.run(Defaults.GrowthDelay)
 	after := f.run(time.Minute)
-	t.Logf("leave: %.3f of the limit until it settles, %.3f after, worst minute %.3f", before, after, f.worst())
-	is.True(before >= 0.7)
+	t.Logf("leave: %.3f of the limit until the shares grow, %.3f after, busiest minute %.3f", delayed, after, f.busiestMinute())
+	is.True(delayed >= 0.7)
 	is.True(after >= 0.95 && after <= 1.05)
 
 	f = newFleet(4)
 	for range 100 {
-		f.told(1)
+		f.setEntryHosts(1)
 		f.run(time.Second)
-		f.told(4)
+		f.setEntryHosts(4)
 		f.run(time.Second)
 	}
-	t.Logf("flapping: worst minute %.3f", f.worst())
-	is.True(f.worst() <= 1+burst)
+	t.Logf("flapping: busiest minute %.3f", f.busiestMinute())
+	is.True(f.busiestMinute() <= 1+burst)
 
 	f = newFleet(4)
-	f.told(0)
+	f.setEntryHosts(0)
 	f.run(5 * time.Minute)
-	t.Logf("cut off: worst minute %.3f", f.worst())
-	is.True(f.worst() <= 1+burst)
+	t.Logf("cut off: busiest minute %.3f", f.busiestMinute())
+	is.True(f.busiestMinute() <= 1+burst)
 
 	f = newFleet(4)
-	f.told(2) // two halves, each sees itself
+	f.setEntryHosts(2) // two halves that see only themselves
 	early := f.run(Defaults.GrowthDelay)
 	f.run(5 * time.Minute)
-	worst := f.worst()
-	f.told(4)
+	worst := f.busiestMinute()
+	f.setEntryHosts(4)
 	healed := f.run(time.Minute)
-	t.Logf("cut in two: %.3f at first, worst minute %.3f, after it %.3f", early, worst, healed)
+	t.Logf("partitioned in two: %.3f at first, busiest minute %.3f, %.3f once healed", early, worst, healed)
 	is.True(worst <= 2+burst)
 	is.True(healed <= 1+2*burst)
 }
 
-// All hosts restart at once and know nothing but their settings. Each starts
-// with one burst of its share; no more.
-func TestHerdAfterRestart(t *testing.T) {
+// All hosts restart at once, with no state but their settings. Each may add no
+// more than one burst of its share.
+func TestSimultaneousRestart(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
 	f.run(time.Minute)
 	f.hosts = nil
 	for range 8 {
-		f.join()
+		f.addHost()
 	}
-	f.told(8)
+	f.setEntryHosts(8)
 	f.run(time.Minute)
-	t.Logf("worst minute %.3f", f.worst())
-	is.True(f.worst() <= 1+2*Defaults.Burst.Minutes())
+	t.Logf("busiest minute %.3f", f.busiestMinute())
+	is.True(f.busiestMinute() <= 1+2*Defaults.Burst.Minutes())
 }
 
-// A few workspaces send most. Each is held to its own limit, one that asks
-// little is never refused, and those refused are told times that spread.
-func TestRefusalsSayWhen(t *testing.T) {
+// A few workspaces send most of the requests. Each is held to its own limit, a
+// workspace that sends little is never rejected, and rejected callers are told
+// different retry times.
+func TestRejectionsSetRetryAfter(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	l := New(Settings{}, clock)
@@ -164,7 +168,7 @@
 	for i := range 20 {
 		if r, ok := l.Admit("large", 0).(Rejected); ok {
 			is.Equal(r.Reason, ReasonRequests)
-			is.True(r.RetryAfter > last || r.RetryAfter >= maxPromised)
+			is.True(r.RetryAfter > last || r.RetryAfter >= maxPendingRetries)
 			last = r.RetryAfter
 		} else {
 			is.True(i < 5)
@@ -182,11 +186,12 @@
 	_, ok = l.Admit("few", 0).(Admitted)
 	is.True(ok)
 	_, ok = l.Admit("few", 0).(Admitted)
-	is.True(!ok) // a grant ended twice frees one place
+	is.True(!ok) // ending a grant twice frees only one slot
 }
 
-// A workspace's small requests take all tokens as they come. Its large ones,
-// each of half a minute's tokens, must still go on now and then.
+// A workspace's small requests use up its tokens as fast as they refill. Its
+// large requests, each of half a minute's tokens, must still be admitted now and
+// then.
 func TestLargeRequestsAreNotStarved(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -210,10 +215,11 @@
 	is.True(sum <= 10*60000+5000+30000)
 }
 
-// Tokens are reserved by estimate. Callers name their maximum, so most
-// is given back; some take more, which they owe; a server that says nothing
-// leaves the estimate; work proved not run costs nothing.
-func TestReconcile(t *testing.T) {
+// Tokens are reserved by estimate. Callers state their maximum, so most of the
+// reservation is refunded; a request that used more leaves a debt; if the server
+// reports no usage, the estimate is kept; a request that provably did not run
+// costs nothing.
+func TestTokenReconciliation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	for _, c := range []struct {
 		name string
@@ -233,22 +239,22 @@
 			l := New(Settings{}, clock)
 			l.SetLimits(map[string]Limit{"w": {Tokens: 60000}})
 			c.end(l.Admit("w", 4000).(Admitted).Grant)
-			is.Equal(math.Round(l.accounts["w"].tokens.level), c.left)
+			is.Equal(math.Round(l.workspaces["w"].tokens.level), c.left)
 		})
 	}
 }
 
-// A workspace that is not configured, a request larger than the limit, counts
-// below zero, limits of zero, a clock that is set back, a configuration that
-// changes under running requests: each has its answer.
-func TestBadInput(t *testing.T) {
+// Unknown workspaces, requests larger than the limit, negative counts and limits,
+// a clock that steps back, and a configuration that changes while requests run
+// must all be handled.
+func TestInvalidInput(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	l := New(Settings{Burst: -1, GrowthDelay: -1, Skew: math.NaN(), EntryHosts: -3}, clock)
 	is.Equal(l.Admit("w", 1), Rejected{Reason: ReasonUnknown})
 	l.SetLimits(map[string]Limit{"w": {Tokens: 600}, "open": {Requests: -1, Tokens: 0, Concurrent: -5}})
 	is.Equal(l.Admit("w", 601), Rejected{Reason: ReasonTooLarge})
-	g := l.Admit("w", 600).(Admitted) // more than a burst: from a full bucket, once
+	g := l.Admit("w", 600).(Admitted) // more than a burst, so only from a full bucket
 	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens)
 	for range 1000 {
 		_, ok := l.Admit("open", -7).(Admitted)
@@ -257,7 +263,7 @@
 	clock.Advance(-time.Hour)
 	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens)
 	l.SetLimits(map[string]Limit{"w": {Tokens: 6000}})
-	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens) // a change gives no new burst
+	is.Equal(l.Admit("w", 1).(Rejected).Reason, ReasonTokens) // a configuration change allows no new burst
 	l.SetLimits(nil)
 	g.Grant.Release(Usage{Known: true})
 	is.Equal(l.Admit("w", 1), Rejected{Reason: ReasonUnknown})
--- a/internal/decision/beechlimit/memory_test.go
+++ b/internal/decision/beechlimit/memory_test.go
@@ -8,8 +8,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkMemory reports what a workspace's limits take at one entry host, and
-// what a new number of entry hosts costs.
+// BenchmarkMemory reports the memory that one workspace's limits take on an entry
+// host.
 func BenchmarkMemory(b *testing.B) {
 	const workspaces = 9300
 	limits := make(map[string]Limit, workspaces)
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkSetLimits is what one change of the configuration costs the limits.
+// BenchmarkSetLimits measures the cost of one configuration change.
 func BenchmarkSetLimits(b *testing.B) {
 	limits := map[string]Limit{}
 	for i := range 9300 {
