--- a/internal/decision/beechhealth/server.go
+++ b/internal/decision/beechhealth/server.go
@@ -106,9 +106,9 @@
 // eject takes the server out, twice as long as the last time.
 func (s *server) eject(now time.Time, set Settings) {
 	if s.out == 0 || now.Sub(s.returned) > calm*s.out {
-		s.out = set.Eject / 2
+		s.out = set.EjectionTime / 2
 	}
-	s.out = min(2*s.out, set.MaxEject)
+	s.out = min(2*s.out, set.MaxEjectionTime)
 	s.state = ejected
 	s.until = now.Add(s.out)
 	s.badSince = time.Time{}
@@ -121,7 +121,7 @@
 		s.open(now)
 	case s.state == probing && s.bad > 0:
 		s.eject(now, set)
-	case s.state == probing && s.probes >= set.Probes:
+	case s.state == probing && s.probes >= set.ProbeCount:
 		s.state = used
 		s.returned = now
 		for _, r := range s.series {
@@ -153,7 +153,7 @@
 	switch {
 	case s.state == ejected:
 		return 0
-	case s.state == probing && now.Sub(s.opened) < probeWindow && s.probes < set.Probes:
+	case s.state == probing && now.Sub(s.opened) < probeWindow && s.probes < set.ProbeCount:
 		return probeWeight
 	case s.state == probing:
 		return 0
--- a/internal/decision/beechhealth/tracker.go
+++ b/internal/decision/beechhealth/tracker.go
@@ -14,14 +14,14 @@
 type (
 	// Settings of the tracker. Zero values are taken from Defaults.
 	Settings struct {
-		MaxEjected int           // percent of a model's servers that may be out at once
-		Slow       float64       // times its peers' median latency that is too slow
-		Failed     float64       // share of failed requests, above its peers', that is too many
-		Confirm    time.Duration // for which it must last
-		Eject      time.Duration // the first time out; doubles with each
-		MaxEject   time.Duration
-		Probes     int // answers that decide on a return
-		SlowStart  time.Duration
+		MaxEjectedPercent int           // percent of a model's servers that may be out at once
+		MaxLatencyRatio   float64       // times its peers' median latency that is too slow
+		MaxExcessFailures float64       // share of failed requests, above its peers', that is too many
+		ConfirmationTime  time.Duration // for which it must last
+		EjectionTime      time.Duration // the first time out; doubles with each
+		MaxEjectionTime   time.Duration
+		ProbeCount        int // answers that decide on a return
+		SlowStart         time.Duration
 	}
 
 	// Sample is one answer or failure of a server. FirstToken counts from the
@@ -39,11 +39,11 @@
 
 	// Status is what is known of one server, for operators.
 	Status struct {
-		Server  netip.AddrPort
-		Weight  float64
-		Ejected bool
-		Slow    float64 // times its peers' latency
-		Failed  float64 // share of lately failed requests
+		Server         netip.AddrPort
+		Weight         float64
+		Ejected        bool
+		LatencyRatio   float64 `json:"Slow"`   // times its peers' latency
+		ExcessFailures float64 `json:"Failed"` // share of lately failed requests
 	}
 
 	// Tracker compares servers with their peers. It is safe for concurrent
@@ -78,8 +78,8 @@
 // Defaults are the settings where none are given; the package comment says
 // why.
 var Defaults = Settings{
-	MaxEjected: 30, Slow: 5, Failed: 0.4, Confirm: 3 * time.Second,
-	Eject: 5 * time.Second, MaxEject: 2 * time.Minute, Probes: 3, SlowStart: 10 * time.Second,
+	MaxEjectedPercent: 30, MaxLatencyRatio: 5, MaxExcessFailures: 0.4, ConfirmationTime: 3 * time.Second,
+	EjectionTime: 5 * time.Second, MaxEjectionTime: 2 * time.Minute, ProbeCount: 3, SlowStart: 10 * time.Second,
 }
 
 // New returns a tracker that knows no server.
@@ -96,21 +96,21 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.MaxEjected <= 0 || s.MaxEjected > 100 {
-		s.MaxEjected = Defaults.MaxEjected
+	if s.MaxEjectedPercent <= 0 || s.MaxEjectedPercent > 100 {
+		s.MaxEjectedPercent = Defaults.MaxEjectedPercent
 	}
-	if !(s.Slow > 1) { // also not a number
-		s.Slow = Defaults.Slow
+	if !(s.MaxLatencyRatio > 1) { // also not a number
+		s.MaxLatencyRatio = Defaults.MaxLatencyRatio
 	}
-	if !(s.Failed > 0 && s.Failed < 1) {
-		s.Failed = Defaults.Failed
+	if !(s.MaxExcessFailures > 0 && s.MaxExcessFailures < 1) {
+		s.MaxExcessFailures = Defaults.MaxExcessFailures
 	}
-	s.Confirm = orDefault(s.Confirm, Defaults.Confirm)
-	s.Eject = orDefault(s.Eject, Defaults.Eject)
-	s.MaxEject = max(s.Eject, orDefault(s.MaxEject, Defaults.MaxEject))
+	s.ConfirmationTime = orDefault(s.ConfirmationTime, Defaults.ConfirmationTime)
+	s.EjectionTime = orDefault(s.EjectionTime, Defaults.EjectionTime)
+	s.MaxEjectionTime = max(s.EjectionTime, orDefault(s.MaxEjectionTime, Defaults.MaxEjectionTime))
 	s.SlowStart = orDefault(s.SlowStart, Defaults.SlowStart)
-	if s.Probes <= 0 {
-		s.Probes = Defaults.Probes
+	if s.ProbeCount <= 0 {
+		s.ProbeCount = Defaults.ProbeCount
 	}
 	return s
 }
@@ -170,7 +170,7 @@
 	}
 	s.series[sample.Model].add(sample)
 	if s.state == probing {
-		s.probe(sample, m, t.settings.Slow)
+		s.probe(sample, m, t.settings.MaxLatencyRatio)
 	}
 	due := interval
 	if sample.Failed {
@@ -207,7 +207,7 @@
 	for a, s := range t.servers {
 		slow, failed := t.compare(s)
 		out = append(out, Status{
-			Server: a, Weight: t.Weight(a), Ejected: s.state == ejected, Slow: slow, Failed: failed,
+			Server: a, Weight: t.Weight(a), Ejected: s.state == ejected, LatencyRatio: slow, ExcessFailures: failed,
 		})
 	}
 	slices.SortFunc(out, func(a, b Status) int { return a.Server.Compare(b.Server) })
@@ -298,7 +298,7 @@
 // isBad tells whether a server has been worse than its peers for long enough.
 func (t *Tracker) isBad(s *server) bool {
 	slow, failed := t.compare(s)
-	s.badness = max(slow/t.settings.Slow, failed/t.settings.Failed)
+	s.badness = max(slow/t.settings.MaxLatencyRatio, failed/t.settings.MaxExcessFailures)
 	if s.badness < 1 {
 		s.badSince = time.Time{}
 		return false
@@ -306,7 +306,7 @@
 	if s.badSince.IsZero() {
 		s.badSince = t.now
 	}
-	return failed >= t.settings.Failed || t.now.Sub(s.badSince) >= t.settings.Confirm
+	return failed >= t.settings.MaxExcessFailures || t.now.Sub(s.badSince) >= t.settings.ConfirmationTime
 }
 
 // mayEject keeps the servers that are out within their share of each model's
@@ -324,7 +324,7 @@
 				out++
 			}
 		}
-		allowed := max(len(m.members)*t.settings.MaxEjected/100, min(1, len(m.members)-1))
+		allowed := max(len(m.members)*t.settings.MaxEjectedPercent/100, min(1, len(m.members)-1))
 		if out >= allowed {
 			return false
 		}
--- a/internal/decision/beechhealth/tracker_test.go
+++ b/internal/decision/beechhealth/tracker_test.go
@@ -133,7 +133,7 @@
 		f.run(20 * time.Minute)
 		return f
 	}
-	damped, even := flap(Settings{}), flap(Settings{MaxEject: Defaults.Eject})
+	damped, even := flap(Settings{}), flap(Settings{MaxEjectionTime: Defaults.EjectionTime})
 	t.Logf("in 20 minutes out %d times and sent %d requests, with even times out %d and %d; a good one is sent %d",
 		damped.turns[0], damped.sent[0], even.turns[0], even.sent[0], damped.sent[1])
 	is.True(damped.turns[0]*2 <= even.turns[0])
@@ -175,7 +175,7 @@
 func TestBadInput(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	tr := New(Settings{MaxEjected: -5, Slow: -1, Failed: 7, Confirm: -1, Probes: -1}, clock)
+	tr := New(Settings{MaxEjectedPercent: -5, MaxLatencyRatio: -1, MaxExcessFailures: 7, ConfirmationTime: -1, ProbeCount: -1}, clock)
 	a := netip.MustParseAddrPort("10.0.0.1:1")
 	tr.Observe(Sample{Server: a, Model: "m", Failed: true})
 	is.Equal(tr.Weight(a), 1.0)
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -109,7 +109,7 @@
 		budget: beechretry.New(beechretry.Settings{
 			Percent: retryPercent, Spare: spareRetries, MaxAttempts: maxAttempts, Backoff: firstBackoff, MaxBackoff: maxBackoff,
 		}, d.Clock, randv2.NewPCG(randv2.Uint64(), randv2.Uint64())),
-		health:   beechhealth.New(beechhealth.Settings{MaxEjected: maxEjected}, d.Clock),
+		health:   beechhealth.New(beechhealth.Settings{MaxEjectedPercent: maxEjected}, d.Clock),
 		suspects: beechsuspect.New(beechsuspect.Settings{}, d.Clock),
 		burn:     beechburn.New(beechburn.Settings{}, d.Clock),
 		signer:   newStreamSigner(settings.Secret),
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -132,8 +132,8 @@
 // healthSettings are quicker than the defaults, since callers' deadlines here
 // are of seconds.
 var healthSettings = beechhealth.Settings{
-	MaxEjected: 40, Slow: 6, Failed: 0.3, Confirm: 400 * time.Millisecond,
-	Eject: 3 * time.Second, MaxEject: 15 * time.Second, Probes: 2, SlowStart: 2 * time.Second,
+	MaxEjectedPercent: 40, MaxLatencyRatio: 6, MaxExcessFailures: 0.3, ConfirmationTime: 400 * time.Millisecond,
+	EjectionTime: 3 * time.Second, MaxEjectionTime: 15 * time.Second, ProbeCount: 2, SlowStart: 2 * time.Second,
 }
 
 // New returns a gate that is bound to its beat address and serves once Run is
