--- a/internal/decision/beechhealth/server.go
+++ b/internal/decision/beechhealth/server.go
@@ -6,159 +6,164 @@
 )
 
 const (
-	// memory is the weight of older samples against one more: the last ten or
-	// so count, so that five failures in a row are seen as that.
-	memory = 0.9
+	// smoothing is the weight of older samples in the exponential moving
+	// averages. At 0.9, about the last ten samples count, so that five failures
+	// in a row are noticed.
+	smoothing = 0.9
 
-	// minSamples is how many it takes to judge a server at all. With fewer, one
-	// unlucky request would eject it.
+	// minSamples is how many samples a server needs before it is judged. With
+	// fewer, one unlucky request could eject it.
 	minSamples = 8
 
-	// overhead is the work of a request beside its prompt, in tokens. Without
-	// it a server that gets short prompts would look slow for each token.
-	overhead = 200
+	// overheadTokens is the work of a request besides its prompt, in tokens.
+	// Without it, a server that receives short prompts would look slow per token.
+	overheadTokens = 200
 
-	// probeWindow is how long a returning server is offered to the router.
-	// What it is sent in that time are its probes.
+	// probeWindow is how long a returning server is offered to the router. The
+	// requests it is sent in that time are its probes.
 	probeWindow = time.Second
 
-	// probeWait is how long their answers are waited for before the next
-	// window opens.
-	probeWait = 10 * time.Second
+	// probeTimeout is how long to wait for the probes' answers after the window
+	// has closed, before the next window opens.
+	probeTimeout = 10 * time.Second
 
-	// probeWeight lets the router prefer others where they are as good.
+	// probeWeight lets the router prefer other servers that are equally good.
 	probeWeight = 0.5
 
-	// firstWeight is where slow start begins.
-	firstWeight = 0.2
+	// initialWeight is a server's weight at the beginning of slow start.
+	initialWeight = 0.2
 
-	// calm is how many times of its last ejection a server must do well before
-	// its next one is short again. Without it one that flaps would be let back
-	// every few seconds and move its load to and fro each time.
-	calm = 4
+	// stabilityFactor is how many times the length of its last ejection a server
+	// must work well before its next ejection is short again. Otherwise a
+	// flapping server would return every few seconds and its load would
+	// oscillate.
+	stabilityFactor = 4
 
-	// maxLatency bounds a single sample's latency against absurd reports.
+	// maxLatency caps the latency of a single sample against absurd reports.
 	maxLatency = time.Hour
 )
 
 type (
-	// state of a server: in use, ejected until a time, or offered for probes.
+	// state is whether a server is in service, ejected for some time, or offered
+	// to the router for probes.
 	state int
 
-	// series is what was seen of a server for one model.
-	series struct {
-		seen    int
-		answers int
-		latency float64 // seconds a token, smoothed
-		failed  float64 // share, smoothed
+	// modelStats are a server's statistics for one model.
+	modelStats struct {
+		samples     int
+		answers     int
+		latency     float64 // seconds per token, moving average
+		failureRate float64 // moving average
 	}
 
 	server struct {
-		address  netip.AddrPort
-		series   map[string]*series
-		state    state
-		until    time.Time // of ejected
-		opened   time.Time // the probe window
-		returned time.Time // start of slow start; zero if it never was out
-		out      time.Duration
-		badSince time.Time
-		badness  float64
-		probes   int
-		bad      int // of the probes
+		address      netip.AddrPort
+		stats        map[string]*modelStats
+		state        state
+		ejectedUntil time.Time
+		probingSince time.Time     // start of the probe window
+		returnedAt   time.Time     // start of slow start; zero if never ejected
+		ejectionTime time.Duration // length of the latest ejection
+		outlierSince time.Time
+		severity     float64 // at least 1 for an outlier
+		probes       int
+		failedProbes int
 	}
 )
 
 const (
-	used state = iota
+	active state = iota
 	ejected
 	probing
 )
 
-func (r *series) add(s Sample) {
-	r.seen++
-	r.failed = memory*r.failed + (1-memory)*share(s.Failed)
+func (st *modelStats) add(s Sample) {
+	st.samples++
+	st.failureRate = smoothing*st.failureRate + (1-smoothing)*failureValue(s.Failed)
 	if s.Failed {
 		return
 	}
-	latency := s.latency()
-	if r.answers == 0 {
-		r.latency = latency
+	latency := s.latencyPerToken()
+	if st.answers == 0 {
+		st.latency = latency
 	}
-	r.answers++
-	r.latency = memory*r.latency + (1-memory)*latency
+	st.answers++
+	st.latency = smoothing*st.latency + (1-smoothing)*latency
 }
 
-func share(failed bool) float64 {
+func failureValue(failed bool) float64 {
 	if failed {
 		return 1
 	}
 	return 0
 }
 
-// latency is a sample's time for each token of work.
-func (s Sample) latency() float64 {
-	took := min(max(s.FirstToken, 0), maxLatency)
-	return took.Seconds() / float64(max(s.Tokens, 0)+overhead)
+// latencyPerToken returns the sample's time to the first token, in seconds per
+// token of work.
+func (s Sample) latencyPerToken() float64 {
+	duration := min(max(s.FirstToken, 0), maxLatency)
+	return duration.Seconds() / float64(max(s.Tokens, 0)+overheadTokens)
 }
 
-func (s *server) inUse() bool { return s.state == used }
+func (s *server) isActive() bool { return s.state == active }
 
-// eject takes the server out, twice as long as the last time.
-func (s *server) eject(now time.Time, set Settings) {
-	if s.out == 0 || now.Sub(s.returned) > calm*s.out {
-		s.out = set.EjectionTime / 2
+// eject takes the server out of service, for twice as long as the last time.
+func (s *server) eject(now time.Time, settings Settings) {
+	if s.ejectionTime == 0 || now.Sub(s.returnedAt) > stabilityFactor*s.ejectionTime {
+		s.ejectionTime = settings.EjectionTime / 2
 	}
-	s.out = min(2*s.out, set.MaxEjectionTime)
+	s.ejectionTime = min(2*s.ejectionTime, settings.MaxEjectionTime)
 	s.state = ejected
-	s.until = now.Add(s.out)
-	s.badSince = time.Time{}
+	s.ejectedUntil = now.Add(s.ejectionTime)
+	s.outlierSince = time.Time{}
 }
 
-// advance moves a server on by time and by its probes.
-func (s *server) advance(now time.Time, set Settings) {
+// advance moves the server to its next state, depending on the time and its
+// probes.
+func (s *server) advance(now time.Time, settings Settings) {
 	switch {
-	case s.state == ejected && !now.Before(s.until):
-		s.open(now)
-	case s.state == probing && s.bad > 0:
-		s.eject(now, set)
-	case s.state == probing && s.probes >= set.ProbeCount:
-		s.state = used
-		s.returned = now
-		for _, r := range s.series {
-			*r = series{}
+	case s.state == ejected && !now.Before(s.ejectedUntil):
+		s.startProbing(now)
+	case s.state == probing && s.failedProbes > 0:
+		s.eject(now, settings)
+	case s.state == probing && s.probes >= settings.ProbeCount:
+		s.state = active
+		s.returnedAt = now
+		for _, st := range s.stats {
+			*st = modelStats{}
 		}
-	case s.state == probing && now.Sub(s.opened) >= probeWindow+probeWait:
-		s.open(now)
+	case s.state == probing && now.Sub(s.probingSince) >= probeWindow+probeTimeout:
+		s.startProbing(now)
 	}
 }
 
-// open offers the server for probes.
-func (s *server) open(now time.Time) {
+// startProbing opens a probe window, in which the router may send requests.
+func (s *server) startProbing(now time.Time) {
 	s.state = probing
-	s.opened = now
-	s.probes, s.bad = 0, 0
+	s.probingSince = now
+	s.probes, s.failedProbes = 0, 0
 }
 
-// probe judges one answer of a returning server.
-func (s *server) probe(sample Sample, m *model, slow float64) {
+// recordProbe judges one answer of a server that is being probed.
+func (s *server) recordProbe(sample Sample, m *model, maxLatencyRatio float64) {
 	s.probes++
-	if sample.Failed || (m.latency > 0 && sample.latency() > slow*m.latency) {
-		s.bad++
+	if sample.Failed || (m.medianLatency > 0 && sample.latencyPerToken() > maxLatencyRatio*m.medianLatency) {
+		s.failedProbes++
 	}
 }
 
-// weight grows in slow start: the cache of a server that was out is cold, and
-// a load that comes back at once may be what it failed under.
-func (s *server) weight(now time.Time, set Settings) float64 {
+// weight grows during slow start: the cache of a server that was ejected is cold,
+// and its full load returning at once may be what made it fail.
+func (s *server) weight(now time.Time, settings Settings) float64 {
 	switch {
 	case s.state == ejected:
 		return 0
-	case s.state == probing && now.Sub(s.opened) < probeWindow && s.probes < set.ProbeCount:
+	case s.state == probing && now.Sub(s.probingSince) < probeWindow && s.probes < settings.ProbeCount:
 		return probeWeight
 	case s.state == probing:
 		return 0
-	case s.returned.IsZero() || now.Sub(s.returned) >= set.SlowStart:
+	case s.returnedAt.IsZero() || now.Sub(s.returnedAt) >= settings.SlowStart:
 		return 1
 	}
-	return firstWeight + (1-firstWeight)*float64(now.Sub(s.returned))/float64(set.SlowStart)
+	return initialWeight + (1-initialWeight)*float64(now.Sub(s.returnedAt))/float64(settings.SlowStart)
 }
--- a/internal/decision/beechhealth/tracker.go
+++ b/internal/decision/beechhealth/tracker.go
@@ -12,23 +12,24 @@
 )
 
 type (
-	// Settings of the tracker. Zero values are taken from Defaults.
+	// Settings configures a Tracker. Invalid and zero fields are taken from
+	// Defaults.
 	Settings struct {
-		MaxEjectedPercent int           // percent of a model's servers that may be out at once
-		MaxLatencyRatio   float64       // times its peers' median latency that is too slow
-		MaxExcessFailures float64       // share of failed requests, above its peers', that is too many
-		ConfirmationTime  time.Duration // for which it must last
-		EjectionTime      time.Duration // the first time out; doubles with each
+		MaxEjectedPercent int           // of a model's servers that may be out of service at once
+		MaxLatencyRatio   float64       // of a server's latency to the median of its peers
+		MaxExcessFailures float64       // share of failed requests above the median of its peers
+		ConfirmationTime  time.Duration // how long a server must be too slow before it is ejected
+		EjectionTime      time.Duration // length of the first ejection; doubles with each further one
 		MaxEjectionTime   time.Duration
-		ProbeCount        int // answers that decide on a return
-		SlowStart         time.Duration
+		ProbeCount        int           // answers needed before a server returns to service
+		SlowStart         time.Duration // time in which the weight of a returned server grows to 1
 	}
 
-	// Sample is one answer or failure of a server. FirstToken counts from the
-	// start on the server; the time in the agent's queue is no fault of the
-	// server. Tokens is the uncached prompt that the first token had to wait for.
-	// Failed covers errors and timeouts of the server, not refusals and not the
-	// caller's faults.
+	// Sample is one answer or failure of a server. FirstToken is the time to the
+	// first token, measured from the start on the server: the time in the agent's
+	// queue is not the server's fault. Tokens is the uncached part of the prompt,
+	// which had to be computed before the first token. Failed covers errors and
+	// timeouts of the server, but neither rejections nor errors of the caller.
 	Sample struct {
 		Server     netip.AddrPort
 		Model      string
@@ -37,52 +38,50 @@
 		Failed     bool
 	}
 
-	// Status is what is known of one server, for operators.
+	// Status is the state of one server, for operators.
 	Status struct {
 		Server         netip.AddrPort
 		Weight         float64
 		Ejected        bool
-		LatencyRatio   float64 `json:"Slow"`   // times its peers' latency
-		ExcessFailures float64 `json:"Failed"` // share of lately failed requests
+		LatencyRatio   float64 `json:"Slow"`   // latency as a multiple of its peers' median
+		ExcessFailures float64 `json:"Failed"` // share of recent failures above its peers' median
 	}
 
-	// Tracker compares servers with their peers. It is safe for concurrent
-	// use.
+	// Tracker compares servers with their peers. It is safe for concurrent use.
 	Tracker struct {
-		mu        sync.Mutex
-		settings  Settings
-		clock     clockwork.Clock
-		now       time.Time // never steps back
-		evaluated time.Time
-		models    map[string]*model
-		servers   map[netip.AddrPort]*server
-		weights   atomic.Pointer[map[netip.AddrPort]float64] // those that are not 1
+		mu             sync.Mutex
+		settings       Settings
+		clock          clockwork.Clock
+		now            time.Time // never steps back
+		lastEvaluation time.Time
+		models         map[string]*model
+		servers        map[netip.AddrPort]*server
+		weights        atomic.Pointer[map[netip.AddrPort]float64] // only weights other than 1
 	}
 
-	// model is the peers that serve one model.
+	// model is a group of peers: the servers of one model.
 	model struct {
-		members []netip.AddrPort
-		latency float64 // median of the members'
-		failed  float64
+		members        []netip.AddrPort
+		medianLatency  float64 // in seconds per token
+		medianFailures float64 // share of requests
 	}
 )
 
 const (
-	// interval is how often servers are compared; failed samples bring it
-	// forward, but not below rush, or an outage would cost a comparison for each
-	// of its failures.
-	interval = 500 * time.Millisecond
-	rush     = 50 * time.Millisecond
+	// evaluationInterval is how often servers are compared. A failed sample
+	// triggers a comparison earlier, but not before failureInterval has passed;
+	// otherwise an outage would cost a comparison for each failure.
+	evaluationInterval = 500 * time.Millisecond
+	failureInterval    = 50 * time.Millisecond
 )
 
-// Defaults are the settings where none are given; the package comment says
-// why.
+// Defaults are the default settings; the package comment explains them.
 var Defaults = Settings{
 	MaxEjectedPercent: 30, MaxLatencyRatio: 5, MaxExcessFailures: 0.4, ConfirmationTime: 3 * time.Second,
 	EjectionTime: 5 * time.Second, MaxEjectionTime: 2 * time.Minute, ProbeCount: 3, SlowStart: 10 * time.Second,
 }
 
-// New returns a tracker that knows no server.
+// New returns a Tracker without any servers.
 func New(s Settings, c clockwork.Clock) *Tracker {
 	t := &Tracker{
 		settings: s.withDefaults(),
@@ -99,7 +98,7 @@
 	if s.MaxEjectedPercent <= 0 || s.MaxEjectedPercent > 100 {
 		s.MaxEjectedPercent = Defaults.MaxEjectedPercent
 	}
-	if !(s.MaxLatencyRatio > 1) { // also not a number
+	if !(s.MaxLatencyRatio > 1) { // also true for NaN
 		s.MaxLatencyRatio = Defaults.MaxLatencyRatio
 	}
 	if !(s.MaxExcessFailures > 0 && s.MaxExcessFailures < 1) {
@@ -122,12 +121,12 @@
 	return d
 }
 
-// SetServers names the live servers of a model. A server that is named for no
-// model any more is forgotten; none at all forgets the model.
+// SetServers sets the live servers of a model. A server that no model has any
+// more is forgotten; an empty list forgets the model.
 func (t *Tracker) SetServers(name string, servers []netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tick()
+	t.updateTime()
 	old := t.models[name]
 	if old == nil {
 		old = &model{}
@@ -135,22 +134,22 @@
 	if len(servers) == 0 {
 		delete(t.models, name)
 	} else {
-		t.models[name] = &model{members: slices.Clone(servers), latency: old.latency, failed: old.failed}
+		t.models[name] = &model{members: slices.Clone(servers), medianLatency: old.medianLatency, medianFailures: old.medianFailures}
 	}
 	for _, a := range servers {
 		s := t.servers[a]
 		if s == nil {
-			s = &server{address: a, series: make(map[string]*series)}
+			s = &server{address: a, stats: make(map[string]*modelStats)}
 			t.servers[a] = s
 		}
-		if s.series[name] == nil {
-			s.series[name] = &series{}
+		if s.stats[name] == nil {
+			s.stats[name] = &modelStats{}
 		}
 	}
 	for _, a := range old.members {
 		if s := t.servers[a]; s != nil && !slices.Contains(servers, a) {
-			delete(s.series, name)
-			if len(s.series) == 0 {
+			delete(s.stats, name)
+			if len(s.stats) == 0 {
 				delete(t.servers, a)
 			}
 		}
@@ -158,40 +157,40 @@
 	t.evaluate()
 }
 
-// Observe learns from one answer or failure. One of a server that is not named
-// for the model is passed over.
+// Observe records one answer or failure. Samples of a server that is not set for
+// the model are ignored.
 func (t *Tracker) Observe(sample Sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tick()
+	t.updateTime()
 	m, s := t.models[sample.Model], t.servers[sample.Server]
-	if m == nil || s == nil || s.series[sample.Model] == nil {
+	if m == nil || s == nil || s.stats[sample.Model] == nil {
 		return
 	}
-	s.series[sample.Model].add(sample)
+	s.stats[sample.Model].add(sample)
 	if s.state == probing {
-		s.probe(sample, m, t.settings.MaxLatencyRatio)
+		s.recordProbe(sample, m, t.settings.MaxLatencyRatio)
 	}
-	due := interval
+	minInterval := evaluationInterval
 	if sample.Failed {
-		due = rush
+		minInterval = failureInterval
 	}
-	if t.now.Sub(t.evaluated) >= due {
+	if t.now.Sub(t.lastEvaluation) >= minInterval {
 		t.evaluate()
 	}
 }
 
-// Tick lets time pass without a sample: an ejected server of a quiet fleet
-// comes back.
+// Tick evaluates the servers without a sample, so that an ejected server also
+// returns while there is no traffic.
 func (t *Tracker) Tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tick()
+	t.updateTime()
 	t.evaluate()
 }
 
-// Weight tells how far a server may be used: 0 not at all, 1 fully. A server
-// that is not known is used fully.
+// Weight returns how much traffic a server may receive, from 0 (none) to 1 (its
+// full share). The weight of an unknown server is 1.
 func (t *Tracker) Weight(a netip.AddrPort) float64 {
 	if w, ok := (*t.weights.Load())[a]; ok {
 		return w
@@ -199,45 +198,46 @@
 	return 1
 }
 
-// Status lists the known servers, sorted by address.
+// Status returns the known servers, sorted by address.
 func (t *Tracker) Status() []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Status, 0, len(t.servers))
 	for a, s := range t.servers {
-		slow, failed := t.compare(s)
+		latencyRatio, excessFailures := t.compareWithPeers(s)
 		out = append(out, Status{
-			Server: a, Weight: t.Weight(a), Ejected: s.state == ejected, LatencyRatio: slow, ExcessFailures: failed,
+			Server: a, Weight: t.Weight(a), Ejected: s.state == ejected, LatencyRatio: latencyRatio, ExcessFailures: excessFailures,
 		})
 	}
 	slices.SortFunc(out, func(a, b Status) int { return a.Server.Compare(b.Server) })
 	return out
 }
 
-// tick takes over the time, which stands still while the clock steps back.
-func (t *Tracker) tick() {
+// updateTime reads the clock. Time stands still while the clock steps back.
+func (t *Tracker) updateTime() {
 	if now := t.clock.Now(); now.After(t.now) {
 		t.now = now
 	}
 }
 
-// evaluate compares all servers and moves them between their states.
+// evaluate compares all servers with their peers, ejects outliers and updates the
+// weights.
 func (t *Tracker) evaluate() {
-	t.evaluated = t.now
+	t.lastEvaluation = t.now
 	for name, m := range t.models {
-		t.measure(name, m)
+		t.updateMedians(name, m)
 	}
-	var bad []*server
+	var outliers []*server
 	for _, s := range t.servers {
 		s.advance(t.now, t.settings)
-		if s.inUse() && t.isBad(s) {
-			bad = append(bad, s)
+		if s.isActive() && t.isOutlier(s) {
+			outliers = append(outliers, s)
 		}
 	}
-	slices.SortFunc(bad, func(a, b *server) int {
-		return cmp.Or(cmp.Compare(b.badness, a.badness), a.address.Compare(b.address))
+	slices.SortFunc(outliers, func(a, b *server) int {
+		return cmp.Or(cmp.Compare(b.severity, a.severity), a.address.Compare(b.address))
 	})
-	for _, s := range bad {
+	for _, s := range outliers {
 		if t.mayEject(s) {
 			s.eject(t.now, t.settings)
 		}
@@ -251,24 +251,25 @@
 	t.weights.Store(&weights)
 }
 
-// measure takes the medians of a model's servers that are in use and have been
-// seen enough. A mean would follow the one server that it is to find.
-func (t *Tracker) measure(name string, m *model) {
+// updateMedians computes a model's medians over the servers that are in service
+// and have enough samples. A mean would be distorted by the very outlier to be
+// found.
+func (t *Tracker) updateMedians(name string, m *model) {
 	var latencies, failures []float64
 	for _, a := range m.members {
 		s := t.servers[a]
-		if r := s.series[name]; s.inUse() && r.answers >= minSamples {
-			latencies = append(latencies, r.latency)
+		if st := s.stats[name]; s.isActive() && st.answers >= minSamples {
+			latencies = append(latencies, st.latency)
 		}
-		if r := s.series[name]; s.inUse() && r.seen >= minSamples {
-			failures = append(failures, r.failed)
+		if st := s.stats[name]; s.isActive() && st.samples >= minSamples {
+			failures = append(failures, st.failureRate)
 		}
 	}
-	m.latency, m.failed = median(latencies), median(failures)
+	m.medianLatency, m.medianFailures = median(latencies), median(failures)
 }
 
-// median gives the lower of two middle values: of two servers, the slow one
-// must not become its own measure.
+// median returns the lower of two middle values: with two servers, the slow one
+// must not become its own baseline.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -277,55 +278,58 @@
 	return values[(len(values)-1)/2]
 }
 
-// compare gives a server's latency in times of its peers' and its share of
-// failures above theirs, the worst over its models.
-func (t *Tracker) compare(s *server) (slow, failed float64) {
-	for name, r := range s.series {
+// compareWithPeers returns the server's latency as a multiple of its peers'
+// median, and its failure rate in excess of theirs. Both are the worst over its
+// models.
+func (t *Tracker) compareWithPeers(s *server) (latencyRatio, excessFailures float64) {
+	for name, st := range s.stats {
 		m := t.models[name]
 		if m == nil {
 			continue
 		}
-		if r.answers >= minSamples && m.latency > 0 {
-			slow = max(slow, r.latency/m.latency)
+		if st.answers >= minSamples && m.medianLatency > 0 {
+			latencyRatio = max(latencyRatio, st.latency/m.medianLatency)
 		}
-		if r.seen >= minSamples {
-			failed = max(failed, r.failed-m.failed)
+		if st.samples >= minSamples {
+			excessFailures = max(excessFailures, st.failureRate-m.medianFailures)
 		}
 	}
-	return slow, failed
+	return latencyRatio, excessFailures
 }
 
-// isBad tells whether a server has been worse than its peers for long enough.
-func (t *Tracker) isBad(s *server) bool {
-	slow, failed := t.compare(s)
-	s.badness = max(slow/t.settings.MaxLatencyRatio, failed/t.settings.MaxExcessFailures)
-	if s.badness < 1 {
-		s.badSince = time.Time{}
+// isOutlier reports whether a server fails too much more than its peers, or has
+// been too much slower than them for ConfirmationTime.
+func (t *Tracker) isOutlier(s *server) bool {
+	latencyRatio, excessFailures := t.compareWithPeers(s)
+	s.severity = max(latencyRatio/t.settings.MaxLatencyRatio, excessFailures/t.settings.MaxExcessFailures)
+	if s.severity < 1 {
+		s.outlierSince = time.Time{}
 		return false
 	}
-	if s.badSince.IsZero() {
-		s.badSince = t.now
+	if s.outlierSince.IsZero() {
+		s.outlierSince = t.now
 	}
-	return failed >= t.settings.MaxExcessFailures || t.now.Sub(s.badSince) >= t.settings.ConfirmationTime
+	return excessFailures >= t.settings.MaxExcessFailures || t.now.Sub(s.outlierSince) >= t.settings.ConfirmationTime
 }
 
-// mayEject keeps the servers that are out within their share of each model's
-// set: what looks like many bad servers is more likely a bad request or too much
-// load, and the rest would have to carry it all. One of two may go.
+// mayEject reports whether the server can be ejected without exceeding the limit
+// of ejected servers of any of its models. What looks like many bad servers is
+// more likely a bad request or overload, and the remaining servers would have to
+// carry all the load. One of two servers may be ejected.
 func (t *Tracker) mayEject(s *server) bool {
-	for name := range s.series {
+	for name := range s.stats {
 		m := t.models[name]
 		if m == nil {
 			continue
 		}
-		out := 0
+		inactive := 0
 		for _, a := range m.members {
-			if !t.servers[a].inUse() {
-				out++
+			if !t.servers[a].isActive() {
+				inactive++
 			}
 		}
 		allowed := max(len(m.members)*t.settings.MaxEjectedPercent/100, min(1, len(m.members)-1))
-		if out >= allowed {
+		if inactive >= allowed {
 			return false
 		}
 	}
--- a/internal/decision/beechhealth/tracker_test.go
+++ b/internal/decision/beechhealth/tracker_test.go
@@ -11,27 +11,27 @@
 	"github.com/matryer/is"
 )
 
-// fleet plays servers that a router uses by their weights.
+// fleet simulates servers that receive requests according to their weights.
 type fleet struct {
-	t       *Tracker
-	clock   *clockwork.FakeClock
-	random  *rand.Rand
-	servers []netip.AddrPort
-	slow    func(i int, at time.Duration) float64 // times the usual latency
-	fails   func(i int, at time.Duration) bool
-	at      time.Duration
-	sent    []int
-	out     []int // evaluations in which a server had weight 0
-	turns   []int // times it was ejected
-	was     []bool
-	most    int // out at once
+	t             *Tracker
+	clock         *clockwork.FakeClock
+	random        *rand.Rand
+	servers       []netip.AddrPort
+	latencyFactor func(i int, at time.Duration) float64 // multiple of the usual latency
+	fails         func(i int, at time.Duration) bool
+	elapsed       time.Duration
+	sent          []int
+	stepsOut      []int // steps of the simulation in which a server had weight 0
+	ejections     []int // number of times each server went out of service
+	wasOut        []bool
+	maxOut        int // most servers out of service at once
 }
 
 func newFleet(n int) *fleet {
 	f := &fleet{
 		clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(1, 1)),
-		slow: func(int, time.Duration) float64 { return 1 }, fails: func(int, time.Duration) bool { return false },
-		sent: make([]int, n), out: make([]int, n), turns: make([]int, n), was: make([]bool, n),
+		latencyFactor: func(int, time.Duration) float64 { return 1 }, fails: func(int, time.Duration) bool { return false },
+		sent: make([]int, n), stepsOut: make([]int, n), ejections: make([]int, n), wasOut: make([]bool, n),
 	}
 	f.t = New(Settings{}, f.clock)
 	for i := range n {
@@ -41,9 +41,9 @@
 	return f
 }
 
-// run sends 5 requests a second for each server, by weight.
+// run sends 5 requests per second and server, according to the weights.
 func (f *fleet) run(d time.Duration) {
-	for end := f.at + d; f.at < end; f.at += 100 * time.Millisecond {
+	for end := f.elapsed + d; f.elapsed < end; f.elapsed += 100 * time.Millisecond {
 		for range len(f.servers) / 2 {
 			f.send()
 		}
@@ -51,15 +51,15 @@
 		for i, a := range f.servers {
 			w := f.t.Weight(a)
 			if w == 0 {
-				f.out[i]++
+				f.stepsOut[i]++
 				zero++
 			}
-			if w == 0 && !f.was[i] {
-				f.turns[i]++
+			if w == 0 && !f.wasOut[i] {
+				f.ejections[i]++
 			}
-			f.was[i] = w == 0
+			f.wasOut[i] = w == 0
 		}
-		f.most = max(f.most, zero)
+		f.maxOut = max(f.maxOut, zero)
 		f.clock.Advance(100 * time.Millisecond)
 	}
 }
@@ -72,19 +72,19 @@
 		}
 		f.sent[i]++
 		tokens := f.random.IntN(4000)
-		first := time.Duration(float64(tokens+100) * f.slow(i, f.at) * (0.5 + f.random.Float64()) * float64(100*time.Microsecond))
-		f.t.Observe(Sample{Server: f.servers[i], Model: "m", FirstToken: first, Tokens: tokens, Failed: f.fails(i, f.at)})
+		first := time.Duration(float64(tokens+100) * f.latencyFactor(i, f.elapsed) * (0.5 + f.random.Float64()) * float64(100*time.Microsecond))
+		f.t.Observe(Sample{Server: f.servers[i], Model: "m", FirstToken: first, Tokens: tokens, Failed: f.fails(i, f.elapsed)})
 		return
 	}
 }
 
-// One of ten servers becomes twenty times slower without failing. Every tenth
-// caller waits for it until it is taken out; it must come back by itself once it is
-// well, and not with its whole load at once.
-func TestSlowServerIsTakenOutAndComesBack(t *testing.T) {
+// One of ten servers becomes twenty times slower without failing, so that every
+// tenth caller waits for it. It must be ejected, return by itself once it has
+// recovered, and not receive its whole load at once.
+func TestSlowServerIsEjectedAndReturns(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(10)
-	f.slow = func(i int, at time.Duration) float64 {
+	f.latencyFactor = func(i int, at time.Duration) float64 {
 		if i == 3 && at > 20*time.Second && at < 60*time.Second {
 			return 20
 		}
@@ -97,16 +97,16 @@
 	f.run(10 * time.Second)
 	early := f.t.Weight(f.servers[3])
 	f.run(90 * time.Second)
-	t.Logf("requests to the slow server: %d in 20 s well, %d in 40 s slow; weight 10 s after %.2f, in the end %.2f; ejected %v", before, hit, early, f.t.Weight(f.servers[3]), f.turns)
+	t.Logf("requests to the slow server: %d in 20 s healthy, %d in 40 s slow; weight 10 s later %.2f, at the end %.2f; ejections %v", before, hit, early, f.t.Weight(f.servers[3]), f.ejections)
 	is.True(hit*2 <= before)
 	is.Equal(f.t.Weight(f.servers[3]), 1.0)
-	for i, n := range f.out {
-		is.True(i == 3 || n == 0) // no other is touched
+	for i, n := range f.stepsOut {
+		is.True(i == 3 || n == 0) // no other server is affected
 	}
 }
 
-// A bad release makes half of the servers fail, or all of them. Taking them
-// all out would send everything to the rest, which then fails too.
+// A bad release makes half of the servers fail, or all of them. Ejecting them all
+// would send all requests to the rest, which would then fail too.
 func TestEjectionIsCapped(t *testing.T) {
 	for _, failing := range []int{5, 10} {
 		t.Run(fmt.Sprint(failing, " of 10"), func(t *testing.T) {
@@ -114,16 +114,16 @@
 			f := newFleet(10)
 			f.fails = func(i int, _ time.Duration) bool { return i < failing }
 			f.run(time.Minute)
-			t.Log("most out at once", f.most)
-			is.True(f.most <= 3)
+			t.Log("most servers ejected at once", f.maxOut)
+			is.True(f.maxOut <= 3)
 		})
 	}
 }
 
-// A server does well for 20 s and badly for 20 s, on and on. Were it let back each
-// time after a few seconds, its load would swing to and fro; its times out
-// grow instead.
-func TestFlappingServerIsDamped(t *testing.T) {
+// A server alternates between 20 s of working well and 20 s of failing. If it
+// returned after a few seconds each time, its load would oscillate; its ejections
+// must get longer instead.
+func TestFlappingServerIsEjectedLonger(t *testing.T) {
 	is := is.New(t)
 	flap := func(s Settings) *fleet {
 		f := newFleet(10)
@@ -133,30 +133,30 @@
 		f.run(20 * time.Minute)
 		return f
 	}
-	damped, even := flap(Settings{}), flap(Settings{MaxEjectionTime: Defaults.EjectionTime})
-	t.Logf("in 20 minutes out %d times and sent %d requests, with even times out %d and %d; a good one is sent %d",
-		damped.turns[0], damped.sent[0], even.turns[0], even.sent[0], damped.sent[1])
-	is.True(damped.turns[0]*2 <= even.turns[0])
+	growing, constant := flap(Settings{}), flap(Settings{MaxEjectionTime: Defaults.EjectionTime})
+	t.Logf("in 20 minutes ejected %d times and sent %d requests, with constant ejection times %d and %d; a healthy server is sent %d",
+		growing.ejections[0], growing.sent[0], constant.ejections[0], constant.sent[0], growing.sent[1])
+	is.True(growing.ejections[0]*2 <= constant.ejections[0])
 }
 
 // Two servers hold a hot prefix and are busy, three times slower than their idle
-// peers. They are well; to eject them would move the hot prefix to others,
-// which would become as slow, and be ejected in turn.
+// peers. They are healthy; ejecting them would move the hot prefix to other
+// servers, which would become as slow and be ejected in turn.
 func TestBusyServersAreNotEjected(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(10)
-	f.slow = func(i int, _ time.Duration) float64 {
+	f.latencyFactor = func(i int, _ time.Duration) float64 {
 		if i < 2 {
 			return 3
 		}
 		return 1
 	}
 	f.run(5 * time.Minute)
-	is.Equal(f.most, 0)
+	is.Equal(f.maxOut, 0)
 }
 
-// The only server of a model fails; one of two does. The only one stays, since
-// a bad answer is better than none; of two the bad one goes.
+// The only server of a model fails, or one of two does. The only one stays, since
+// a failing server is better than none; of two, the failing one is ejected.
 func TestOneAndTwoServers(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[int]float64{1: 1, 2: 0} {
@@ -170,9 +170,10 @@
 	}
 }
 
-// Samples of unknown servers and models, absurd times and counts, an empty
-// fleet, a clock that is set back, servers that go while they are out.
-func TestBadInput(t *testing.T) {
+// Samples of unknown servers and models, absurd times and counts, an empty fleet,
+// a clock that steps back, and servers that are removed while ejected must all be
+// handled.
+func TestInvalidInput(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	tr := New(Settings{MaxEjectedPercent: -5, MaxLatencyRatio: -1, MaxExcessFailures: 7, ConfirmationTime: -1, ProbeCount: -1}, clock)
