--- a/internal/decision/beechqueue/bounds_test.go
+++ b/internal/decision/beechqueue/bounds_test.go
@@ -40,13 +40,13 @@
 		q := New(Settings{
 			MaxWaiting: rapid.IntRange(-1, 20).Draw(t, "waiting"), MaxWait: rapid.SampledFrom([]time.Duration{-1, 0, time.Second}).Draw(t, "wait"),
 			MaxLongPrefills: rapid.IntRange(-1, 2).Draw(t, "longs"), LongPrefill: rapid.IntRange(-1, 2000).Draw(t, "long"),
-			PrefillWait: time.Second, PrefillAhead: rapid.SampledFrom([]time.Duration{-1, 0, quarter}).Draw(t, "ahead"), Weights: map[string]int{"a": 0, "b": -5, "c": 1 << 40},
+			MaxPrefixWait: time.Second, PrefillAhead: rapid.SampledFrom([]time.Duration{-1, 0, quarter}).Draw(t, "ahead"), Weights: map[string]int{"a": 0, "b": -5, "c": 1 << 40},
 		}, clock)
 		number := rapid.SampledFrom([]int{-1 << 62, -1, 0, 1, 300, 5000, 1 << 62})
 		load := Load{Slots: 3, PrefillRate: 1000, TokenTime: time.Millisecond}
-		running, waiting := map[uint64]Work{}, map[uint64]bool{}
+		running, waiting := map[uint64]Request{}, map[uint64]bool{}
 		id := uint64(0)
-		begin := func(w Work) {
+		begin := func(w Request) {
 			if _, twice := running[w.ID]; twice {
 				t.Fatal("started twice", w.ID)
 			}
@@ -54,7 +54,7 @@
 			delete(waiting, w.ID)
 			suspects := 0
 			for _, r := range running {
-				if r.Alone {
+				if r.Suspect {
 					suspects++
 				}
 			}
@@ -65,10 +65,10 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				id++
-				w := Work{
+				w := Request{
 					ID: id, Workspace: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "workspace"),
 					Priority: number.Draw(t, "priority"), PromptTokens: number.Draw(t, "prompt"), CachedTokens: number.Draw(t, "cached"),
-					OutputTokens: number.Draw(t, "output"), Alone: rapid.Bool().Draw(t, "alone"),
+					OutputTokens: number.Draw(t, "output"), Suspect: rapid.Bool().Draw(t, "alone"),
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "levels") {
 					w.Levels = append(w.Levels, Level{Key{byte(rapid.IntRange(0, 3).Draw(t, "key"))}, number.Draw(t, "tokens")})
@@ -82,25 +82,25 @@
 				case Wait:
 					waiting[id] = true
 				case Refuse:
-					if d.After < minAfter || d.After > maxAfter {
-						t.Fatal("come back after", d.After)
+					if d.RetryAfter < minAfter || d.RetryAfter > maxAfter {
+						t.Fatal("come back after", d.RetryAfter)
 					}
 				}
 			},
 			"twice": func(t *rapid.T) {
-				if _, known := running[id]; known && q.Offer(Work{ID: id}, load) != (Refuse{Reason: ReasonInvalid}) {
+				if _, known := running[id]; known && q.Offer(Request{ID: id}, load) != (Refuse{Reason: ReasonInvalid}) {
 					t.Fatal("took work twice")
 				}
 			},
 			"next": func(*rapid.T) {
-				for _, w := range q.Next(load) {
+				for _, w := range q.Dispatch(load) {
 					begin(w)
 				}
 			},
 			"finish": func(t *rapid.T) {
 				some := rapid.Uint64Range(0, id+1).Draw(t, "id")
 				if rapid.Bool().Draw(t, "prefilled") {
-					q.Prefilled(some)
+					q.FinishPrefill(some)
 				}
 				q.Finish(some, Usage{Known: rapid.Bool().Draw(t, "known"), Prompt: number.Draw(t, "prompt"), Cached: number.Draw(t, "cached"), Output: number.Draw(t, "output")})
 				delete(running, some)
@@ -114,7 +114,7 @@
 			},
 			"time": func(t *rapid.T) {
 				clock.now = clock.now.Add(time.Duration(rapid.IntRange(-2000, 2000).Draw(t, "milliseconds")) * time.Millisecond)
-				for _, r := range q.Overdue() {
+				for _, r := range q.RemoveOverdue() {
 					delete(waiting, r.ID)
 				}
 			},
@@ -153,7 +153,7 @@
 	id := uint64(0)
 	offer := func(priority int) {
 		id++
-		q.Offer(Work{ID: id, Workspace: "w", Priority: priority}, one)
+		q.Offer(Request{ID: id, Workspace: "w", Priority: priority}, one)
 	}
 	offer(0)
 	for range 100 {
@@ -163,7 +163,7 @@
 	lower := 0
 	q.Finish(1, Usage{})
 	for range 100 {
-		next := q.Next(one)
+		next := q.Dispatch(one)
 		is.Equal(len(next), 1)
 		lower += min(next[0].Priority, 1)
 		q.Finish(next[0].ID, Usage{})
@@ -172,29 +172,29 @@
 }
 
 // A leader that hangs, or whose blocks are evicted at once, must not hold its
-// followers longer than PrefillWait; and the agent must be told when to ask.
+// followers longer than MaxPrefixWait; and the agent must be told when to ask.
 func TestFollowersWaitIsBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	q := New(settings(), clock)
 	levels := []Level{{Key{1}, 4000}}
-	is.Equal(q.Offer(Work{ID: 1, Levels: levels, PromptTokens: 4000}, engine), Run{})
-	_, waits := q.Offer(Work{ID: 2, Levels: levels, PromptTokens: 4000}, engine).(Wait)
+	is.Equal(q.Offer(Request{ID: 1, Levels: levels, PromptTokens: 4000}, engine), Run{})
+	_, waits := q.Offer(Request{ID: 2, Levels: levels, PromptTokens: 4000}, engine).(Wait)
 	is.True(waits)
 	is.Equal(q.State().WaitingTokens, int64(4000)) // the prefix once
-	is.Equal(len(q.Next(engine)), 0)
+	is.Equal(len(q.Dispatch(engine)), 0)
 	var started time.Duration
 	for started < time.Minute {
-		at, ok := q.Wake()
+		at, ok := q.NextCheck()
 		is.True(ok)
 		is.True(at.After(clock.Now()))
 		started += at.Sub(clock.Now())
 		clock.Advance(at.Sub(clock.Now()))
-		if len(q.Next(engine)) == 1 {
+		if len(q.Dispatch(engine)) == 1 {
 			break
 		}
 	}
-	is.Equal(started, settings().PrefillWait)
+	is.Equal(started, settings().MaxPrefixWait)
 }
 
 // A server without slots, as one that has not reported yet, can serve nothing:
@@ -202,21 +202,21 @@
 func TestNoSlotsAndOneSlot(t *testing.T) {
 	is := is.New(t)
 	q := New(settings(), clockwork.NewFakeClock())
-	is.Equal(q.Offer(Work{ID: 1}, Load{}), Refuse{Reason: ReasonBusy, After: minAfter})
-	is.Equal(q.Offer(Work{ID: 1}, Load{Slots: 1}), Run{})
-	is.Equal(q.Offer(Work{ID: 2}, Load{Slots: 1}), Wait{Position: 1})
-	is.Equal(q.Offer(Work{ID: 3, Deadline: time.Unix(1, 0)}, engine).(Refuse).Reason, ReasonDeadline)
+	is.Equal(q.Offer(Request{ID: 1}, Load{}), Refuse{Reason: ReasonBusy, RetryAfter: minAfter})
+	is.Equal(q.Offer(Request{ID: 1}, Load{Slots: 1}), Run{})
+	is.Equal(q.Offer(Request{ID: 2}, Load{Slots: 1}), Wait{Position: 1})
+	is.Equal(q.Offer(Request{ID: 3, Deadline: time.Unix(1, 0)}, engine).(Refuse).Reason, ReasonDeadline)
 }
 
 func BenchmarkOfferAndFinish(b *testing.B) {
 	for _, waiting := range []int{0, 8, 128} {
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
-			q := New(Settings{MaxWaiting: 1 << 20, PrefillWait: time.Second, LongPrefill: 8000, PrefillAhead: quarter}, clockwork.NewRealClock())
+			q := New(Settings{MaxWaiting: 1 << 20, MaxPrefixWait: time.Second, LongPrefill: 8000, PrefillAhead: quarter}, clockwork.NewRealClock())
 			levels := []Level{{Key{1}, 300}, {Key{2}, 2000}, {Key{3}, 2100}}
 			id := uint64(0)
 			offer := func() {
 				id++
-				q.Offer(Work{ID: id, Workspace: string(rune('a' + id%8)), Levels: levels, PromptTokens: 2100, CachedTokens: 2000, OutputTokens: 50}, engine)
+				q.Offer(Request{ID: id, Workspace: string(rune('a' + id%8)), Levels: levels, PromptTokens: 2100, CachedTokens: 2000, OutputTokens: 50}, engine)
 			}
 			for range waiting + min(waiting, engine.Slots) {
 				offer()
@@ -225,8 +225,8 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				offer()
-				q.Next(engine)
-				q.Prefilled(running)
+				q.Dispatch(engine)
+				q.FinishPrefill(running)
 				q.Finish(running, Usage{Known: true, Prompt: 2100, Cached: 2000, Output: 50})
 				running++
 			}
--- a/internal/decision/beechqueue/cost.go
+++ b/internal/decision/beechqueue/cost.go
@@ -25,7 +25,7 @@
 
 // clean gives every field of work a value that can be reckoned with: counts
 // from 0 to maxTokens, levels that grow, no more cached than there is.
-func clean(w Work) Work {
+func clean(w Request) Request {
 	w.Priority = min(max(w.Priority, 0), classCount-1)
 	w.PromptTokens = cleanTokens(w.PromptTokens)
 	w.OutputTokens = max(cleanTokens(w.OutputTokens), 1)
--- a/internal/decision/beechqueue/doc.go
+++ b/internal/decision/beechqueue/doc.go
@@ -23,7 +23,7 @@
 //     refund or a debt. Usage that is not known leaves the estimate (fair.go,
 //     cost.go).
 //   - One request at a time brings a shared prefix into the cache, the others
-//     that need it follow; bounded by PrefillWait (prefix.go).
+//     that need it follow; bounded by MaxPrefixWait (prefix.go).
 //   - Long prefills and suspects run in limited number, and short prefills of at
 //     most PrefillAhead are under way at once; the rest waits here, where order,
 //     deadlines and priorities count (queue.go).
@@ -39,7 +39,7 @@
 // Each constant says why beside it. The operator sets the rest: MaxWaiting
 // bounds memory and is seldom met, since MaxWait and deadlines refuse earlier;
 // about 8 times the slots is enough. LongPrefill is best what the server
-// prefills in a second, MaxLongPrefills 1, PrefillWait what the longest prompt
+// prefills in a second, MaxLongPrefills 1, MaxPrefixWait what the longest prompt
 // takes to prefill. PrefillAhead 250 ms makes priorities, deadlines and fairness
 // hold better where prompts fill the server; 0 leaves it at the slots, which is
 // better for the tail of large workspaces where nobody is refused.
@@ -56,12 +56,12 @@
 //	q := beechqueue.New(settings, clockwork.NewRealClock())
 //	switch d := q.Offer(work, load).(type) {
 //	case beechqueue.Run: // send it to the server
-//	case beechqueue.Wait: // Next will give it out
-//	case beechqueue.Refuse: // answer now: not run, come back after d.After
+//	case beechqueue.Wait: // Dispatch returns it when it may run
+//	case beechqueue.Refuse: // answer now: not run, come back after d.RetryAfter
 //	}
-//	q.Prefilled(work.ID)         // at its first token
+//	q.FinishPrefill(work.ID)       // at its first token
 //	q.Finish(work.ID, usage)     // at its end, however it ended
-//	for _, w := range q.Next(load) { ... }    // after each of these and at Wake
-//	for _, r := range q.Overdue() { ... }     // answer these now, at Wake
+//	for _, w := range q.Dispatch(load) { ... }    // after each of these and at NextCheck
+//	for _, r := range q.RemoveOverdue() { ... }     // answer these now, at NextCheck
 //	q.CacheLost()                // the engine came back empty
 package beechqueue
--- a/internal/decision/beechqueue/engine_test.go
+++ b/internal/decision/beechqueue/engine_test.go
@@ -15,7 +15,7 @@
 	// arrival is a request at a time; real is the output that it truly gives.
 	arrival struct {
 		at   time.Duration
-		work Work
+		work Request
 		real int
 	}
 
@@ -46,7 +46,7 @@
 		speed    func(at time.Duration) float64   // of the engine; nil is 1
 		lag      time.Duration                    // of the load that is told
 		usage    func(f *fate, known Usage) Usage // nil tells the truth
-		offered  func(w Work) Work                // nil offers the truth
+		offered  func(w Request) Request          // nil offers the truth
 		stop     time.Duration
 		queue    *Queue
 		start    time.Time
@@ -88,7 +88,7 @@
 			}
 			p.next(load)
 		}
-		for _, r := range p.queue.Overdue() {
+		for _, r := range p.queue.RemoveOverdue() {
 			p.fates[r.ID].refused, p.fates[r.ID].told = &r.Refuse, now
 		}
 		p.next(load)
@@ -112,7 +112,7 @@
 	return p.speed(max(at, 0))
 }
 
-func (p *play) cached(w Work) int {
+func (p *play) cached(w Request) int {
 	tokens := 0
 	for _, l := range w.Levels {
 		if !p.cache[l.Key] {
@@ -124,7 +124,7 @@
 }
 
 func (p *play) next(l Load) {
-	for _, w := range p.queue.Next(l) {
+	for _, w := range p.queue.Dispatch(l) {
 		p.begin(p.fates[w.ID])
 	}
 }
@@ -154,7 +154,7 @@
 			for _, l := range j.work.Levels {
 				p.cache[l.Key] = true
 			}
-			p.queue.Prefilled(j.work.ID)
+			p.queue.FinishPrefill(j.work.ID)
 		}
 	}
 	p.jobs = slices.DeleteFunc(p.jobs, func(j *job) bool {
--- a/internal/decision/beechqueue/forecast.go
+++ b/internal/decision/beechqueue/forecast.go
@@ -166,7 +166,7 @@
 func (q *Queue) refuse(it *item, r Reason, missing time.Duration) Refuse {
 	after := missing + q.spread
 	q.spread = min(q.spread+q.share(it), maxSpread)
-	return Refuse{Reason: r, After: min(max(after, minAfter), maxAfter)}
+	return Refuse{Reason: r, RetryAfter: min(max(after, minAfter), maxAfter)}
 }
 
 // share is how long the whole server is busy with an item.
--- a/internal/decision/beechqueue/prefix.go
+++ b/internal/decision/beechqueue/prefix.go
@@ -91,10 +91,10 @@
 // twice the shared part to compute. The wait is bounded: a leader may hang, or
 // its blocks may be evicted at once.
 func (q *Queue) held(it *item) bool {
-	if q.settings.PrefillWait <= 0 {
+	if q.settings.MaxPrefixWait <= 0 {
 		return false
 	}
-	if !it.heldSince.IsZero() && q.now.Sub(it.heldSince) >= q.settings.PrefillWait {
+	if !it.heldSince.IsZero() && q.now.Sub(it.heldSince) >= q.settings.MaxPrefixWait {
 		return false
 	}
 	for i := len(it.Levels) - 1; i >= 0; i-- {
--- a/internal/decision/beechqueue/queue.go
+++ b/internal/decision/beechqueue/queue.go
@@ -34,7 +34,7 @@
 
 	// item is work that waits or runs.
 	item struct {
-		Work
+		Request
 		flow      *flow
 		cost      int64
 		arrived   time.Time
@@ -78,15 +78,15 @@
 }
 
 // Offer asks whether work may run now, must wait or is refused. Run counts as
-// running until Finish. After Wait, the caller asks Next.
-func (q *Queue) Offer(w Work, l Load) Decision {
+// running until Finish. After Wait, the caller uses Dispatch.
+func (q *Queue) Offer(w Request, l Load) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tick(l)
 	if _, known := q.items[w.ID]; known {
 		return Refuse{Reason: ReasonInvalid}
 	}
-	it := &item{Work: clean(w), arrived: q.now}
+	it := &item{Request: clean(w), arrived: q.now}
 	it.cost = q.cost(it)
 	if l.Slots <= 0 {
 		return q.refuse(it, ReasonBusy, 0)
@@ -112,27 +112,27 @@
 	return Wait{Position: q.waiting, FirstToken: first}
 }
 
-// Next gives the work that may start now, in order; it counts as running from
-// here on. Call it after Offer said Wait, after Prefilled, Finish, Cancel and
-// Overdue, and at Wake.
-func (q *Queue) Next(l Load) []Work {
+// Dispatch gives the work that may start now, in order; it counts as running from
+// here on. Call it after Offer said Wait, after FinishPrefill, Finish, Cancel and
+// RemoveOverdue, and at NextCheck.
+func (q *Queue) Dispatch(l Load) []Request {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tick(l)
-	var out []Work
+	var out []Request
 	for len(q.running) < l.Slots {
 		it := q.pick()
 		if it == nil {
 			break
 		}
-		out = append(out, it.Work)
+		out = append(out, it.Request)
 	}
 	return out
 }
 
-// Prefilled tells that the first token of running work came: its prefix is
+// FinishPrefill tells that the first token of running work came: its prefix is
 // cached now and work that shares it may start.
-func (q *Queue) Prefilled(id uint64) {
+func (q *Queue) FinishPrefill(id uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	it := q.items[id]
@@ -187,10 +187,10 @@
 	return true
 }
 
-// Overdue takes out the waiting work that cannot meet its deadline any more,
+// RemoveOverdue takes out the waiting work that cannot meet its deadline any more,
 // or has no deadline and has waited for MaxWait. It never ran and is to be
 // answered at once.
-func (q *Queue) Overdue() []Refused {
+func (q *Queue) RemoveOverdue() []Refused {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tick(q.load)
@@ -210,9 +210,9 @@
 	return out
 }
 
-// Wake says when Next and Overdue should be asked again even if nothing is
+// NextCheck says when Dispatch and RemoveOverdue should be called again even if nothing is
 // offered, prefilled or finished before; false if there is no such time.
-func (q *Queue) Wake() (time.Time, bool) {
+func (q *Queue) NextCheck() (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.tick(q.load)
@@ -221,7 +221,7 @@
 		if at, bounded := q.overdueAt(it); bounded {
 			wake = earlier(wake, at.Add(time.Nanosecond))
 		}
-		released := it.heldSince.Add(q.settings.PrefillWait)
+		released := it.heldSince.Add(q.settings.MaxPrefixWait)
 		if !it.heldSince.IsZero() && released.After(q.now) {
 			wake = earlier(wake, released)
 		}
@@ -260,7 +260,7 @@
 	if it.long {
 		q.longs++
 	}
-	if it.Alone {
+	if it.Suspect {
 		q.alone++
 	}
 	q.running = append(q.running, it)
@@ -279,7 +279,7 @@
 			break
 		}
 	}
-	if it.Alone {
+	if it.Suspect {
 		q.alone--
 	}
 	delete(q.items, it.ID)
@@ -296,7 +296,7 @@
 	if len(q.running) >= q.load.Slots {
 		return false
 	}
-	if it.Alone && q.alone > 0 {
+	if it.Suspect && q.alone > 0 {
 		return false
 	}
 	if q.held(it) {
--- a/internal/decision/beechqueue/queue_test.go
+++ b/internal/decision/beechqueue/queue_test.go
@@ -18,13 +18,13 @@
 func settings() Settings {
 	return Settings{
 		MaxWaiting: 128, MaxWait: 10 * time.Second,
-		MaxLongPrefills: 1, LongPrefill: 8000, PrefillWait: 2 * time.Second,
+		MaxLongPrefills: 1, LongPrefill: 8000, MaxPrefixWait: 2 * time.Second,
 		PrefillAhead: quarter,
 	}
 }
 
 // stream gives a workspace's requests at a steady rate with jitter.
-func stream(r *rand.Rand, firstID uint64, workspace string, perSecond float64, until time.Duration, w Work, output int) []arrival {
+func stream(r *rand.Rand, firstID uint64, workspace string, perSecond float64, until time.Duration, w Request, output int) []arrival {
 	var out []arrival
 	gap := time.Duration(float64(time.Second) / perSecond)
 	for at := time.Duration(0); at < until; at += time.Duration((0.5 + r.Float64()) * float64(gap)) {
@@ -67,7 +67,7 @@
 
 func saturate(t *testing.T, seed uint64, s Settings) {
 	const until, wait = 60 * time.Second, 3 * time.Second
-	work := Work{PromptTokens: 1000, OutputTokens: 100}
+	work := Request{PromptTokens: 1000, OutputTokens: 100}
 	r := rand.New(rand.NewPCG(seed, 1))
 	best := play{settings: Settings{MaxWaiting: 1 << 20, PrefillAhead: s.PrefillAhead}, load: engine, stop: until}
 	full := usefulCost(best.run(stream(r, 1, "all", 40, until, work, 100)), 20*time.Second, until, until)
@@ -113,7 +113,7 @@
 	p := play{settings: settings(), load: engine, stop: 40 * time.Second}
 	var arrivals []arrival
 	for i := range 300 {
-		w := Work{ID: uint64(i), Workspace: fmt.Sprint(i % 4), PromptTokens: 400, OutputTokens: 50}
+		w := Request{ID: uint64(i), Workspace: fmt.Sprint(i % 4), PromptTokens: 400, OutputTokens: 50}
 		arrivals = append(arrivals, arrival{at: time.Second, work: w, real: 50})
 	}
 	fates := p.run(arrivals)
@@ -123,7 +123,7 @@
 	is.True(percentile(fates, 100) <= p.settings.MaxWait+time.Second)
 	soonest, latest := time.Hour, time.Duration(0)
 	for _, f := range turned {
-		soonest, latest = min(soonest, f.refused.After), max(latest, f.refused.After)
+		soonest, latest = min(soonest, f.refused.RetryAfter), max(latest, f.refused.RetryAfter)
 	}
 	t.Logf("served %d slowest %v, refused %d to come back in %v to %v",
 		len(where(fates, served)), percentile(fates, 100), len(turned), soonest, latest)
@@ -136,7 +136,7 @@
 func TestOneWorkspaceSendsMostOfTheLoad(t *testing.T) {
 	is := is.New(t)
 	r := rand.New(rand.NewPCG(1, 2))
-	work := Work{PromptTokens: 1000, OutputTokens: 100}
+	work := Request{PromptTokens: 1000, OutputTokens: 100}
 	p := play{settings: settings(), load: engine, stop: 40 * time.Second}
 	arrivals := stream(r, 1, "large", 60, 30*time.Second, work, 100)
 	arrivals = append(arrivals, stream(r, 1<<32, "small", 0.5, 30*time.Second, work, 100)...)
@@ -162,7 +162,7 @@
 		}
 		return 1
 	}
-	work := Work{PromptTokens: 1000, OutputTokens: 100, Deadline: in(4 * time.Second)}
+	work := Request{PromptTokens: 1000, OutputTokens: 100, Deadline: in(4 * time.Second)}
 	fates := p.run(stream(r, 1, "w", 5, 50*time.Second, work, 100))
 	after := where(fates, func(f *fate) bool { return f.at > slowAt+3*time.Second })
 	late := where(after, func(f *fate) bool { return refused(f) && f.told > f.at+step })
@@ -182,9 +182,9 @@
 	measure := func(s Settings) (short, long time.Duration, longServed int) {
 		r := rand.New(rand.NewPCG(1, 4))
 		p := play{settings: s, load: engine, stop: 80 * time.Second}
-		arrivals := stream(r, 1, "short", 6, 50*time.Second, Work{PromptTokens: 200, OutputTokens: 40}, 40)
+		arrivals := stream(r, 1, "short", 6, 50*time.Second, Request{PromptTokens: 200, OutputTokens: 40}, 40)
 		for i := range 8 {
-			w := Work{ID: 1<<32 + uint64(i), Workspace: "long", PromptTokens: 30000, OutputTokens: 40}
+			w := Request{ID: 1<<32 + uint64(i), Workspace: "long", PromptTokens: 30000, OutputTokens: 40}
 			arrivals = append(arrivals, arrival{at: 5*time.Second + time.Duration(i)*100*time.Millisecond, work: w, real: 40})
 		}
 		fates := p.run(arrivals)
@@ -210,12 +210,12 @@
 	is := is.New(t)
 	measure := func(prefix int, wait time.Duration) (computed int, first time.Duration) {
 		s := settings()
-		s.PrefillWait, s.MaxWait, s.MaxLongPrefills = wait, 10*time.Minute, 3
+		s.MaxPrefixWait, s.MaxWait, s.MaxLongPrefills = wait, 10*time.Minute, 3
 		p := play{settings: s, load: engine, stop: 80 * time.Second}
 		var arrivals []arrival
 		for i := range 60 {
 			levels := []Level{{Key{1}, 500}, {Key{2}, prefix}, {Key{3, byte(i)}, prefix + 50}}
-			w := Work{ID: uint64(i), Workspace: "w", Levels: levels, PromptTokens: prefix + 50, OutputTokens: 40}
+			w := Request{ID: uint64(i), Workspace: "w", Levels: levels, PromptTokens: prefix + 50, OutputTokens: 40}
 			arrivals = append(arrivals, arrival{at: time.Duration(i) * 16 * time.Millisecond, work: w, real: 40})
 		}
 		fates := p.run(arrivals)
@@ -244,14 +244,14 @@
 	share := func(p play) float64 {
 		r := rand.New(rand.NewPCG(1, 5))
 		p.settings, p.load, p.stop = settings(), engine, 60*time.Second
-		arrivals := stream(r, 1, "short", 60, p.stop, Work{PromptTokens: 200, OutputTokens: 50}, 50)
-		arrivals = append(arrivals, stream(r, 1<<32, "long", 60, p.stop, Work{PromptTokens: 1000, OutputTokens: 100}, 400)...)
+		arrivals := stream(r, 1, "short", 60, p.stop, Request{PromptTokens: 200, OutputTokens: 50}, 50)
+		arrivals = append(arrivals, stream(r, 1<<32, "long", 60, p.stop, Request{PromptTokens: 1000, OutputTokens: 100}, 400)...)
 		fates := p.run(arrivals)
 		short := usefulCost(of(fates, "short"), 10*time.Second, p.stop, p.stop)
 		return short / (short + usefulCost(of(fates, "long"), 10*time.Second, p.stop, p.stop))
 	}
 	unknown := func(*fate, Usage) Usage { return Usage{} }
-	one := func(w Work) Work {
+	one := func(w Request) Request {
 		w.PromptTokens, w.OutputTokens = 1, 1
 		return w
 	}
@@ -272,7 +272,7 @@
 	r := rand.New(rand.NewPCG(1, 6))
 	p := play{settings: settings(), load: engine, stop: 60 * time.Second}
 	p.settings.Weights = map[string]int{"three": 3, "zero": 0}
-	work := Work{PromptTokens: 1000, OutputTokens: 100, Priority: 1}
+	work := Request{PromptTokens: 1000, OutputTokens: 100, Priority: 1}
 	arrivals := stream(r, 1, "three", 30, p.stop, work, 100)
 	arrivals = append(arrivals, stream(r, 1<<32, "zero", 30, p.stop, work, 100)...) // counts as 1
 	work.Priority = 0
--- a/internal/decision/beechqueue/types.go
+++ b/internal/decision/beechqueue/types.go
@@ -13,8 +13,8 @@
 		Tokens int
 	}
 
-	// Work is a request that asks to run on this agent's server.
-	Work struct {
+	// Request is a request that asks to run on this agent's server.
+	Request struct {
 		ID           uint64 // unique in the agent
 		Workspace    string
 		Priority     int // 0 is served first
@@ -23,7 +23,7 @@
 		CachedTokens int // of the prompt, known to be cached by this engine
 		OutputTokens int
 		Deadline     time.Time // zero is none
-		Alone        bool      // suspect: never beside another suspect
+		Suspect      bool      // suspect: never beside another suspect
 	}
 
 	// Usage is what the server said a request took. Known is false where it
@@ -51,16 +51,16 @@
 	// Run lets the work start at once.
 	Run struct{}
 
-	// Wait queues the work; Next will give it out.
+	// Wait queues the work; Dispatch returns it when it may run.
 	Wait struct {
 		Position   int
 		FirstToken time.Duration // predicted
 	}
 
-	// Refuse turns the work away, not run. After says when to come back.
+	// Refuse turns the work away, not run. RetryAfter says when to come back.
 	Refuse struct {
-		Reason Reason
-		After  time.Duration
+		Reason     Reason
+		RetryAfter time.Duration
 	}
 
 	// Refused is work that was let wait and cannot be served any more.
@@ -71,7 +71,7 @@
 
 	// Settings bound the queue. Weights holds each workspace's share; one
 	// that is missing or below 1 has 1. MaxWaiting 0 lets nothing wait.
-	// LongPrefill 0 is what the server prefills in a second. PrefillWait 0 holds nothing
+	// LongPrefill 0 is what the server prefills in a second. MaxPrefixWait 0 holds nothing
 	// back for a shared prefix. PrefillAhead 0 gives the server as many prefills
 	// as it has slots. MaxWait 0 bounds only work with a deadline.
 	Settings struct {
@@ -79,7 +79,7 @@
 		MaxWait         time.Duration // to the first token, without a deadline
 		MaxLongPrefills int
 		LongPrefill     int // tokens
-		PrefillWait     time.Duration
+		MaxPrefixWait   time.Duration
 		PrefillAhead    time.Duration // of short prefills under way at once
 		Weights         map[string]int
 	}
--- a/internal/process/beechagent/admission.go
+++ b/internal/process/beechagent/admission.go
@@ -115,13 +115,13 @@
 }
 
 // workOf turns a request into the queue's terms.
-func (a *Agent) workOf(r *beechwire.Request, id uint64, deadline time.Time) beechqueue.Work {
+func (a *Agent) workOf(r *beechwire.Request, id uint64, deadline time.Time) beechqueue.Request {
 	levels := make([]beechqueue.Level, 0, len(r.Levels))
 	for _, l := range r.Levels {
 		levels = append(levels, beechqueue.Level{Key: keyOf(l), Tokens: l.Tokens})
 	}
 	cached, _ := a.index.Cached(r.Salt, indexLevels(r.Levels))
-	return beechqueue.Work{
+	return beechqueue.Request{
 		ID:           id,
 		Workspace:    r.Workspace,
 		Priority:     r.Priority,
@@ -130,7 +130,7 @@
 		CachedTokens: min(cached, r.PromptTokens),
 		OutputTokens: r.OutputTokens,
 		Deadline:     deadline,
-		Alone:        r.Alone,
+		Suspect:      r.Alone,
 	}
 }
 
--- a/internal/process/beechagent/configuration.go
+++ b/internal/process/beechagent/configuration.go
@@ -117,7 +117,7 @@
 		MaxWait:         maxWait,
 		MaxLongPrefills: maxLongPrefills,
 		LongPrefill:     longPrefill,
-		PrefillWait:     prefillWait,
+		MaxPrefixWait:   prefillWait,
 		PrefillAhead:    time.Duration(a.settings.Limits.PrefillAhead),
 	}
 	if c == nil {
--- a/internal/process/beechagent/runner.go
+++ b/internal/process/beechagent/runner.go
@@ -39,7 +39,7 @@
 	refuse, err := a.scheduler.acquire(ctx, a.workOf(&g.request, id, deadline))
 	switch {
 	case refuse != nil:
-		a.close(g, a.refusal(queueReason(refuse.Reason), refuse.After, "the queue refused it: %s", refuse.Reason))
+		a.close(g, a.refusal(queueReason(refuse.Reason), refuse.RetryAfter, "the queue refused it: %s", refuse.Reason))
 		return nil
 	case err != nil:
 		a.close(g, a.refusal(beechwire.ReasonCancelled, 0, "given up while it waited"))
--- a/internal/process/beechagent/scheduler.go
+++ b/internal/process/beechagent/scheduler.go
@@ -47,7 +47,7 @@
 // acquire waits until the work may run. It returns a refusal, or ctx's error
 // once the work is out of the queue; with neither it runs and must be
 // finished.
-func (s *scheduler) acquire(ctx context.Context, work beechqueue.Work) (*beechqueue.Refuse, error) {
+func (s *scheduler) acquire(ctx context.Context, work beechqueue.Request) (*beechqueue.Refuse, error) {
 	told := make(chan verdict, 1)
 	s.mu.Lock()
 	s.waiting[work.ID] = told
@@ -90,7 +90,7 @@
 }
 
 func (s *scheduler) prefilled(id uint64) {
-	s.queue.Prefilled(id)
+	s.queue.FinishPrefill(id)
 	s.wake()
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (s *scheduler) pause() time.Duration {
-	at, known := s.queue.Wake()
+	at, known := s.queue.NextCheck()
 	if !known {
 		return idleTick
 	}
@@ -128,10 +128,10 @@
 }
 
 func (s *scheduler) dispatch() {
-	for _, refused := range s.queue.Overdue() {
+	for _, refused := range s.queue.RemoveOverdue() {
 		s.tell(refused.ID, verdict{refuse: &refused.Refuse})
 	}
-	for _, work := range s.queue.Next(s.load()) {
+	for _, work := range s.queue.Dispatch(s.load()) {
 		s.tell(work.ID, verdict{})
 	}
 }
--- a/internal/process/beechreplay/replay_test.go
+++ b/internal/process/beechreplay/replay_test.go
@@ -168,9 +168,9 @@
 	r.start(e)
 }
 
-func (j *job) work(cached int) beechqueue.Work {
+func (j *job) work(cached int) beechqueue.Request {
 	q := j.request
-	w := beechqueue.Work{ID: q.id, Workspace: q.workspace, PromptTokens: q.prompt, CachedTokens: cached, OutputTokens: q.output}
+	w := beechqueue.Request{ID: q.id, Workspace: q.workspace, PromptTokens: q.prompt, CachedTokens: cached, OutputTokens: q.output}
 	for _, l := range q.levels {
 		w.Levels = append(w.Levels, beechqueue.Level(l))
 	}
@@ -180,7 +180,7 @@
 // start begins the next prefill if the engine is free for one. Waste is what some
 // engine holds or is prefilling now.
 func (r *replay) start(e *engine) {
-	for _, w := range e.queue.Next(engineLoad) {
+	for _, w := range e.queue.Dispatch(engineLoad) {
 		e.running = append(e.running, e.pending[w.ID])
 	}
 	if e.busy != nil || len(e.running) == 0 {
@@ -211,7 +211,7 @@
 	}
 	e.busy = nil
 	e.wait(j, -1)
-	e.queue.Prefilled(j.request.id)
+	e.queue.FinishPrefill(j.request.id)
 	for _, key := range e.cache.store(j.request) {
 		if e.awaited[key] == 0 {
 			e.changes = append(e.changes, beechroute.Change{Key: key})
--- a/internal/process/beechreplay/workload_test.go
+++ b/internal/process/beechreplay/workload_test.go
@@ -72,7 +72,7 @@
 
 	// agentQueue refuses nothing, so that every policy serves the same requests.
 	agentQueue = beechqueue.Settings{
-		MaxWaiting: 1 << 20, MaxLongPrefills: 1, LongPrefill: prefillRate, PrefillWait: 3 * time.Second,
+		MaxWaiting: 1 << 20, MaxLongPrefills: 1, LongPrefill: prefillRate, MaxPrefixWait: 3 * time.Second,
 	}
 
 	// A few workspaces are large.
