--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -89,7 +89,7 @@
 		gates   int
 		seen    most // gates, by keepers' words
 
-		pace       *beechrollout.Pace
+		pace       *beechrollout.LoadWindow
 		passedOver string        // what is wrong with servers' entries now
 		news       chan struct{} // a follow is due now
 		turnNews   chan struct{} // an engine's turn has ended
@@ -153,7 +153,7 @@
 		others:   newRoster(),
 		budgets:  NewBudgets(s.Bounds.Retries, s.Bounds.Spare, time.Duration(s.Bounds.Window), needs.Clock),
 		named:    make(map[string]naming),
-		pace:     beechrollout.NewPace(),
+		pace:     beechrollout.NewLoadWindow(),
 		news:     make(chan struct{}, 1),
 		turnNews: make(chan struct{}, 1), spentNews: make(chan struct{}, 1), limitNews: make(chan struct{}, 1), fullNews: make(chan struct{}, 1),
 	}
--- a/internal/process/beechgate/turns.go
+++ b/internal/process/beechgate/turns.go
@@ -36,16 +36,16 @@
 	for model, n := range g.named {
 		engines := g.placer.Standing(model)
 		bound := time.Duration(g.bounds.Load().Weights)
-		fleet := beechrollout.FleetOf(engines, n.Version, bound-oldMargin)
-		granted := beechrollout.Turns(engines, n.Version, g.pace.Most(fleet))
-		if !n.short && now.Sub(n.at) > shortAfter && g.pace.Short(fleet) {
+		fleet := beechrollout.SummarizeFleet(engines, n.Version, bound-oldMargin)
+		granted := beechrollout.NextUpdates(engines, n.Version, g.pace.Limit(fleet))
+		if !n.short && now.Sub(n.at) > shortAfter && g.pace.MissesDeadline(fleet) {
 			n.short = true
 			g.named[model] = n
 			g.metrics.short.Add(1)
 			g.log.Warn("weights cannot be in all engines in time", zap.String("model", model), zap.Uint64("version", n.Version),
-				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.Left)), zap.Int("lost", fleet.Lost), zap.Float64("window", g.pace.Window()), zap.Duration("load", g.pace.Load()))
+				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.TimeLeft)), zap.Int("lost", fleet.Expired), zap.Float64("window", g.pace.Size()), zap.Duration("load", g.pace.BaseLoadTime()))
 		}
-		for id, alone := range beechrollout.Alone(engines, bound) {
+		for id, alone := range beechrollout.FallbackDelays(engines, bound) {
 			targets[id] = append(targets[id], beechwire.Target{
 				Model: model, Version: n.Version, Fence: n.Revision, Granted: slices.Contains(granted, id),
 				Alone: max(n.at.Add(alone).Sub(now), 0).Milliseconds(),
@@ -65,8 +65,8 @@
 		versions += version // any model's newer version is a load
 	}
 	g.mu.Lock()
-	took := g.pace.Saw(engine, phase, versions, told, g.clock.Now())
-	window, load := g.pace.Window(), g.pace.Load()
+	took := g.pace.Observe(engine, phase, versions, told, g.clock.Now())
+	window, load := g.pace.Size(), g.pace.BaseLoadTime()
 	g.mu.Unlock()
 	if took == 0 {
 		return
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -81,12 +81,12 @@
 		wake       chan struct{}
 
 		mu        sync.Mutex
-		turn      *beechrollout.Turn
+		turn      *beechrollout.Updater
 		followers map[netip.AddrPort]*follower
 		zones     map[string]*audience // that are told through relays
 		number    uint32               // of the last word
 		last      Report
-		reading   beechrollout.Reading
+		reading   beechrollout.PrefillBacklog
 		held      *lru.Cache[uint64, struct{}] // announced or listed, and not seen to be dropped
 		phase     beechrollout.Phase
 	}
@@ -130,7 +130,7 @@
 	k := &Keeper{
 		settings: s, needs: needs, socket: socket,
 		suspects: beechsuspect.New(beechsuspect.Settings{}, needs.Clock),
-		turn:     beechrollout.NewTurn(beechrollout.Settings{}), followers: make(map[netip.AddrPort]*follower), zones: make(map[string]*audience),
+		turn:     beechrollout.NewUpdater(beechrollout.Settings{}), followers: make(map[netip.AddrPort]*follower), zones: make(map[string]*audience),
 		number: uint32(needs.Clock.Now().Unix()) << numberBits,
 		wake:   make(chan struct{}, 1), held: held,
 	}
@@ -194,10 +194,10 @@
 		k.regroup()
 	}
 	f.heard = now
-	k.reading.Learn(float64(follow.Rate), now)
+	k.reading.ObserveRate(float64(follow.Rate), now)
 	for _, t := range follow.Targets {
-		k.turn.Told(beechrollout.Target{
-			Model: t.Model, Version: t.Version, Fence: t.Fence, Granted: t.Granted, Alone: now.Add(time.Duration(t.Alone) * time.Millisecond),
+		k.turn.SetTarget(beechrollout.Target{
+			Model: t.Model, Version: t.Version, Fence: t.Fence, Granted: t.Granted, FallbackAt: now.Add(time.Duration(t.Alone) * time.Millisecond),
 		}, now)
 	}
 	if !known || follow.Ask {
@@ -242,7 +242,7 @@
 	if report.Known && report.Limit != k.last.Limit && (names(report.Limit) || names(k.last.Limit)) {
 		k.needs.Log.Info("engine's limit in its report", zap.Any("said", report.Limit))
 	}
-	anew := report.Known && report.StartedAnew(k.last.Report)
+	anew := report.Known && report.Restarted(k.last.Report)
 	next := k.turn.Next(k.needs.Clock.Now(), report.Report)
 	if report.Known {
 		k.last = report
@@ -250,7 +250,7 @@
 	if report.Known && report.Waiting == 0 {
 		k.reading.Clear(asked.Add(-onTheWay))
 	}
-	reading := k.reading.Left(k.needs.Clock.Now()) > 0
+	reading := k.reading.Remaining(k.needs.Clock.Now()) > 0
 	k.mu.Unlock()
 	if anew {
 		k.startedAnew(report)
@@ -301,7 +301,7 @@
 		zap.Uint64("fence", o.Target.Fence), zap.Uint64("sequence", o.Sequence), zap.Int("outcome", int(answer)), zap.Error(err))
 	k.metrics.orders.Add(answer.String(), 1)
 	k.mu.Lock()
-	k.turn.Answered(answer)
+	k.turn.RecordAnswer(answer)
 	k.mu.Unlock()
 }
 
--- a/internal/process/beechkeeper/metrics.go
+++ b/internal/process/beechkeeper/metrics.go
@@ -37,7 +37,7 @@
 		defer k.mu.Unlock()
 		return map[string]any{
 			"phase": k.phase.String(), "running": k.last.Running, "waiting": k.last.Waiting, "cacheUsed": k.last.CacheUsed,
-			"partsHeld": k.held.Len(), "gates": len(k.followers), "oldMillis": k.turn.Old(k.needs.Clock.Now()).Milliseconds(),
+			"partsHeld": k.held.Len(), "gates": len(k.followers), "oldMillis": k.turn.SupersededFor(k.needs.Clock.Now()).Milliseconds(),
 		}
 	}))
 	return m
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -34,7 +34,7 @@
 		byHash   map[uint64]*server // of the ID
 		sheets   map[string]beechcall.Service
 		stores   []*keptStore
-		versions map[string]*beechrollout.Versions // by model
+		versions map[string]*beechrollout.VersionHistory // by model
 		holders  *lru.Cache[uint64, *holding]
 		speed    speed   // of engines in common, as learned
 		common   float64 // what first words tell of the middle one's pace
@@ -113,7 +113,7 @@
 	return &Placer{
 		settings: s, speed: speed{rate: s.PrefillRate}, clock: clock, health: health, limits: limits, full: full, announce: announce,
 		services: make(map[string][]*server), byID: make(map[string]*server), byPlace: make(map[netip.AddrPort]*server),
-		sheets: make(map[string]beechcall.Service), versions: make(map[string]*beechrollout.Versions), holders: holders,
+		sheets: make(map[string]beechcall.Service), versions: make(map[string]*beechrollout.VersionHistory), holders: holders,
 		returns: make(map[string]time.Time),
 	}
 }
@@ -202,10 +202,10 @@
 	defer p.mu.Unlock()
 	v, ok := p.versions[model]
 	if !ok {
-		v = &beechrollout.Versions{}
+		v = &beechrollout.VersionHistory{}
 		p.versions[model] = v
 	}
-	return v.Name(version, p.clock.Now())
+	return v.Add(version, p.clock.Now())
 }
 
 // overtaken is the time since an engine's weights were overtaken, by what this
@@ -216,7 +216,7 @@
 	if !ok {
 		return 0, false
 	}
-	age, old = v.Overtaken(have, now)
+	age, old = v.SupersededFor(have, now)
 	if old && !s.oldSince.IsZero() {
 		age = max(age, now.Sub(s.oldSince))
 	}
@@ -254,8 +254,8 @@
 		}
 		age, _ := p.overtaken(s, model, s.weights[model], now)
 		engines = append(engines, beechrollout.Engine{
-			ID: s.ID, Zone: s.Zone, Version: s.weights[model], Phase: s.state.Phase, Silent: !s.fresh(now), Tries: s.state.Tries,
-			Work: s.state.Running + s.state.Waiting, Slots: s.slots, Old: age,
+			ID: s.ID, Zone: s.Zone, Version: s.weights[model], Phase: s.state.Phase, KeeperTimedOut: !s.fresh(now), UnansweredOrders: s.state.Tries,
+			Requests: s.state.Running + s.state.Waiting, Slots: s.slots, SupersededFor: age,
 		})
 	}
 	return engines
--- a/internal/request/beechrollout/fleet_test.go
+++ b/internal/request/beechrollout/fleet_test.go
@@ -38,7 +38,7 @@
 
 	simulated struct {
 		Engine
-		turn    *Turn
+		turn    *Updater
 		left    time.Duration // of its load, as if alone; 0: it does not load
 		loads   uint64        // version
 		downTil time.Time
@@ -48,7 +48,7 @@
 	}
 
 	simulatedGate struct {
-		pace  *Pace
+		pace  *LoadWindow
 		view  map[string]Engine
 		spoke time.Time
 	}
@@ -61,11 +61,11 @@
 	for i := range s.engines {
 		f.engines = append(f.engines, &simulated{
 			deaf:   i < s.deaf,
-			Engine: Engine{ID: fmt.Sprintf("e%d", i), Zone: fmt.Sprintf("z%d", i%s.zones), Version: 1}, turn: NewTurn(Settings{}), has: 1,
+			Engine: Engine{ID: fmt.Sprintf("e%d", i), Zone: fmt.Sprintf("z%d", i%s.zones), Version: 1}, turn: NewUpdater(Settings{}), has: 1,
 		})
 	}
 	for range s.gates {
-		f.gates = append(f.gates, &simulatedGate{pace: NewPace(), view: map[string]Engine{}})
+		f.gates = append(f.gates, &simulatedGate{pace: NewLoadWindow(), view: map[string]Engine{}})
 	}
 	return f
 }
@@ -118,17 +118,17 @@
 		phase = step.Phase
 	case Order:
 		if e.deaf || f.random.Float64() < f.lost {
-			e.turn.Answered(Silent)
+			e.turn.RecordAnswer(Silent)
 			break
 		}
-		e.turn.Answered(Taken)
+		e.turn.RecordAnswer(Taken)
 		e.taken++
 		e.left, e.loads = f.fleetSettings.load, step.Target.Version
 	}
 	for _, g := range f.gates {
 		if f.random.Float64() >= f.lost {
-			g.view[e.ID] = Engine{ID: e.ID, Zone: e.Zone, Version: e.has, Phase: phase, Tries: e.turn.Tries(), Old: e.turn.Old(f.now)}
-			g.pace.Saw(e.ID, phase, e.has, e.turn.Took(), f.now)
+			g.view[e.ID] = Engine{ID: e.ID, Zone: e.Zone, Version: e.has, Phase: phase, UnansweredOrders: e.turn.UnansweredOrders(), SupersededFor: e.turn.SupersededFor(f.now)}
+			g.pace.Observe(e.ID, phase, e.has, e.turn.LoadTime(), f.now)
 		}
 	}
 }
@@ -146,13 +146,13 @@
 		}
 	}
 	granted := map[string]bool{}
-	for _, id := range Turns(view, f.newest, g.pace.Most(FleetOf(view, f.newest, f.bound))) {
+	for _, id := range NextUpdates(view, f.newest, g.pace.Limit(SummarizeFleet(view, f.newest, f.bound))) {
 		granted[id] = true
 	}
-	alone := Alone(view, f.bound)
+	alone := FallbackDelays(view, f.bound)
 	for _, e := range f.engines {
 		if f.random.Float64() >= f.lost {
-			e.turn.Told(Target{Model: "m", Version: f.newest, Granted: granted[e.ID], Alone: f.named.Add(alone[e.ID])}, f.now)
+			e.turn.SetTarget(Target{Model: "m", Version: f.newest, Granted: granted[e.ID], FallbackAt: f.named.Add(alone[e.ID])}, f.now)
 		}
 	}
 }
--- a/internal/request/beechrollout/pace.go
+++ b/internal/request/beechrollout/loadwindow.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Pace learns how many engines may load at once from how long loads take, as
+// LoadWindow learns how many engines may load at once from how long loads take, as
 // TCP learns its window from round trips: twice as many a round while they take no
 // longer than alone, fewer when they stretch, and from then on one more a round. It
 // is not safe for concurrent use.
@@ -14,7 +14,7 @@
 // How many a store of weights serves without slowing down is on no sheet that
 // the router reads. With some times as many, each load takes several times as long,
 // and no engine can be used for seconds.
-type Pace struct {
+type LoadWindow struct {
 	most  float64       // engines; 0 is not known yet
 	base  time.Duration // of a load where few are at it
 	cutAt time.Time     // when loads stretched last; zero: never
@@ -23,11 +23,11 @@
 
 // Fleet is what a pace needs to know of the engines.
 type Fleet struct {
-	Engines int
-	Down    int             // that serve nobody, without loading weights
-	Busy    float64         // share of the slots of the others that is taken
-	Lost    int             // whose weights may not be used any more: they serve nobody before they are refreshed
-	Left    []time.Duration // of those with weights that were overtaken, until these may not be used; the shortest first
+	Engines     int
+	Down        int             // that serve nobody, without loading weights
+	Utilization float64         // share of the slots of the others that is taken
+	Expired     int             // whose weights may not be used any more: they serve nobody before they are refreshed
+	TimeLeft    []time.Duration // of those with weights that were overtaken, until these may not be used; the shortest first
 }
 
 // load is one engine's load that is under way.
@@ -73,56 +73,56 @@
 	forgotten = time.Minute
 )
 
-// NewPace returns a pace that has seen no load.
-func NewPace() *Pace { return &Pace{began: make(map[string]*load)} }
+// NewLoadWindow returns a pace that has seen no load.
+func NewLoadWindow() *LoadWindow { return &LoadWindow{began: make(map[string]*load)} }
 
-// Most is how many engines may be taking new weights at once.
+// Limit is how many engines may be taking new weights at once.
 //
 // With a third of a fleet crashed and a third more loading, those that were left
 // could not carry the callers, and half of these were refused or late. So what is
 // down counts too, and engines with much to do keep more of the others at work; but
 // always as many take their turns as it needs to be done before old weights may not
 // be used any more, since all engines that are left behind go out of service then.
-func (p *Pace) Most(f Fleet) int {
+func (p *LoadWindow) Limit(f Fleet) int {
 	if p.most == 0 && f.Engines > 0 {
 		p.most = float64(max(paceLeast, f.Engines/paceFirstShare))
 	}
-	share := min(max(1-headroom*f.Busy, spareLeast), spareMost)
+	share := min(max(1-headroom*f.Utilization, spareLeast), spareMost)
 	spare := int(share*float64(f.Engines)+rounding) - f.Down
-	atOnce := max(spare, min(p.needed(f), int(spareMost*float64(f.Engines))), paceLeast) + f.Lost
+	atOnce := max(spare, min(p.needed(f), int(spareMost*float64(f.Engines))), paceLeast) + f.Expired
 	return max(min(int(p.most), atOnce), 1)
 }
 
-// Short tells whether not all engines can be refreshed before their weights may not
+// MissesDeadline tells whether not all engines can be refreshed before their weights may not
 // be used any more, as loads take their time now. Callers come to those that are,
 // and an operator who names versions faster than that should know.
-func (p *Pace) Short(f Fleet) bool {
-	return f.Lost > 0 || p.needed(f) > min(int(p.most), int(spareMost*float64(f.Engines)))
+func (p *LoadWindow) MissesDeadline(f Fleet) bool {
+	return f.Expired > 0 || p.needed(f) > min(int(p.most), int(spareMost*float64(f.Engines)))
 }
 
 // needed is how many must take their turns at once for all to be done in time: for
 // each engine those that have as little time left as it, or less.
-func (p *Pace) needed(f Fleet) int {
+func (p *LoadWindow) needed(f Fleet) int {
 	turn := float64(p.base + turnBeside)
 	needed := 0.
-	for i, left := range f.Left {
+	for i, left := range f.TimeLeft {
 		needed = max(needed, float64(i+1)*turn/float64(max(left, time.Millisecond)))
 	}
 	return int(needed)
 }
 
-// Window is how many may load at once as learned, before it is held inside the
+// Size is how many may load at once as learned, before it is held inside the
 // fleet's bounds; 0 is not known.
-func (p *Pace) Window() float64 { return p.most }
+func (p *LoadWindow) Size() float64 { return p.most }
 
-// Load is the time that a load takes where few are at it; 0 is not known.
-func (p *Pace) Load() time.Duration { return p.base }
+// BaseLoadTime is the time that a load takes where few are at it; 0 is not known.
+func (p *LoadWindow) BaseLoadTime() time.Duration { return p.base }
 
-// Saw takes in an engine's phase, its version of the weights that are rolled out
+// Observe takes in an engine's phase, its version of the weights that are rolled out
 // and how long its keeper says that its last load took; 0 is not told. Took is how
 // long the load took that ended with it, 0 if none did. What ends without newer
 // weights was no load: an order was lost, or the engine went down.
-func (p *Pace) Saw(engine string, phase Phase, version uint64, told time.Duration, now time.Time) (took time.Duration) {
+func (p *LoadWindow) Observe(engine string, phase Phase, version uint64, told time.Duration, now time.Time) (took time.Duration) {
 	l, loading := p.began[engine]
 	switch {
 	case phase == Loading && !loading:
@@ -141,7 +141,7 @@
 	return took
 }
 
-func (p *Pace) learn(took time.Duration, beside int, now time.Time) {
+func (p *LoadWindow) learn(took time.Duration, beside int, now time.Time) {
 	switch {
 	case p.base == 0:
 		p.base = took
--- a/internal/request/beechrollout/turns.go
+++ b/internal/request/beechrollout/schedule.go
@@ -38,15 +38,15 @@
 
 // Engine is what a gate knows of an engine.
 type Engine struct {
-	ID      string
-	Zone    string
-	Version uint64 // that it has
-	Phase   Phase
-	Silent  bool          // its keeper has not spoken lately
-	Tries   int           // orders in a row that it has left unanswered
-	Work    int           // requests that run or wait there
-	Slots   int           // requests that it runs at once; 0 is not known
-	Old     time.Duration // since its weights were overtaken
+	ID               string
+	Zone             string
+	Version          uint64 // that it has
+	Phase            Phase
+	KeeperTimedOut   bool          // its keeper has not spoken lately
+	UnansweredOrders int           // orders in a row that it has left unanswered
+	Requests         int           // requests that run or wait there
+	Slots            int           // requests that it runs at once; 0 is not known
+	SupersededFor    time.Duration // since its weights were overtaken
 }
 
 // triesMost orders without an answer, and an engine keeps no turn from others. Its
@@ -54,18 +54,18 @@
 // engines as may load at once would stop the rollout for all.
 const triesMost = 2
 
-// Turns gives the engines whose turn it is to take the newest version: as many
+// NextUpdates gives the engines whose turn it is to take the newest version: as many
 // as may load at once, less those that are at it, whatever version they load.
 // The oldest weights go first, so that no engine runs into the operators' bound
 // while others are refreshed twice; then zones by turns, so that none loses all
 // its engines at once.
 //
 // An engine whose keeper is silent gets no turn: it would keep one from others.
-func Turns(engines []Engine, newest uint64, most int) []string {
+func NextUpdates(engines []Engine, newest uint64, most int) []string {
 	var waiting []Engine
 	for _, e := range alternate(engines) {
 		switch {
-		case e.Silent || e.Phase == Down || e.Tries >= triesMost:
+		case e.KeeperTimedOut || e.Phase == Down || e.UnansweredOrders >= triesMost:
 		case e.Phase == Leaving || e.Phase == Loading:
 			most--
 		case e.Version < newest:
@@ -80,39 +80,39 @@
 	return ids
 }
 
-// FleetOf sums up engines for a pace. Within is how long weights may be used after
+// SummarizeFleet sums up engines for a pace. Within is how long weights may be used after
 // they were overtaken.
-func FleetOf(engines []Engine, newest uint64, within time.Duration) Fleet {
+func SummarizeFleet(engines []Engine, newest uint64, within time.Duration) Fleet {
 	f := Fleet{Engines: len(engines)}
 	work, slots := 0, 0
 	for _, e := range engines {
 		switch {
 		case e.Version >= newest:
-		case e.Old >= within:
-			f.Lost++
+		case e.SupersededFor >= within:
+			f.Expired++
 		default:
-			f.Left = append(f.Left, within-e.Old)
+			f.TimeLeft = append(f.TimeLeft, within-e.SupersededFor)
 		}
 		switch {
-		case e.Silent || e.Phase == Down:
+		case e.KeeperTimedOut || e.Phase == Down:
 			f.Down++
 		case e.Phase == Serving:
-			work += e.Work
+			work += e.Requests
 			slots += e.Slots
 		}
 	}
-	slices.Sort(f.Left)
+	slices.Sort(f.TimeLeft)
 	if slots > 0 {
-		f.Busy = float64(work) / float64(slots)
+		f.Utilization = float64(work) / float64(slots)
 	}
 	return f
 }
 
-// Alone gives, for each engine, the time after a version was named at which its
+// FallbackDelays gives, for each engine, the time after a version was named at which its
 // keeper takes its turn by itself if it hears from no gate: spread from a half
 // to three quarters of the operators' bound, or a fleet that has lost its gates
 // would load all at once.
-func Alone(engines []Engine, within time.Duration) map[string]time.Duration {
+func FallbackDelays(engines []Engine, within time.Duration) map[string]time.Duration {
 	times := make(map[string]time.Duration, len(engines))
 	for i, e := range alternate(engines) {
 		times[e.ID] = within/2 + within/2*time.Duration(i)/time.Duration(2*len(engines))
--- a/internal/request/beechrollout/turns_test.go
+++ b/internal/request/beechrollout/schedule_test.go
@@ -26,7 +26,7 @@
 		e := &engines[i]
 		e.Version = rapid.Uint64Range(1, 4).Draw(t, "version")
 		e.Phase = Phase(rapid.IntRange(int(Serving), int(Down)).Draw(t, "phase"))
-		e.Silent = rapid.IntRange(0, 9).Draw(t, "silent") == 0
+		e.KeeperTimedOut = rapid.IntRange(0, 9).Draw(t, "silent") == 0
 	}
 	return engines
 }
@@ -42,15 +42,15 @@
 		atIt := 0
 		for _, e := range engines {
 			byID[e.ID] = e
-			if !e.Silent && (e.Phase == Leaving || e.Phase == Loading) {
+			if !e.KeeperTimedOut && (e.Phase == Leaving || e.Phase == Loading) {
 				atIt++
 			}
 		}
 		var youngest uint64
 		has := map[string]bool{}
-		for _, id := range Turns(engines, newest, most) {
+		for _, id := range NextUpdates(engines, newest, most) {
 			e := byID[id]
-			if e.Silent || e.Phase != Serving || e.Version >= newest || has[id] {
+			if e.KeeperTimedOut || e.Phase != Serving || e.Version >= newest || has[id] {
 				t.Fatalf("%+v has a turn", e)
 			}
 			has[id] = true
@@ -61,7 +61,7 @@
 		}
 		waits := 0
 		for _, e := range engines {
-			if !has[e.ID] && !e.Silent && e.Phase == Serving && e.Version < newest {
+			if !has[e.ID] && !e.KeeperTimedOut && e.Phase == Serving && e.Version < newest {
 				waits++
 				if e.Version < youngest {
 					t.Fatalf("%+v waits behind version %d", e, youngest)
@@ -80,14 +80,14 @@
 	engines := fleet(3, 5)
 	turned := append([]Engine(nil), engines[7:]...)
 	turned = append(turned, engines[:7]...)
-	is.Equal(Turns(engines, 2, 4), Turns(turned, 2, 4))
-	is.Equal(Alone(engines, time.Second), Alone(turned, time.Second))
+	is.Equal(NextUpdates(engines, 2, 4), NextUpdates(turned, 2, 4))
+	is.Equal(FallbackDelays(engines, time.Second), FallbackDelays(turned, time.Second))
 }
 
 func TestZonesTakeTurns(t *testing.T) {
 	is := is.New(t)
 	zones := map[byte]int{}
-	for _, id := range Turns(fleet(3, 5), 2, 3) {
+	for _, id := range NextUpdates(fleet(3, 5), 2, 3) {
 		zones[id[1]]++
 	}
 	is.Equal(len(zones), 3)
@@ -98,7 +98,7 @@
 func TestAloneIsSpread(t *testing.T) {
 	is := is.New(t)
 	seen := map[time.Duration]bool{}
-	for _, d := range Alone(fleet(3, 6), 8*time.Second) {
+	for _, d := range FallbackDelays(fleet(3, 6), 8*time.Second) {
 		is.True(d >= 4*time.Second && d < 6*time.Second)
 		seen[d] = true
 	}
--- a/internal/request/beechrollout/turn.go
+++ b/internal/request/beechrollout/updater.go
@@ -5,11 +5,11 @@
 type (
 	// Target is the version that an engine is to have.
 	Target struct {
-		Model   string
-		Version uint64
-		Fence   uint64    // grows with the version
-		Granted bool      // the engine's turn has come
-		Alone   time.Time // it takes its turn by itself then, if no gate is heard
+		Model      string
+		Version    uint64
+		Fence      uint64    // grows with the version
+		Granted    bool      // the engine's turn has come
+		FallbackAt time.Time // it takes its turn by itself then, if no gate is heard
 	}
 
 	// Report is what an engine says of itself.
@@ -23,12 +23,12 @@
 		Waiting  int
 	}
 
-	// Turn takes one engine through its turns. It is not safe for concurrent
+	// Updater takes one engine through its turns. It is not safe for concurrent
 	// use.
-	Turn struct {
+	Updater struct {
 		settings   Settings
 		targets    map[string]Target
-		versions   map[string]*Versions
+		versions   map[string]*VersionHistory
 		heard      time.Time // when a gate last named a target
 		left       time.Time // when the engine left the choice; zero: it is in it
 		tried      time.Time // when the last order was sent
@@ -118,20 +118,20 @@
 	return "silent"
 }
 
-// NewTurn returns the turns of one engine, which has no target yet.
-func NewTurn(s Settings) *Turn {
-	return &Turn{settings: s.withDefaults(), targets: make(map[string]Target), versions: make(map[string]*Versions)}
+// NewUpdater returns the turns of one engine, which has no target yet.
+func NewUpdater(s Settings) *Updater {
+	return &Updater{settings: s.withDefaults(), targets: make(map[string]Target), versions: make(map[string]*VersionHistory)}
 }
 
-// Told takes in a gate's word on a target. A turn that any gate has granted
+// SetTarget takes in a gate's word on a target. A turn that any gate has granted
 // stays granted. Older versions are passed over, so a version that was overtaken
 // before the order is never loaded.
-func (t *Turn) Told(target Target, now time.Time) {
+func (t *Updater) SetTarget(target Target, now time.Time) {
 	t.heard = now
 	if t.versions[target.Model] == nil {
-		t.versions[target.Model] = &Versions{}
+		t.versions[target.Model] = &VersionHistory{}
 	}
-	t.versions[target.Model].Name(target.Version, now)
+	t.versions[target.Model].Add(target.Version, now)
 	old, ok := t.targets[target.Model]
 	if ok && old.Version > target.Version {
 		return
@@ -143,27 +143,27 @@
 	t.targets[target.Model] = target
 }
 
-// Old is the time since the engine's weights were overtaken, as far as this
+// SupersededFor is the time since the engine's weights were overtaken, as far as this
 // keeper was told; 0: they were not.
-func (t *Turn) Old(now time.Time) time.Duration {
+func (t *Updater) SupersededFor(now time.Time) time.Duration {
 	var longest time.Duration
 	for model, have := range t.last.Versions {
 		if v, ok := t.versions[model]; ok {
-			age, _ := v.Overtaken(have, now)
+			age, _ := v.SupersededFor(have, now)
 			longest = max(longest, age)
 		}
 	}
 	return longest
 }
 
-// Took is how long the engine's last load took, from the order's being taken up to
+// LoadTime is how long the engine's last load took, from the order's being taken up to
 // the report of newer weights; 0 before the first. Only the keeper can tell: what
 // gates see of it begins with the order's sending, and an order without an answer
 // may be taken up seconds later.
-func (t *Turn) Took() time.Duration { return t.took }
+func (t *Updater) LoadTime() time.Duration { return t.took }
 
 // time follows a load from its beginning to its end.
-func (t *Turn) time(now time.Time, r Report) {
+func (t *Updater) time(now time.Time, r Report) {
 	switch {
 	case r.Busy && t.began.IsZero():
 		t.began, t.had = now, r.sum()
@@ -183,18 +183,18 @@
 	return sum
 }
 
-// Tries is how many orders in a row the engine has left unanswered.
-func (t *Turn) Tries() int { return t.unanswered }
+// UnansweredOrders is how many orders in a row the engine has left unanswered.
+func (t *Updater) UnansweredOrders() int { return t.unanswered }
 
-// StartedAnew tells whether the engine has begun another lifetime since an
+// Restarted tells whether the engine has begun another lifetime since an
 // earlier report, under the same ID: by its birth, or since its count of orders
 // has gone back.
-func (r Report) StartedAnew(before Report) bool {
+func (r Report) Restarted(before Report) bool {
 	return (r.Born != before.Born && before.Born != 0) || r.Sequence < before.Sequence
 }
 
 // Next says what to do, given what the engine reports.
-func (t *Turn) Next(now time.Time, r Report) Step {
+func (t *Updater) Next(now time.Time, r Report) Step {
 	if !r.Known {
 		if t.silent++; t.silent < silentMost {
 			return Wait{After: activePoll, Phase: t.phase()}
@@ -202,7 +202,7 @@
 		return Wait{After: activePoll, Phase: Down}
 	}
 	t.silent = 0
-	if r.StartedAnew(t.last) {
+	if r.Restarted(t.last) {
 		t.done() // an order that was under way is lost with the lifetime it was for
 	}
 	t.time(now, r)
@@ -236,16 +236,16 @@
 		return Wait{After: activePoll, Phase: Serving}
 	}
 	empty := r.Running == 0 && r.Waiting == 0 && now.Sub(t.left) >= settleTime
-	if t.unanswered == 0 && !empty && now.Sub(t.left) < t.settings.Lead {
+	if t.unanswered == 0 && !empty && now.Sub(t.left) < t.settings.DrainTime {
 		return Wait{After: activePoll, Phase: Leaving}
 	}
 	t.tried, t.loading, t.ordered = now, true, target
 	return Order{Target: target, Sequence: r.Sequence}
 }
 
-// Answered tells how the engine took the last order. Without an answer it may
+// RecordAnswer tells how the engine took the last order. Without an answer it may
 // be carried out yet, on condition of the sequence, which it then changes.
-func (t *Turn) Answered(a Answer) {
+func (t *Updater) RecordAnswer(a Answer) {
 	switch a {
 	case Taken:
 		t.loading, t.unanswered = true, 0
@@ -261,7 +261,7 @@
 	}
 }
 
-func (t *Turn) phase() Phase {
+func (t *Updater) phase() Phase {
 	switch {
 	case t.loading:
 		return Loading
@@ -272,19 +272,19 @@
 }
 
 // done puts the engine back into the choice.
-func (t *Turn) done() {
+func (t *Updater) done() {
 	t.left, t.began = time.Time{}, time.Time{}
 	t.loading, t.unanswered = false, 0
 }
 
 // comes tells whether the engine's turn has come.
-func (t *Turn) comes(target Target, now time.Time) bool {
-	return target.Granted || (now.Sub(t.heard) >= aloneAfter && !now.Before(target.Alone))
+func (t *Updater) comes(target Target, now time.Time) bool {
+	return target.Granted || (now.Sub(t.heard) >= aloneAfter && !now.Before(target.FallbackAt))
 }
 
 // due gives a target that the engine does not have yet, one whose turn was
 // granted before others.
-func (t *Turn) due(r Report) (Target, bool) {
+func (t *Updater) due(r Report) (Target, bool) {
 	var due Target
 	found := false
 	for model, target := range t.targets {
--- a/internal/request/beechrollout/turn_test.go
+++ b/internal/request/beechrollout/updater_test.go
@@ -9,7 +9,7 @@
 
 // clocked is a turn with its time.
 type clocked struct {
-	*Turn
+	*Updater
 	now time.Time
 }
 
@@ -20,7 +20,7 @@
 
 func (c *clocked) next(r Report) Step { return c.Next(c.now, r) }
 
-func begin() *clocked { return &clocked{Turn: NewTurn(Settings{}), now: time.Unix(1000, 0)} }
+func begin() *clocked { return &clocked{Updater: NewUpdater(Settings{}), now: time.Unix(1000, 0)} }
 
 func at(version uint64) Report {
 	return Report{Known: true, Versions: map[string]uint64{"m": version}, Running: 2}
@@ -39,14 +39,14 @@
 	is := is.New(t)
 	c := begin()
 	is.Equal(phaseOf(c.next(at(1))), Serving)
-	c.Told(Target{Model: "m", Version: 2, Fence: 9}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Fence: 9}, c.now)
 	is.Equal(phaseOf(c.after(time.Second).next(at(1))), Serving)
-	c.Told(Target{Model: "m", Version: 2, Fence: 9, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Fence: 9, Granted: true}, c.now)
 	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	order, ok := c.after(Defaults.Lead).next(at(1)).(Order)
+	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(2))
-	c.Answered(Taken)
+	c.RecordAnswer(Taken)
 	busy := at(1)
 	busy.Busy = true
 	is.Equal(phaseOf(c.after(100*time.Millisecond).next(busy)), Loading)
@@ -57,7 +57,7 @@
 func TestEmptyEngineIsOrderedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 	idle := at(1)
 	idle.Running = 0
 	is.Equal(phaseOf(c.next(idle)), Leaving)
@@ -69,13 +69,13 @@
 func TestOvertakenVersionIsSkipped(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2}, c.now)
-	c.Told(Target{Model: "m", Version: 3}, c.now)
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now) // a late datagram
+	c.SetTarget(Target{Model: "m", Version: 2}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now) // a late datagram
 	is.Equal(phaseOf(c.after(time.Second).next(at(1))), Serving)
-	c.Told(Target{Model: "m", Version: 3, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 3, Granted: true}, c.now)
 	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	order, ok := c.after(Defaults.Lead).next(at(1)).(Order)
+	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(3))
 }
@@ -85,16 +85,16 @@
 func TestUnansweredOrder(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 	c.next(at(1))
 	_, ok := c.after(time.Second).next(at(1)).(Order)
 	is.True(ok)
-	c.Answered(Silent)
+	c.RecordAnswer(Silent)
 	is.Equal(phaseOf(c.after(100*time.Millisecond).next(at(1))), Serving)
 	again, ok := c.after(repeatAfter).next(at(1)).(Order)
 	is.True(ok) // the same condition: if the first is carried out, this one is not
 	is.Equal(again.Sequence, uint64(0))
-	c.Answered(Silent)
+	c.RecordAnswer(Silent)
 	busy := at(1)
 	busy.Busy, busy.Sequence = true, 1
 	is.Equal(phaseOf(c.after(10*time.Millisecond).next(busy)), Loading)
@@ -105,11 +105,11 @@
 func TestConflictLooksAgain(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 	c.next(at(1))
 	_, ok := c.after(time.Second).next(at(1)).(Order)
 	is.True(ok)
-	c.Answered(Conflict)
+	c.RecordAnswer(Conflict)
 	changed := at(1)
 	changed.Sequence = 4
 	order, ok := c.after(10 * time.Millisecond).next(changed).(Order)
@@ -129,7 +129,7 @@
 func TestModelThatTheEngineDoesNotServe(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "other", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "other", Version: 2, Granted: true}, c.now)
 	is.Equal(phaseOf(c.after(time.Minute).next(at(1))), Serving)
 }
 
@@ -138,17 +138,17 @@
 func TestVersionNamedDuringALoadHasATurnOfItsOwn(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 	c.next(at(1))
-	_, ok := c.after(Defaults.Lead).next(at(1)).(Order)
+	_, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
-	c.Answered(Taken)
-	c.Told(Target{Model: "m", Version: 3}, c.now)
+	c.RecordAnswer(Taken)
+	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
 	busy := at(1)
 	busy.Busy = true
 	is.Equal(phaseOf(c.after(time.Second).next(busy)), Loading)
 	is.Equal(phaseOf(c.after(time.Second).next(at(2))), Serving)
-	c.Told(Target{Model: "m", Version: 3, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 3, Granted: true}, c.now)
 	is.Equal(phaseOf(c.next(at(2))), Leaving)
 }
 
@@ -157,10 +157,10 @@
 func TestVersionNamedBeforeTheOrderIsOrdered(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	c.Told(Target{Model: "m", Version: 3}, c.now)
-	order, ok := c.after(Defaults.Lead).next(at(1)).(Order)
+	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
+	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(3))
 }
@@ -171,7 +171,7 @@
 func TestKeeperThatHearsFromNoGateActsByItself(t *testing.T) {
 	is := is.New(t)
 	c := begin()
-	c.Told(Target{Model: "m", Version: 2, Alone: c.now.Add(4 * time.Second)}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 2, FallbackAt: c.now.Add(4 * time.Second)}, c.now)
 	is.Equal(phaseOf(c.after(3900*time.Millisecond).next(at(1))), Serving)
 	is.Equal(phaseOf(c.after(200*time.Millisecond).next(at(1))), Leaving)
 }
@@ -184,7 +184,7 @@
 	alone := c.now.Add(4 * time.Second)
 	for range 10 {
 		c.after(time.Second)
-		c.Told(Target{Model: "m", Version: 2, Alone: alone}, c.now)
+		c.SetTarget(Target{Model: "m", Version: 2, FallbackAt: alone}, c.now)
 		is.Equal(phaseOf(c.next(at(1))), Serving)
 	}
 }
@@ -198,11 +198,11 @@
 		c := begin()
 		before := at(1)
 		before.Born, before.Sequence = 100, 2
-		c.Told(Target{Model: "m", Version: 2, Granted: true}, c.now)
+		c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
 		c.next(before)
-		_, ok := c.after(Defaults.Lead).next(before).(Order)
+		_, ok := c.after(Defaults.DrainTime).next(before).(Order)
 		is.True(ok)
-		c.Answered(Taken)
+		c.RecordAnswer(Taken)
 		before.Busy, before.Sequence = true, 3
 		is.Equal(phaseOf(c.after(100*time.Millisecond).next(before)), Loading)
 		after := at(1)
@@ -221,14 +221,14 @@
 	is := is.New(t)
 	c := begin()
 	c.next(at(1))
-	is.Equal(c.Old(c.now), time.Duration(0))
-	c.Told(Target{Model: "m", Version: 2}, c.now)
+	is.Equal(c.SupersededFor(c.now), time.Duration(0))
+	c.SetTarget(Target{Model: "m", Version: 2}, c.now)
 	c.after(3 * time.Second)
-	c.Told(Target{Model: "m", Version: 3}, c.now)
+	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
 	c.after(time.Second)
-	is.Equal(c.Old(c.now), 4*time.Second)
+	is.Equal(c.SupersededFor(c.now), 4*time.Second)
 	c.next(at(2))
-	is.Equal(c.Old(c.now), time.Second)
+	is.Equal(c.SupersededFor(c.now), time.Second)
 	c.next(at(3))
-	is.Equal(c.Old(c.now), time.Duration(0))
+	is.Equal(c.SupersededFor(c.now), time.Duration(0))
 }
--- a/internal/request/beechrollout/versions.go
+++ b/internal/request/beechrollout/versionhistory.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Versions remembers when the last versions of a model were named. The zero
+// VersionHistory remembers when the last versions of a model were named. The zero
 // value knows none. It is not safe for concurrent use.
-type Versions struct {
+type VersionHistory struct {
 	list []named // the oldest first
 }
 
@@ -16,8 +16,8 @@
 // versionsMost are remembered of a model.
 const versionsMost = 16
 
-// Name takes in a version, and tells whether it is news.
-func (v *Versions) Name(version uint64, at time.Time) bool {
+// Add takes in a version, and tells whether it is news.
+func (v *VersionHistory) Add(version uint64, at time.Time) bool {
 	if n := len(v.list); n > 0 && v.list[n-1].version >= version {
 		return false
 	}
@@ -26,10 +26,10 @@
 	return true
 }
 
-// Overtaken is the time since weights were overtaken, by the first newer ones
+// SupersededFor is the time since weights were overtaken, by the first newer ones
 // that were named: while versions follow one another quickly, the last one's
 // age says nothing of how old an engine's weights are.
-func (v *Versions) Overtaken(have uint64, now time.Time) (age time.Duration, old bool) {
+func (v *VersionHistory) SupersededFor(have uint64, now time.Time) (age time.Duration, old bool) {
 	for _, n := range v.list {
 		if n.version > have {
 			return now.Sub(n.at), true
