--- a/internal/process/beechgate/beliefs.go
+++ b/internal/process/beechgate/beliefs.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, n := range named {
-		if !g.placer.Named(n.Model, n.Version) {
+		if !g.placer.SetLatestVersion(n.Model, n.Version) {
 			continue
 		}
 		g.mu.Lock()
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -164,7 +164,7 @@
 	weights := time.Duration(s.Bounds.Weights)
 	g.full = beechroom.New(needs.Clock, g.foundFull)
 	g.placer = beechplace.New(beechplace.Settings{
-		Zone: s.Zone, OldMost: max(weights-oldMargin, weights/2), OldBegin: max(weights-beginMargin, weights/2),
+		Zone: s.Zone, OutdatedSoftLimit: max(weights-oldMargin, weights/2), OutdatedHardLimit: max(weights-beginMargin, weights/2),
 	}, needs.Clock, g.health, g.limits, g.full, g.announce)
 	g.core = beechattempt.New(g.placer, needs.Backend, needs.Pool, g.budgets, g.suspects, g, needs.Clock, needs.Log)
 	g.serverCopy = beechmirror.New(beechmirror.Settings{
@@ -281,7 +281,7 @@
 	lost := make(map[netip.AddrPort]bool)
 	next := 0
 	return beechtask.Every(ctx, g.clock, keptInterval, func() {
-		stores := g.placer.Kept()
+		stores := g.placer.KVStores()
 		if len(stores) == 0 {
 			return
 		}
@@ -289,7 +289,7 @@
 		next++
 		err := g.needs.Pool.Reach(ctx, kept)
 		if err != nil {
-			g.placer.KeptFailed(kept)
+			g.placer.KVStoreFailed(kept)
 		}
 		if was := lost[kept]; was != (err != nil) {
 			lost[kept] = err != nil
--- a/internal/process/beechgate/keepers.go
+++ b/internal/process/beechgate/keepers.go
@@ -48,7 +48,7 @@
 	targets := g.targets()
 	suspects := beechshare.WireSuspects(beechshare.Worst(g.suspects.News()))
 	for _, s := range g.keptServers() {
-		if farthest == beechbeat.Far || g.way(s) == beechbeat.Near || g.placer.Unheard(s.ID) {
+		if farthest == beechbeat.Far || g.way(s) == beechbeat.Near || g.placer.KeeperSilent(s.ID) {
 			g.follow(s, targets[s.ID], suspects)
 		}
 	}
@@ -82,7 +82,7 @@
 // so words that cross a border, where bytes are paid for, do without both.
 func (g *Gate) follow(s beechcall.Server, targets []beechwire.Target, suspects []beechwire.Suspect) {
 	to := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
-	follow := &beechwire.Follow{Zone: g.settings.Zone, Targets: targets, Ask: g.placer.Unheard(s.ID), Rate: g.placer.ReadRate()}
+	follow := &beechwire.Follow{Zone: g.settings.Zone, Targets: targets, Ask: g.placer.KeeperSilent(s.ID), Rate: g.placer.PrefillRate()}
 	if g.way(s) == beechbeat.Near {
 		follow.Gate, follow.Suspects = g.settings.Name, suspects
 	}
@@ -150,7 +150,7 @@
 	for _, w := range tell.Have {
 		weights[w.Model] = w.Version
 	}
-	engine := g.placer.Tell(beechplace.State{
+	engine := g.placer.UpdateState(beechplace.State{
 		Number: tell.Number, Address: netip.AddrPortFrom(host, tell.Port), Phase: beechrollout.Phase(tell.Phase), Weights: weights, Tries: tell.Tries, Born: tell.Born, Old: time.Duration(tell.Old) * time.Millisecond,
 		Reading: tell.Read, Running: tell.Run, Waiting: tell.Wait, CacheUsed: tell.Used, CacheTotal: tell.Room, Parts: tell.Parts, Gone: tell.Gone, Kept: tell.Kept,
 	})
@@ -171,7 +171,7 @@
 		return
 	}
 	g.budgets.SetGates(now)
-	g.placer.SetFronts(now)
+	g.placer.SetGates(now)
 	g.quotas.SetGates(now)
 	g.limits.SetGates(now)
 	if c := g.configuration.Load(); c != nil {
--- a/internal/process/beechgate/paces.go
+++ b/internal/process/beechgate/paces.go
@@ -30,7 +30,7 @@
 	n := uint32(0)
 	return beechtask.Every(ctx, g.clock, pacesInterval, func() {
 		var list []beechwire.Seen
-		for _, s := range g.placer.Seen(pacesMost) {
+		for _, s := range g.placer.TakePaceReports(pacesMost) {
 			list = append(list, beechwire.Seen{Engine: s.Engine, Samples: s.Samples, Log: int(s.Log * thousand)})
 		}
 		if len(list) == 0 {
@@ -52,7 +52,7 @@
 		g.toZone(beechbeat.Paces{Paces: &beechwire.Paces{List: p.List}})
 	}
 	for _, s := range p.List {
-		g.placer.HearSeen(beechplace.Seen{Engine: s.Engine, Samples: s.Samples, Log: float64(s.Log) / thousand})
+		g.placer.MergePaceReport(beechplace.PaceReport{Engine: s.Engine, Samples: s.Samples, Log: float64(s.Log) / thousand})
 	}
 }
 
--- a/internal/process/beechgate/turns.go
+++ b/internal/process/beechgate/turns.go
@@ -34,7 +34,7 @@
 	targets := make(map[string][]beechwire.Target)
 	now := g.clock.Now()
 	for model, n := range g.named {
-		engines := g.placer.Standing(model)
+		engines := g.placer.RolloutEngines(model)
 		bound := time.Duration(g.bounds.Load().Weights)
 		fleet := beechrollout.FleetOf(engines, n.Version, bound-oldMargin)
 		granted := beechrollout.Turns(engines, n.Version, g.pace.Most(fleet))
@@ -72,7 +72,7 @@
 		return
 	}
 	level := zap.DebugLevel
-	if g.placer.Near(engine) {
+	if g.placer.InOwnZone(engine) {
 		level = zap.InfoLevel // each gate tells of its own zone's engines, or lines would grow with gates times engines
 	}
 	g.log.Log(level, "weights loaded", zap.String("server", engine), zap.Duration("took", took), zap.Duration("alone", load), zap.Float64("window", window))
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -458,14 +458,14 @@
 	r.call.Route.Objective = 2 * time.Second // its patience is longer
 	choice, ok := w.core.placer.Choose(r.call, nil)
 	is.True(ok)
-	choice.Begin = 300 * time.Millisecond
+	choice.FirstByteTimeout = 300 * time.Millisecond
 	ended := make(chan verdict, 1)
 	go func() { ended <- r.attempt(t.Context(), choice) }()
 	_ = w.clock.BlockUntilContext(t.Context(), 2) // patience and the bound
 	w.clock.Advance(299 * time.Millisecond)
 	w.clock.Advance(time.Millisecond)
 	is.Equal(<-ended, again)
-	is.Equal(w.clock.Since(r.started), choice.Begin)
+	is.Equal(w.clock.Since(r.started), choice.FirstByteTimeout)
 	_, suspect := w.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
 	is.True(suspect)
 	choice, _ = w.core.placer.Choose(r.call, r.tried)
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -93,14 +93,14 @@
 	r.core.budget.Sent(r.call.Service)
 	for {
 		choice, ok := r.choose(ctx)
-		if !ok && choice.Back > 0 {
-			r.back = choice.Back
+		if !ok && choice.RetryAfter > 0 {
+			r.back = choice.RetryAfter
 			return r.giveUp(ctx, atLimits)
 		}
 		if !ok {
 			return r.giveUp(ctx, "no server may be used")
 		}
-		if r.sends == 0 && r.core.patience.hopeless(r.call.Route.Name, span(choice.Expected), span(choice.Ahead), r.call.Route.Objective, r.core.clock.Now()) {
+		if r.sends == 0 && r.core.patience.hopeless(r.call.Route.Name, span(choice.Expected), span(choice.QueueTime), r.call.Route.Objective, r.core.clock.Now()) {
 			return r.giveUp(ctx, "no server would answer in time")
 		}
 		switch r.attempt(ctx, choice) {
@@ -131,7 +131,7 @@
 	until := r.core.clock.Now().Add(hold)
 	for {
 		choice, ok := r.core.placer.Choose(r.call, r.tried)
-		if now := r.core.clock.Now(); ok || now.Add(choice.Back).After(until) || ended(ctx) {
+		if now := r.core.clock.Now(); ok || now.Add(choice.RetryAfter).After(until) || ended(ctx) {
 			return choice, ok && !ended(ctx)
 		}
 		select {
@@ -143,14 +143,14 @@
 
 // attempt sends the call to one server and gives the caller what comes.
 func (r *run) attempt(ctx context.Context, choice beechplace.Choice) verdict {
-	ticket := r.core.placer.Sent(r.call, choice)
+	ticket := r.core.placer.StartAttempt(r.call, choice)
 	r.choice = choice
 	if choice.Wait > 0 && r.waits < waitsMost && !r.waited(ctx, choice) {
-		ticket.Done(beechplace.Left)
+		ticket.Done(beechplace.Cancelled)
 		return again
 	}
-	if !ticket.Send() {
-		ticket.Done(beechplace.Left)
+	if !ticket.AcquireLimit() {
+		ticket.Done(beechplace.Cancelled)
 		if r.held++; r.held < heldMost {
 			return again
 		}
@@ -171,9 +171,9 @@
 		return r.judge(choice, ticket, watch, err)
 	}
 	defer answer.Body.Close()
-	ticket.Said(answer.Limit)
-	ticket.Load(answer.Load)
-	r.core.placer.Has(choice.Server.ID, r.call.Model, answer.Weights)
+	ticket.ObserveLimit(answer.Limit)
+	ticket.ObserveLoad(answer.Load)
+	r.core.placer.ObserveVersion(choice.Server.ID, r.call.Model, answer.Weights)
 	if r.call.Route.Stream && answer.Status == http.StatusOK {
 		return r.follow(choice, ticket, watch, answer, sent)
 	}
@@ -188,7 +188,7 @@
 	case <-r.core.clock.After(choice.Wait):
 	case <-ctx.Done():
 	}
-	return !ended(ctx) && r.core.placer.Still(choice)
+	return !ended(ctx) && r.core.placer.StillUsable(choice)
 }
 
 // urgency ranks calls at an engine: the workspace's rank goes first, the
@@ -204,7 +204,7 @@
 
 // whole reads a plain answer to its end before the caller sees any of it, so
 // that a broken one can be replaced.
-func (r *run) whole(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
+func (r *run) whole(choice beechplace.Choice, ticket *beechplace.Attempt, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, answerMost+1))
 	if err == nil && len(body) > answerMost {
 		err = errTooLong
@@ -219,7 +219,7 @@
 	ticket.Done(beechplace.Answered)
 	r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), 0, r.core.clock.Now())
 	bad := answer.Status >= http.StatusInternalServerError
-	r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, bad)
+	r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.PrefillTokens, bad)
 	if bad && r.repeatable() && answer.Status != http.StatusGatewayTimeout {
 		r.ran++
 		r.tried = append(r.tried, choice.Server.ID)
@@ -239,10 +239,10 @@
 }
 
 // judge decides after an attempt without a whole answer.
-func (r *run) judge(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, err error) verdict {
+func (r *run) judge(choice beechplace.Choice, ticket *beechplace.Attempt, watch *watch, err error) verdict {
 	watch.stop()
 	if ended(r.caller) {
-		ticket.Done(beechplace.Left)
+		ticket.Done(beechplace.Cancelled)
 		return over
 	}
 	r.tried = append(r.tried, choice.Server.ID)
@@ -251,7 +251,7 @@
 	switch {
 	case errors.As(err, &notSent):
 		r.notRun++
-		ticket.Done(beechplace.Unreached)
+		ticket.Done(beechplace.Unreachable)
 		r.note("not sent", choice, zap.Error(err))
 		if r.sends < sendsMost {
 			return again
@@ -260,11 +260,11 @@
 	case errors.As(err, &notRun):
 		r.notRun++
 		if !notRun.Replaced {
-			ticket.Said(notRun.Limit)
-			ticket.Load(notRun.Load)
+			ticket.ObserveLimit(notRun.Limit)
+			ticket.ObserveLoad(notRun.Load)
 		}
-		ticket.Done(beechplace.TurnedAway)
-		r.core.placer.Refused(choice.Server.ID, notRun, r.call.Model)
+		ticket.Done(beechplace.Rejected)
+		r.core.placer.ObserveRejection(choice.Server.ID, notRun, r.call.Model)
 		r.note("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.Other))
 		if r.sends < sendsMost && r.pay(beechretry.RanNo, choice, true) {
 			return again
@@ -275,17 +275,17 @@
 	r.note("failed", choice, zap.Error(err), zap.Bool("patience", watch.granted()))
 	if watch.granted() {
 		ticket.Done(beechplace.Failed)
-		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.PrefillTokens, true)
 		return again
 	}
 	if watch.tooLate() {
-		ticket.Done(beechplace.Left)
+		ticket.Done(beechplace.Cancelled)
 	} else if r.core.clock.Now().Before(r.call.Deadline) {
 		ticket.Done(beechplace.Failed)
 		r.core.blamer.brokeOff(r.call.Fingerprint(), choice.Server.Address)
-		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.PrefillTokens, true)
 	} else {
-		ticket.Done(beechplace.Left)
+		ticket.Done(beechplace.Cancelled)
 		return stop
 	}
 	if r.repeatable() && r.ran < r.call.Route.MaxAttempts && r.pay(beechretry.RanUnknown, choice, false) {
@@ -336,7 +336,7 @@
 	case r.ran == 0:
 		after := min(spread(comeBack), max(r.call.Left(r.core.clock.Now())/3, 0))
 		if r.back > 0 {
-			after = r.core.placer.ComeBack(r.call.Service, r.back)
+			after = r.core.placer.RetryAfter(r.call.Service, r.back)
 		}
 		r.core.log.Warn("request refused", append(fields, zap.Duration("after", after))...)
 		r.out.Refuse(NotRun{After: after, Reason: reason})
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -46,8 +46,8 @@
 // newWatch starts the patience for the first byte.
 func (r *run) newWatch(cancel context.CancelCauseFunc, choice beechplace.Choice) *watch {
 	w := &watch{run: r, choice: choice, cancel: cancel}
-	if choice.Begin > 0 {
-		w.begin = r.core.clock.AfterFunc(choice.Begin, w.expireBegin)
+	if choice.FirstByteTimeout > 0 {
+		w.begin = r.core.clock.AfterFunc(choice.FirstByteTimeout, w.expireBegin)
 	}
 	if r.call.Route.Rule == beechcall.RuleOnce || r.ran+1 >= r.call.Route.MaxAttempts {
 		return w
@@ -120,7 +120,7 @@
 }
 
 // follow hands on a stream's whole events as they come.
-func (r *run) follow(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
+func (r *run) follow(choice beechplace.Choice, ticket *beechplace.Attempt, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
 	buffer := make([]byte, 0, readBytes)
 	for {
 		if len(buffer) == cap(buffer) {
@@ -134,14 +134,14 @@
 				if !r.begin(answer) {
 					r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), span(choice.Expected), r.core.clock.Now())
 					r.first = r.core.clock.Since(r.started)
-					r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, false)
+					r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.PrefillTokens, false)
 				}
-				ticket.Read()
+				ticket.FirstByte()
 				if id, ok := lastEvent(buffer[:end]); ok {
 					r.stream.last = id
 				}
 				if failed := r.out.Event(buffer[:end]); failed != nil {
-					ticket.Done(beechplace.Left)
+					ticket.Done(beechplace.Cancelled)
 					return over
 				}
 				buffer = buffer[:copy(buffer, buffer[end:])]
--- a/internal/request/beechplace/choose.go
+++ b/internal/request/beechplace/choose.go
@@ -75,7 +75,7 @@
 		}
 		switch d := p.limits.Room(c.Server.ID).(type) {
 		case beechquota.Admitted:
-			c.Passed = passed
+			c.LimitedServer = passed
 			return c, true
 		case beechquota.Refused:
 			p.limits.Held(c.Server.ID)
@@ -83,23 +83,23 @@
 		}
 	}
 	if !found {
-		return Choice{Passed: passed, Back: back}, false
+		return Choice{LimitedServer: passed, RetryAfter: back}, false
 	}
-	best.Passed = passed
+	best.LimitedServer = passed
 	return best, true
 }
 
-// ComeBack is when a caller of a service may come back whose servers are all at their
+// RetryAfter is when a caller of a service may come back whose servers are all at their
 // limits, given when one of them has room. Callers are told times one after the other, as
 // fast as the servers take them; told the same time, most would come to be refused again.
-func (p *Placer) ComeBack(service string, room time.Duration) time.Duration {
+func (p *Placer) RetryAfter(service string, room time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	rate := 0.0
 	for _, s := range p.services[service] {
 		if p.usable(s, now) && p.limits.Limited(s.ID) {
-			rate += p.limits.Rate(s.ID) / float64(p.settings.Fronts)
+			rate += p.limits.Rate(s.ID) / float64(p.settings.Gates)
 		}
 	}
 	at, latest := now.Add(room), now.Add(returnMost)
@@ -136,11 +136,11 @@
 		}
 		c.Weights = have
 		age, old := p.overtaken(s, call.Model, have, now)
-		if old && age > p.settings.OldBegin {
+		if old && age > p.settings.OutdatedHardLimit {
 			return c, false
 		}
-		if old && age > p.settings.OldFree {
-			c.Cost += p.settings.OldPenalty
+		if old && age > p.settings.OutdatedGrace {
+			c.Cost += p.settings.OutdatedPenalty
 		}
 		c.Salt = salt(call, have)
 		c.Cost += p.prefix(call, s, levels, now, &c)
@@ -148,17 +148,17 @@
 		slow := p.factor(s, now)
 		rate := p.speed.rate / slow
 		before := p.ahead(s, now.Add(c.Wait))/rate + p.blocked(short, s)
-		c.Ahead = milliseconds(c.Wait) + before
-		own := float64(c.Unread) / rate
+		c.QueueTime = milliseconds(c.Wait) + before
+		own := float64(c.PrefillTokens) / rate
 		fixed := p.speed.fixed * slow
-		c.Expected = c.Ahead + own + fixed
+		c.Expected = c.QueueTime + own + fixed
 		if old && !p.beginsInTime(&c, age) {
 			return c, false
 		}
 		c.Cost += before + own + (fixed - p.speed.fixed) + p.crowding(short) + slow*p.fill(s, now) + late(c.Expected, milliseconds(call.Route.Objective))
 	}
 	if s.Zone != p.settings.Zone {
-		c.Cost += p.settings.Crossing + p.settings.CrossingByte*float64(len(call.Body))
+		c.Cost += p.settings.CrossZoneCost + p.settings.CrossZoneByteCost*float64(len(call.Body))
 	}
 	c.Cost += doubtCost * (1 - p.health.Weight(s.Address))
 	if !s.fresh(now) && p.full.Knows(s.ID) {
@@ -175,11 +175,11 @@
 // are late, and callers are refused or late at the rest. So those with little ahead
 // go on until shortly before the bound, while the others are refreshed.
 func (p *Placer) beginsInTime(c *Choice, age time.Duration) bool {
-	c.Begin = p.settings.OldBegin - age - c.Wait
-	if age <= p.settings.OldMost {
+	c.FirstByteTimeout = p.settings.OutdatedHardLimit - age - c.Wait
+	if age <= p.settings.OutdatedSoftLimit {
 		return true
 	}
-	return time.Duration(beginsWithin*c.Expected*float64(time.Millisecond)) < c.Begin
+	return time.Duration(beginsWithin*c.Expected*float64(time.Millisecond)) < c.FirstByteTimeout
 }
 
 // plain is the cost of a plain service's server, which has no shared parts.
@@ -195,7 +195,7 @@
 	if !s.told.IsZero() && p.clock.Since(s.told) < toldLasts {
 		return max(float64(s.state.Running+s.state.Waiting+s.flying-s.atTold), float64(s.flying))
 	}
-	alike := float64(s.flying * p.settings.Fronts)
+	alike := float64(s.flying * p.settings.Gates)
 	age := p.clock.Since(s.saidAt)
 	if !s.said.Known || age >= saidLasts {
 		return alike
@@ -246,9 +246,9 @@
 	return p.speed.rate / p.factor(s, now)
 }
 
-// Still tells whether the server of a choice may be used yet, after the
+// StillUsable tells whether the server of a choice may be used yet, after the
 // choice's wait.
-func (p *Placer) Still(c Choice) bool {
+func (p *Placer) StillUsable(c Choice) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byID[c.Server.ID]
--- a/internal/request/beechplace/full_test.go
+++ b/internal/request/beechplace/full_test.go
@@ -39,15 +39,15 @@
 	f := newFleet(2)
 	call := &beechcall.Call{Service: "app", Route: route}
 	c := f.choose(t, call)
-	ticket := f.Sent(call, c)
-	ticket.Done(TurnedAway)
-	f.Refused(c.Server.ID, beechcall.NotRun{Status: 503, After: time.Second}, "")
+	ticket := f.StartAttempt(call, c)
+	ticket.Done(Rejected)
+	f.ObserveRejection(c.Server.ID, beechcall.NotRun{Status: 503, After: time.Second}, "")
 	f.clock.Advance(900 * time.Millisecond)
 	next := f.choose(t, call)
 	is.True(next.Server.ID != c.Server.ID)
 	last := f.choose(t, call, next.Server.ID)
 	is.Equal(last.Server.ID, c.Server.ID)
-	f.Sent(call, last).Done(Answered)
+	f.StartAttempt(call, last).Done(Answered)
 	is.Equal(f.choose(t, call).Server.ID, c.Server.ID)
 }
 
@@ -58,9 +58,9 @@
 	f.tellAll(nil)
 	call := ask("s", 300, 100)
 	c := f.choose(t, call)
-	ticket := f.Sent(call, c)
-	ticket.Done(TurnedAway)
-	f.Refused(c.Server.ID, beechcall.NotRun{Status: 503}, "m")
+	ticket := f.StartAttempt(call, c)
+	ticket.Done(Rejected)
+	f.ObserveRejection(c.Server.ID, beechcall.NotRun{Status: 503}, "m")
 	is.Equal(len(f.Placer.full.Word()), 0)
 }
 
@@ -71,8 +71,8 @@
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
 	c := f.choose(t, call)
-	ticket := f.Sent(call, c)
-	ticket.Load(beechcall.Load{Known: true, Running: 6, Waiting: 2, Slots: 6})
+	ticket := f.StartAttempt(call, c)
+	ticket.ObserveLoad(beechcall.Load{Known: true, Running: 6, Waiting: 2, Slots: 6})
 	ticket.Done(Answered)
 	next := f.choose(t, call)
 	is.True(next.Server.ID != c.Server.ID)
--- a/internal/request/beechplace/kept.go
+++ b/internal/request/beechplace/kept.go
@@ -48,8 +48,8 @@
 		bytes = max(bytes, s.TokenBytes)
 	}
 	for _, store := range p.stores {
-		store.fetches.set(store.Link, bytes, p.settings.Fronts)
-		store.saves.set(store.Link, bytes, p.settings.Fronts)
+		store.fetches.set(store.Link, bytes, p.settings.Gates)
+		store.saves.set(store.Link, bytes, p.settings.Gates)
 	}
 }
 
@@ -103,9 +103,9 @@
 	return s.Kept
 }
 
-// KeptFailed tells that a store of kept KV cache does not answer. It comes back
+// KVStoreFailed tells that a store of kept KV cache does not answer. It comes back
 // empty, so what was saved before counts no more.
-func (p *Placer) KeptFailed(address netip.AddrPort) {
+func (p *Placer) KVStoreFailed(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if store := p.storeAt(address); store != nil {
@@ -114,8 +114,8 @@
 	}
 }
 
-// Kept gives the addresses of the stores of kept KV cache.
-func (p *Placer) Kept() []netip.AddrPort {
+// KVStores gives the addresses of the stores of kept KV cache.
+func (p *Placer) KVStores() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	addresses := make([]netip.AddrPort, 0, len(p.stores))
--- a/internal/request/beechplace/limit_test.go
+++ b/internal/request/beechplace/limit_test.go
@@ -25,14 +25,14 @@
 	f.tellAll(nil)
 	call := ask("h", 4000, 100)
 	first := f.choose(t, call)
-	f.Sent(call, first).Done(Answered)
+	f.StartAttempt(call, first).Done(Answered)
 	f.clock.Advance(time.Second)
 	f.tellAll(nil)
 	is.Equal(f.choose(t, call).Server.ID, first.Server.ID)
 	f.full(first.Server.ID, 0.1)
 	other := f.choose(t, call)
 	is.True(other.Server.ID != first.Server.ID)
-	is.Equal(other.Passed, first.Server.ID)
+	is.Equal(other.LimitedServer, first.Server.ID)
 	is.True(f.levels(call, f.clock.Now())[0].home != first.Server.ID)
 }
 
@@ -46,18 +46,18 @@
 	f.full(f.servers[2].ID, 2)
 	c, ok := f.Choose(ask("h", 4000, 100), nil)
 	is.True(!ok)
-	is.True(c.Back > 0)
-	is.True(c.Back <= returnMost)
+	is.True(c.RetryAfter > 0)
+	is.True(c.RetryAfter <= returnMost)
 	var last time.Duration
 	for n := range 8 {
-		back := f.ComeBack("llm", c.Back)
+		back := f.RetryAfter("llm", c.RetryAfter)
 		is.True(back >= last)
 		is.True(n == 0 || back-last <= time.Second/2)
 		last = back
 	}
-	is.True(last >= c.Back+7*time.Second/4-10*time.Millisecond) // four a second
+	is.True(last >= c.RetryAfter+7*time.Second/4-10*time.Millisecond) // four a second
 	for range 100 {
-		last = f.ComeBack("llm", c.Back)
+		last = f.RetryAfter("llm", c.RetryAfter)
 	}
 	is.Equal(last, returnMost)
 }
@@ -70,17 +70,17 @@
 	f.tellAll(nil)
 	call := ask("h", 4000, 100)
 	choice := f.choose(t, call)
-	late := f.Sent(call, choice)
+	late := f.StartAttempt(call, choice)
 	f.full(choice.Server.ID, 0.1)
-	is.True(!late.Send())
-	late.Done(Left)
+	is.True(!late.AcquireLimit())
+	late.Done(Cancelled)
 
 	f = newFleet(1)
 	f.tellAll(nil)
 	f.limits.Heard(choice.Server.ID, 0, beechthrottle.Names{Rate: 0.1}, f.limits.Now())
 	for range 20 { // a connection is never made
-		attempt := f.Sent(call, choice)
-		is.True(attempt.Send())
-		attempt.Done(Unreached)
+		attempt := f.StartAttempt(call, choice)
+		is.True(attempt.AcquireLimit())
+		attempt.Done(Unreachable)
 	}
 }
--- a/internal/request/beechplace/link_test.go
+++ b/internal/request/beechplace/link_test.go
@@ -30,7 +30,7 @@
 			c := f.choose(t, call)
 			is.Equal(c.Fetch, c.Save)
 			places = append(places, c.Save)
-			f.KeptFailed(c.Save)
+			f.KVStoreFailed(c.Save)
 			is.True(!f.choose(t, call).Fetch.IsValid()) // what the other store holds is others'
 		}
 		for _, place := range places {
@@ -49,13 +49,13 @@
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
 		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kept, Link: 50 * 1000 / linkShare}, // 25 tokens in a millisecond a gate
 	}})
-	f.SetFronts(2)
+	f.SetGates(2)
 	f.tellAll(nil)
 	saved := 0
 	for i := range 20 {
 		call := ask(fmt.Sprint("s", i), 6000, 1000)
 		c := f.choose(t, call)
-		f.Sent(call, c).Done(Answered)
+		f.StartAttempt(call, c).Done(Answered)
 		if c.Save.IsValid() {
 			saved++
 		}
@@ -75,11 +75,11 @@
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
 		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kept, Link: 550000}, // 550 tokens in a millisecond
 	}})
-	f.SetFronts(68)
+	f.SetGates(68)
 	f.tellAll(nil)
 	for i := range 200 { // the size of prompts is known
 		call := ask(fmt.Sprint("warm", i), 6000, 1000)
-		f.Sent(call, f.choose(t, call)).Done(Answered)
+		f.StartAttempt(call, f.choose(t, call)).Done(Answered)
 		f.clock.Advance(time.Second)
 	}
 	f.tellAll(nil)
@@ -87,7 +87,7 @@
 	for i := range 8 {
 		call := ask(fmt.Sprint("s", i), 6000, 1000)
 		c := f.choose(t, call)
-		f.Sent(call, c).Done(Answered)
+		f.StartAttempt(call, c).Done(Answered)
 		if c.Fetch == kept {
 			fetched++
 		}
@@ -110,9 +110,9 @@
 	run := func(name string, shared int, first time.Duration) Choice {
 		call := ask(name, shared, 100)
 		c := f.choose(t, call)
-		ticket := f.Sent(call, c)
+		ticket := f.StartAttempt(call, c)
 		f.clock.Advance(first)
-		ticket.Read()
+		ticket.FirstByte()
 		ticket.Done(Answered)
 		return c
 	}
--- a/internal/request/beechplace/memory.go
+++ b/internal/request/beechplace/memory.go
@@ -56,5 +56,5 @@
 // crowding is the cost of a prompt that an engine's memory has no room for: a run
 // yields there, and is read again from its start.
 func (p *Placer) crowding(short float64) float64 {
-	return p.settings.Waste * min(short, p.size)
+	return p.settings.ReprefillCost * min(short, p.size)
 }
--- a/internal/request/beechplace/pace.go
+++ b/internal/request/beechplace/pace.go
@@ -19,11 +19,11 @@
 		log     float64 // mean of the last
 		samples float64 // that it stands on
 		at      time.Time
-		untold  Seen // that other gates have not heard of
+		untold  PaceReport // that other gates have not heard of
 	}
 
-	// Seen is what first words of an engine told a gate.
-	Seen struct {
+	// PaceReport is what first words of an engine told a gate.
+	PaceReport struct {
 		Engine  uint64 // hash of its ID
 		Samples int
 		Log     float64 // mean of the logarithm of its time against what was expected
@@ -97,27 +97,27 @@
 	}
 }
 
-// Seen gives what first words have told of engines since the last call, of so many of
+// TakePaceReports gives what first words have told of engines since the last call, of so many of
 // them at the most. One gate alone sees an engine seldom.
-func (p *Placer) Seen(most int) []Seen {
+func (p *Placer) TakePaceReports(most int) []PaceReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.center()
-	var list []Seen
+	var list []PaceReport
 	for hash, s := range p.byHash {
 		if s.pace.untold.Samples == 0 || len(list) == most {
 			continue
 		}
 		s.pace.untold.Engine = hash
 		list = append(list, s.pace.untold)
-		s.pace.untold = Seen{}
+		s.pace.untold = PaceReport{}
 	}
 	return list
 }
 
-// HearSeen takes in what another gate has seen. A word that makes no sense is passed
+// MergePaceReport takes in what another gate has seen. A word that makes no sense is passed
 // over.
-func (p *Placer) HearSeen(seen Seen) {
+func (p *Placer) MergePaceReport(seen PaceReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byHash[seen.Engine]
--- a/internal/request/beechplace/pace_test.go
+++ b/internal/request/beechplace/pace_test.go
@@ -27,7 +27,7 @@
 }
 
 type running struct {
-	ticket *Ticket
+	ticket *Attempt
 	until  time.Time
 }
 
@@ -42,7 +42,7 @@
 		list = append(list, beechcall.Server{ID: id, Service: "llm", Zone: "a", Slots: 8, Address: address(i), Weights: map[string]uint64{"m": 1}})
 	}
 	for range gates {
-		p := New(Settings{Zone: "a", Fronts: gates}, f.clock, weights{}, throttle(f.clock), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
+		p := New(Settings{Zone: "a", Gates: gates}, f.clock, weights{}, throttle(f.clock), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
 		p.SetServers(list)
 		f.gates = append(f.gates, p)
 	}
@@ -74,7 +74,7 @@
 	f.first[c.Server.ID]++
 	wait := f.random.ExpFloat64() * 30 // behind what nobody knows of
 	took := (80 + 2000/60. + wait) * f.slow[c.Server.ID]
-	f.running = append(f.running, running{p.Sent(ask(subject, 0, 2000), c), f.clock.Now().Add(time.Duration(took * float64(time.Millisecond)))})
+	f.running = append(f.running, running{p.StartAttempt(ask(subject, 0, 2000), c), f.clock.Now().Add(time.Duration(took * float64(time.Millisecond)))})
 }
 
 func (f *paceFleet) answer() {
@@ -82,7 +82,7 @@
 		if f.clock.Now().Before(r.until) {
 			return false
 		}
-		r.ticket.Read()
+		r.ticket.FirstByte()
 		r.ticket.Done(Answered)
 		return true
 	})
@@ -90,10 +90,10 @@
 
 func (f *paceFleet) tell() {
 	for i, from := range f.gates {
-		for _, s := range from.Seen(400) {
+		for _, s := range from.TakePaceReports(400) {
 			for j, to := range f.gates {
 				if i != j {
-					to.HearSeen(s)
+					to.MergePaceReport(s)
 				}
 			}
 		}
@@ -166,7 +166,7 @@
 	for hash := range p.byHash {
 		known = hash
 	}
-	for _, bad := range []Seen{
+	for _, bad := range []PaceReport{
 		{known, 0, 1},
 		{known, -1, 1},
 		{known, seenMost + 1, 1},
@@ -175,7 +175,7 @@
 		{known, 1, 100},
 		{known + 1, 1, 1},
 	} {
-		p.HearSeen(bad)
+		p.MergePaceReport(bad)
 	}
 	is.Equal(p.Paces(), before)
 }
--- a/internal/request/beechplace/place_test.go
+++ b/internal/request/beechplace/place_test.go
@@ -52,7 +52,7 @@
 // version 1, and as many servers of a plain service.
 func newFleet(n int) *fleet {
 	f := &fleet{clock: clockwork.NewFakeClock(), announced: make(map[string]int), doubts: weights{}}
-	f.Placer = New(Settings{Zone: "a", Fronts: 1}, f.clock, f.doubts, throttle(f.clock), beechroom.New(f.clock, func() {}), func(s beechcall.Server, tokens int, _ []uint64, _ bool) { f.announced[s.ID] += tokens })
+	f.Placer = New(Settings{Zone: "a", Gates: 1}, f.clock, f.doubts, throttle(f.clock), beechroom.New(f.clock, func() {}), func(s beechcall.Server, tokens int, _ []uint64, _ bool) { f.announced[s.ID] += tokens })
 	for i := range n {
 		zone := []string{"a", "b"}[i%2]
 		f.servers = append(f.servers,
@@ -63,7 +63,7 @@
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
 		"llm": {Name: "llm"}, "kept": {Name: "kept", Kept: kept},
 	}})
-	f.Named("m", 1)
+	f.SetLatestVersion("m", 1)
 	return f
 }
 
@@ -74,7 +74,7 @@
 		if edit != nil {
 			edit(i/2, &s)
 		}
-		f.Tell(s)
+		f.UpdateState(s)
 	}
 }
 
@@ -108,7 +108,7 @@
 		call := ask(fmt.Sprint("s", i), 0, 700)
 		call.Parts = nil
 		c := f.choose(t, call)
-		f.Sent(call, c)
+		f.StartAttempt(call, c)
 		count[c.Server.ID]++
 	}
 	for id, n := range count {
@@ -125,14 +125,14 @@
 	f := newFleet(12)
 	f.tellAll(nil)
 	first := f.choose(t, ask("hot", 6300, 2800))
-	f.Sent(ask("hot", 6300, 2800), first)
+	f.StartAttempt(ask("hot", 6300, 2800), first)
 	f.clock.Advance(500 * time.Millisecond)
 	f.tellAll(nil)
 	is.Equal(f.choose(t, ask("hot", 6300, 2800)).Server.ID, first.Server.ID)
 	servers := map[string]bool{}
 	for range 40 {
 		c := f.choose(t, ask("hot", 6300, 2800))
-		f.Sent(ask("hot", 6300, 2800), c)
+		f.StartAttempt(ask("hot", 6300, 2800), c)
 		servers[c.Server.ID] = true
 	}
 	is.True(len(servers) > 2)
@@ -153,13 +153,13 @@
 		call.Parts = nil
 		c := f.choose(t, call)
 		is.True(c.Server.ID != "e00")
-		f.Sent(call, c).Done(Answered)
+		f.StartAttempt(call, c).Done(Answered)
 	}
 	is.True(f.announced["e02"] == 0) // short ones are not told of
 	long := ask("long", 0, 9000)
 	long.Parts = nil
 	c := f.choose(t, long)
-	f.Sent(long, c)
+	f.StartAttempt(long, c)
 	is.Equal(f.announced[c.Server.ID], 9000)
 }
 
@@ -174,7 +174,7 @@
 		call := ask(fmt.Sprint("s", i), 0, 500)
 		call.Parts = nil
 		c := f.choose(t, call)
-		f.Sent(call, c)
+		f.StartAttempt(call, c)
 		count[c.Server.ID]++
 	}
 	is.Equal(len(count), 4)
@@ -190,9 +190,9 @@
 	for i := range 200 {
 		call := ask(fmt.Sprint("s", i), 0, 8000)
 		call.Parts = nil
-		ticket := f.Sent(call, f.choose(t, call))
+		ticket := f.StartAttempt(call, f.choose(t, call))
 		f.clock.Advance(100 * time.Millisecond) // 80 tokens in a millisecond
-		ticket.Read()
+		ticket.FirstByte()
 		ticket.Done(Answered)
 	}
 	is.True(f.speed.rate > 70 && f.speed.rate < 90)
@@ -244,7 +244,7 @@
 	f := newFleet(2)
 	call := ask("h", 6000, 3000)
 	for range 100 { // runs like these stay for a second
-		run := f.Sent(call, f.choose(t, call))
+		run := f.StartAttempt(call, f.choose(t, call))
 		f.clock.Advance(time.Second)
 		run.Done(Answered)
 	}
@@ -262,9 +262,9 @@
 	// Where all are full the wait is told, so that a call can be refused at once.
 	f.tellAll(func(_ int, s *State) { s.Running, s.Waiting, s.CacheUsed = 50, 8, 95000 })
 	c = f.choose(t, call)
-	is.True(c.Ahead > 500)
+	is.True(c.QueueTime > 500)
 	short := ask("q", 90, 60)
-	is.True(f.choose(t, short).Ahead < c.Ahead)
+	is.True(f.choose(t, short).QueueTime < c.QueueTime)
 }
 
 // The engine that holds a history has no room left for the prompt beside what runs
@@ -275,7 +275,7 @@
 	f := newFleet(2)
 	call := ask("h", 6000, 3000)
 	for range 300 { // the size of prompts is known
-		f.Sent(call, f.choose(t, call)).Done(Answered)
+		f.StartAttempt(call, f.choose(t, call)).Done(Answered)
 		f.clock.Advance(time.Second)
 	}
 	f.tellAll(func(_ int, s *State) { s.CacheUsed = 30000 })
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -187,17 +187,17 @@
 	p.setStores(c.KeptStores())
 }
 
-// SetFronts tells how many gates send to the same engines.
-func (p *Placer) SetFronts(n int) {
+// SetGates tells how many gates send to the same engines.
+func (p *Placer) SetGates(n int) {
 	p.mu.Lock()
-	p.settings.Fronts = max(n, 1)
+	p.settings.Gates = max(n, 1)
 	p.shareLinks()
 	p.mu.Unlock()
 }
 
-// Named tells that a model's weights were named. The answer tells whether that
+// SetLatestVersion tells that a model's weights were named. The answer tells whether that
 // is news.
-func (p *Placer) Named(model string, version uint64) bool {
+func (p *Placer) SetLatestVersion(model string, version uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.versions[model]
@@ -241,9 +241,9 @@
 	s.Born = at
 }
 
-// Standing gives what is known of the engines that serve a model, for a rollout
+// RolloutEngines gives what is known of the engines that serve a model, for a rollout
 // of its weights. Those that leave the fleet are not among them.
-func (p *Placer) Standing(model string) []beechrollout.Engine {
+func (p *Placer) RolloutEngines(model string) []beechrollout.Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -261,11 +261,11 @@
 	return engines
 }
 
-// Tell takes in what a keeper says of its engine. The answer is the engine's
+// UpdateState takes in what a keeper says of its engine. The answer is the engine's
 // ID, empty if none is known at its address. Words that went by different gates
 // overtake one another: one that is older than what is known is no news, unless
 // the keeper has been silent for so long that it has probably started anew.
-func (p *Placer) Tell(s State) string {
+func (p *Placer) UpdateState(s State) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	v, ok := p.byPlace[s.Address]
@@ -302,26 +302,26 @@
 	return v.ID
 }
 
-// Near tells whether a server is in this gate's zone.
-func (p *Placer) Near(id string) bool {
+// InOwnZone tells whether a server is in this gate's zone.
+func (p *Placer) InOwnZone(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byID[id]
 	return ok && s.Zone == p.settings.Zone
 }
 
-// Unheard tells whether a server's keeper has not spoken for a while: its words may
+// KeeperSilent tells whether a server's keeper has not spoken for a while: its words may
 // be lost on their way through others, and it is to be asked directly.
-func (p *Placer) Unheard(id string) bool {
+func (p *Placer) KeeperSilent(id string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byID[id]
 	return ok && p.clock.Since(s.told) > unheardAfter
 }
 
-// ReadRate is how many prompt tokens engines read in a millisecond, as learned;
+// PrefillRate is how many prompt tokens engines read in a millisecond, as learned;
 // 0 until something was.
-func (p *Placer) ReadRate() int {
+func (p *Placer) PrefillRate() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.speed.known {
--- a/internal/request/beechplace/prefix.go
+++ b/internal/request/beechplace/prefix.go
@@ -129,19 +129,19 @@
 	if unread > 0 && levels[len(levels)-1].home == s.ID {
 		unread *= 1 - homeHolds
 	}
-	c.Unread = max(call.PromptTokens-shared, 0) + int(unread)
+	c.PrefillTokens = max(call.PromptTokens-shared, 0) + int(unread)
 	c.Missing = missing
 	if missing > 0 && store != nil {
 		fresh := !saved.IsZero() && now.Sub(saved) > savedIn
 		if (fresh || !c.Fetch.IsValid()) && p.room(&store.fetches, missing, now) && (missing >= smallFetch || !store.fetches.slow()) {
 			c.Fetch = store.address(now)
-			c.Moved = missing
+			c.StoreTokens = missing
 		}
 		if now.Sub(saved) > saveAgain && p.room(&store.saves, call.PromptTokens, now) {
 			c.Save = store.address(now)
 		}
 	}
-	return p.settings.Waste*unread + p.settings.Move*float64(fetched) + milliseconds(c.Wait)
+	return p.settings.ReprefillCost*unread + p.settings.FetchCost*float64(fetched) + milliseconds(c.Wait)
 }
 
 // source names an engine that probably holds a part, or will within the wait,
@@ -186,7 +186,7 @@
 func (p *Placer) remember(call *beechcall.Call, c Choice, now time.Time) []uint64 {
 	var keys []uint64
 	if store := p.storeAt(c.Fetch); store != nil {
-		store.fetches.use(c.Moved, now)
+		store.fetches.use(c.StoreTokens, now)
 	}
 	if store := p.storeAt(c.Save); store != nil {
 		store.saves.use(call.PromptTokens, now)
--- a/internal/request/beechplace/ticket.go
+++ b/internal/request/beechplace/ticket.go
@@ -10,8 +10,8 @@
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
-// Ticket follows one attempt. It is safe for concurrent use.
-type Ticket struct {
+// Attempt follows one attempt. It is safe for concurrent use.
+type Attempt struct {
 	placer  *Placer
 	server  *server
 	prompt  int // tokens; 0 for plain services
@@ -28,11 +28,11 @@
 	done    sync.Once
 }
 
-// Sent counts an attempt that is about to be sent.
-func (p *Placer) Sent(call *beechcall.Call, c Choice) *Ticket {
+// StartAttempt counts an attempt that is about to be sent.
+func (p *Placer) StartAttempt(call *beechcall.Call, c Choice) *Attempt {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := &Ticket{placer: p, unread: c.Unread}
+	t := &Attempt{placer: p, unread: c.PrefillTokens}
 	s, ok := p.byID[c.Server.ID]
 	if !ok {
 		return t
@@ -40,26 +40,26 @@
 	t.server = s
 	t.sent = p.clock.Now().Add(c.Wait)
 	t.source = c.Fetch
-	t.moved, t.expect = c.Moved, time.Duration((c.Expected-milliseconds(c.Wait))*float64(time.Millisecond))
-	t.work = p.ahead(s, t.sent) + float64(c.Unread)
+	t.moved, t.expect = c.StoreTokens, time.Duration((c.Expected-milliseconds(c.Wait))*float64(time.Millisecond))
+	t.work = p.ahead(s, t.sent) + float64(c.PrefillTokens)
 	t.usual = t.work/p.speed.rate + p.speed.fixed
 	s.flying++
-	s.unread += c.Unread
+	s.unread += c.PrefillTokens
 	if call.Model != "" {
-		p.usual += (float64(c.Unread) - p.usual) / usualOver
+		p.usual += (float64(c.PrefillTokens) - p.usual) / usualOver
 		p.size += (float64(call.PromptTokens) - p.size) / usualOver
 		t.prompt = call.PromptTokens
 	}
 	parts := p.remember(call, c, p.clock.Now())
-	if (c.Unread >= announceLeast || c.Missing >= newsLeast || c.Save.IsValid()) && !s.told.IsZero() {
-		p.announce(s.Server, c.Unread, parts, c.Save.IsValid())
+	if (c.PrefillTokens >= announceLeast || c.Missing >= newsLeast || c.Save.IsValid()) && !s.told.IsZero() {
+		p.announce(s.Server, c.PrefillTokens, parts, c.Save.IsValid())
 	}
 	return t
 }
 
-// Send tells that the attempt goes to the server now. It is false where the server has
+// AcquireLimit tells that the attempt goes to the server now. It is false where the server has
 // come to its limit since it was chosen.
-func (t *Ticket) Send() bool {
+func (t *Attempt) AcquireLimit() bool {
 	if t.server == nil {
 		return true
 	}
@@ -68,8 +68,8 @@
 	return ok
 }
 
-// Said takes in what the server's answer says of its limit.
-func (t *Ticket) Said(limit beechthrottle.Said) {
+// ObserveLimit takes in what the server's answer says of its limit.
+func (t *Attempt) ObserveLimit(limit beechthrottle.Said) {
 	if t.server == nil {
 		return
 	}
@@ -79,8 +79,8 @@
 	t.placer.limits.Heard(t.server.ID, born, limit, t.asked)
 }
 
-// Load takes in what the server's answer says of its load.
-func (t *Ticket) Load(l beechcall.Load) {
+// ObserveLoad takes in what the server's answer says of its load.
+func (t *Attempt) ObserveLoad(l beechcall.Load) {
 	if t.server == nil || !l.Known {
 		return
 	}
@@ -89,8 +89,8 @@
 	t.server.said, t.server.saidAt, t.server.atSaid = l, t.placer.clock.Now(), t.server.flying
 }
 
-// First takes the prompt off what the server has to read.
-func (t *Ticket) First() {
+// finishPrefill takes the prompt off what the server has to read.
+func (t *Attempt) finishPrefill() {
 	t.first.Do(func() {
 		if t.server == nil {
 			return
@@ -101,10 +101,10 @@
 	})
 }
 
-// Read tells that the first byte came: the server has read the prompt, and how
+// FirstByte tells that the first byte came: the server has read the prompt, and how
 // fast it reads can be seen.
-func (t *Ticket) Read() {
-	t.First()
+func (t *Attempt) FirstByte() {
+	t.finishPrefill()
 	t.placer.mu.Lock()
 	defer t.placer.mu.Unlock()
 	if t.learned {
@@ -123,8 +123,8 @@
 }
 
 // Done ends the attempt.
-func (t *Ticket) Done(o Outcome) {
-	t.First()
+func (t *Attempt) Done(o Outcome) {
+	t.finishPrefill()
 	t.done.Do(func() {
 		if t.server == nil {
 			return
@@ -136,7 +136,7 @@
 			t.placer.stay.learn(t.prompt, t.placer.clock.Since(t.sent))
 		}
 		t.placer.judge(t.server, o, t.sent)
-		if o == Unreached {
+		if o == Unreachable {
 			t.placer.limits.GiveBack(t.server.ID)
 		}
 	})
@@ -149,17 +149,17 @@
 		p.full.Took(s.ID, sent)
 		s.fails = 0
 		s.downTil = time.Time{}
-	case TurnedAway:
+	case Rejected:
 		if !s.fresh(now) {
 			s.darkTil = now.Add(refusalDark)
 		}
-	case Failed, Unreached:
+	case Failed, Unreachable:
 		s.fails++
 		if o == Failed && s.fails < failsLeast {
 			return
 		}
-		s.downTil = now.Add(min(p.settings.Down<<min(s.fails-1, downShift), p.settings.DownMost))
-	case Left:
+		s.downTil = now.Add(min(p.settings.DownTime<<min(s.fails-1, downShift), p.settings.MaxDownTime))
+	case Cancelled:
 	}
 }
 
@@ -169,8 +169,8 @@
 	downShift  = 6
 )
 
-// Has tells which version of a model a server has shown to have.
-func (p *Placer) Has(id, model string, version uint64) {
+// ObserveVersion tells which version of a model a server has shown to have.
+func (p *Placer) ObserveVersion(id, model string, version uint64) {
 	if version == 0 || model == "" {
 		return
 	}
@@ -181,12 +181,12 @@
 	}
 }
 
-// Refused takes in why a server turned a request away. One at whose address
+// ObserveRejection takes in why a server turned a request away. One at whose address
 // another answered is over for good, however long the list still has it; if the
 // list has that other too, it is the one to use there, whichever was listed
 // later: an entry that somebody else wrote would hide the real server otherwise.
-func (p *Placer) Refused(id string, f beechcall.NotRun, model string) {
-	p.Has(id, model, f.Weights)
+func (p *Placer) ObserveRejection(id string, f beechcall.NotRun, model string) {
+	p.ObserveVersion(id, model, f.Weights)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byID[id]
--- a/internal/request/beechplace/types.go
+++ b/internal/request/beechplace/types.go
@@ -12,19 +12,19 @@
 type (
 	// Settings of a placer. Zero values are taken from Defaults.
 	Settings struct {
-		Zone         string
-		PrefillRate  float64       // prompt tokens that an engine reads in a millisecond
-		Waste        float64       // cost of a shared token that is read again, beyond its own time
-		Move         float64       // cost of a token that is fetched
-		Crossing     float64       // cost of another zone
-		CrossingByte float64       // and of each byte of the request
-		OldFree      time.Duration // weights may be old for so long without a penalty
-		OldPenalty   float64       // cost of old weights after that
-		OldMost      time.Duration // after that old weights are only for what would begin at once
-		OldBegin     time.Duration // nothing may begin on weights that are older
-		Down         time.Duration // first time out of a server that does not answer; doubles
-		DownMost     time.Duration
-		Fronts       int // gates that send to the same engines
+		Zone              string
+		PrefillRate       float64       // prompt tokens that an engine reads in a millisecond
+		ReprefillCost     float64       // cost of a shared token that is read again, beyond its own time
+		FetchCost         float64       // cost of a token that is fetched
+		CrossZoneCost     float64       // cost of another zone
+		CrossZoneByteCost float64       // and of each byte of the request
+		OutdatedGrace     time.Duration // weights may be old for so long without a penalty
+		OutdatedPenalty   float64       // cost of old weights after that
+		OutdatedSoftLimit time.Duration // after that old weights are only for what would begin at once
+		OutdatedHardLimit time.Duration // nothing may begin on weights that are older
+		DownTime          time.Duration // first time out of a server that does not answer; doubles
+		MaxDownTime       time.Duration
+		Gates             int // gates that send to the same engines
 	}
 
 	// State is what a keeper tells of its engine.
@@ -48,21 +48,21 @@
 
 	// Choice is a server for a call and how to send it there.
 	Choice struct {
-		Server   beechcall.Server
-		Weights  uint64
-		Salt     string
-		Fetch    netip.AddrPort
-		Save     netip.AddrPort
-		Wait     time.Duration // before it is sent: a part that it needs is being read
-		Begin    time.Duration // the first byte must have come so long after sending; 0 is no bound
-		Expected float64       // milliseconds until the prompt is read
-		Ahead    float64       // of these, before it is the request's turn
-		Cost     float64       // in milliseconds
-		Missing  int           // shared tokens that it does not hold, fetched or read
-		Moved    int           // of these, from the store of kept KV cache
-		Unread   int           // tokens that the server will probably have to read
-		Passed   string        // ID of a cheaper server that is at its limit
-		Back     time.Duration // where all that may be used are at their limits: when one has room
+		Server           beechcall.Server
+		Weights          uint64
+		Salt             string
+		Fetch            netip.AddrPort
+		Save             netip.AddrPort
+		Wait             time.Duration // before it is sent: a part that it needs is being read
+		FirstByteTimeout time.Duration // the first byte must have come so long after sending; 0 is no bound
+		Expected         float64       // milliseconds until the prompt is read
+		QueueTime        float64       // of these, before it is the request's turn
+		Cost             float64       // in milliseconds
+		Missing          int           // shared tokens that it does not hold, fetched or read
+		StoreTokens      int           // of these, from the store of kept KV cache
+		PrefillTokens    int           // tokens that the server will probably have to read
+		LimitedServer    string        // ID of a cheaper server that is at its limit
+		RetryAfter       time.Duration // where all that may be used are at their limits: when one has room
 	}
 
 	// Announce tells other gates, by way of the server's keeper, of a prompt
@@ -82,11 +82,11 @@
 
 // Outcomes of attempts.
 const (
-	Answered   Outcome = iota // the whole answer
-	TurnedAway                // not run, by the server's own word
-	Failed                    // no answer, or one that broke
-	Unreached                 // no connection
-	Left                      // the caller left
+	Answered    Outcome = iota // the whole answer
+	Rejected                   // not run, by the server's own word
+	Failed                     // no answer, or one that broke
+	Unreachable                // no connection
+	Cancelled                  // the caller left
 )
 
 // Defaults are the settings where none are given. PrefillRate is below what engines read;
@@ -99,21 +99,21 @@
 // milliseconds. Old*: weights that are 1.5 s old cost their callers a part of
 // the answer's worth. Down: a restart takes some seconds, a lost packet less.
 var Defaults = Settings{
-	PrefillRate: 40, Waste: 0.16, Move: 0.07, Crossing: 8, CrossingByte: 0.001,
-	OldFree: 1200 * time.Millisecond, OldPenalty: 250, OldMost: 6 * time.Second, OldBegin: 8 * time.Second,
-	Down: 500 * time.Millisecond, DownMost: 4 * time.Second, Fronts: 4,
+	PrefillRate: 40, ReprefillCost: 0.16, FetchCost: 0.07, CrossZoneCost: 8, CrossZoneByteCost: 0.001,
+	OutdatedGrace: 1200 * time.Millisecond, OutdatedPenalty: 250, OutdatedSoftLimit: 6 * time.Second, OutdatedHardLimit: 8 * time.Second,
+	DownTime: 500 * time.Millisecond, MaxDownTime: 4 * time.Second, Gates: 4,
 }
 
 func (s Settings) withDefaults() Settings {
 	d := Defaults
 	d.Zone = s.Zone
 	d.PrefillRate = cmp.Or(s.PrefillRate, d.PrefillRate)
-	d.OldFree = cmp.Or(s.OldFree, d.OldFree)
-	d.OldPenalty = cmp.Or(s.OldPenalty, d.OldPenalty)
-	d.OldMost = cmp.Or(s.OldMost, d.OldMost)
-	d.OldBegin = max(cmp.Or(s.OldBegin, d.OldMost), d.OldMost)
-	d.Down = cmp.Or(s.Down, d.Down)
-	d.DownMost = cmp.Or(s.DownMost, d.DownMost)
-	d.Fronts = cmp.Or(s.Fronts, d.Fronts)
+	d.OutdatedGrace = cmp.Or(s.OutdatedGrace, d.OutdatedGrace)
+	d.OutdatedPenalty = cmp.Or(s.OutdatedPenalty, d.OutdatedPenalty)
+	d.OutdatedSoftLimit = cmp.Or(s.OutdatedSoftLimit, d.OutdatedSoftLimit)
+	d.OutdatedHardLimit = max(cmp.Or(s.OutdatedHardLimit, d.OutdatedSoftLimit), d.OutdatedSoftLimit)
+	d.DownTime = cmp.Or(s.DownTime, d.DownTime)
+	d.MaxDownTime = cmp.Or(s.MaxDownTime, d.MaxDownTime)
+	d.Gates = cmp.Or(s.Gates, d.Gates)
 	return d
 }
--- a/internal/request/beechplace/usable_test.go
+++ b/internal/request/beechplace/usable_test.go
@@ -16,8 +16,8 @@
 func TestOldWeights(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	f.Named("m", 2)
-	f.Has("e01", "m", 2) // in the other zone
+	f.SetLatestVersion("m", 2)
+	f.ObserveVersion("e01", "m", 2) // in the other zone
 	call := ask("s", 0, 10)
 	call.Parts = nil
 	f.tellAll(nil)
@@ -27,7 +27,7 @@
 	is.Equal(f.choose(t, call).Server.ID, "e01")
 	_, ok := f.Choose(call, []string{"e01"})
 	is.True(ok) // better than none
-	f.Named("m", 3)
+	f.SetLatestVersion("m", 3)
 	f.clock.Advance(4500 * time.Millisecond)
 	f.tellAll(nil)
 	_, ok = f.Choose(call, []string{"e01"})
@@ -43,8 +43,8 @@
 func TestOldWeightsLeaveLittleByLittle(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	f.settings.OldBegin = 9 * time.Second
-	f.Named("m", 2)
+	f.settings.OutdatedHardLimit = 9 * time.Second
+	f.SetLatestVersion("m", 2)
 	call := ask("s", 0, 10)
 	call.Parts = nil
 	left := func(age time.Duration) (n int) {
@@ -58,7 +58,7 @@
 			}
 			n++
 			tried = append(tried, choice.Server.ID)
-			is.True(choice.Begin <= 9*time.Second)
+			is.True(choice.FirstByteTimeout <= 9*time.Second)
 		}
 	}
 	is.Equal(left(5900*time.Millisecond), 4)
@@ -123,10 +123,10 @@
 	is := is.New(t)
 	f := newFleet(2)
 	call := &beechcall.Call{Service: "app", Route: route}
-	for _, out := range []time.Duration{Defaults.Down, 2 * Defaults.Down, 4 * Defaults.Down} {
+	for _, out := range []time.Duration{Defaults.DownTime, 2 * Defaults.DownTime, 4 * Defaults.DownTime} {
 		c, ok := f.Choose(call, []string{"p01"})
 		is.True(ok)
-		f.Sent(call, c).Done(Unreached)
+		f.StartAttempt(call, c).Done(Unreachable)
 		f.clock.Advance(out - time.Millisecond)
 		_, ok = f.Choose(call, []string{"p01"})
 		is.True(!ok)
@@ -134,8 +134,8 @@
 	}
 	c, ok := f.Choose(call, []string{"p01"})
 	is.True(ok)
-	f.Sent(call, c).Done(Answered)
-	f.Sent(call, c).Done(Failed) // one broken answer is no sign of a dead server
+	f.StartAttempt(call, c).Done(Answered)
+	f.StartAttempt(call, c).Done(Failed) // one broken answer is no sign of a dead server
 	_, ok = f.Choose(call, []string{"p01"})
 	is.True(ok)
 }
@@ -159,7 +159,7 @@
 	reborn.ID, reborn.Since = "e00-reborn", 9
 	f.SetServers([]beechcall.Server{old, reborn})
 	is.Equal(f.choose(t, ask("s", 0, 10)).Server.ID, "e00-reborn")
-	f.Refused("e00-reborn", beechcall.NotRun{Replaced: true}, "m")
+	f.ObserveRejection("e00-reborn", beechcall.NotRun{Replaced: true}, "m")
 	_, ok := f.Choose(ask("s", 0, 10), nil)
 	is.True(!ok)
 }
@@ -170,10 +170,10 @@
 func TestGateThatStartsIsToldHowOldWeightsAre(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	f.Named("m", 2)
+	f.SetLatestVersion("m", 2)
 	f.tellAll(func(i int, s *State) {
 		if i == 0 {
-			s.Old = Defaults.OldMost - time.Second
+			s.Old = Defaults.OutdatedSoftLimit - time.Second
 		}
 	})
 	is.Equal(f.choose(t, ask("s", 0, 10)).Server.ID, "e01") // the other one is not overtaken for long
@@ -194,7 +194,7 @@
 	for range 2 {
 		f.SetServers([]beechcall.Server{own, foreign})
 		if c := f.choose(t, ask("s", 0, 10)); c.Server.ID == foreign.ID {
-			f.Refused(foreign.ID, beechcall.NotRun{Replaced: true, There: own.ID}, "m")
+			f.ObserveRejection(foreign.ID, beechcall.NotRun{Replaced: true, There: own.ID}, "m")
 		}
 		is.Equal(f.choose(t, ask("s", 0, 10)).Server.ID, own.ID)
 	}
