--- a/internal/request/beechplace/choose.go
+++ b/internal/request/beechplace/choose.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	fillCost   = 120  // of an engine whose slots are all taken, at a full batch each token takes several times as long
-	overCost   = 40   // of each request beyond the slots
-	plainCost  = 25   // of a plain server's slots all taken: about one request's work
-	doubtCost  = 400  // of a server of weight 0 that is the only one
-	fullCost   = 1000 // of one that turns work away: the last that is tried
-	lateCost   = 700  // of an answer that misses its objective
-	lateFrom   = 0.5  // of the objective
-	memoryFull = 0.9  // of an engine's memory that cannot yield; beyond it runs are preempted
-	memoryCost = 300
-	// askAgain is what it is worth to hear whether a server's need is over.
-	askAgain = 150
-	// returnMost is the longest time after which a caller is told to come back.
-	returnMost = 10 * time.Second
-	// beginsWithin times what is expected a first byte usually comes: expectations
+	fullBatchCost        = 120  // of an engine whose slots are all taken, at a full batch each token takes several times as long
+	queuedRequestCost    = 40   // of each request beyond the slots
+	plainUtilizationCost = 25   // of a plain server's slots all taken: about one request's work
+	unhealthyCost        = 400  // of a server of weight 0 that is the only one
+	overloadedCost       = 1000 // of one that turns work away: the last that is tried
+	missedObjectiveCost  = 700  // of an answer that misses its objective
+	latenessStart        = 0.5  // of the objective
+	cacheFullShare       = 0.9  // of an engine's memory that cannot yield; beyond it runs are preempted
+	cacheFullCost        = 300
+	// limitProbeBonus is what it is worth to hear whether a server's need is over.
+	limitProbeBonus = 150
+	// maxRetryAfter is the longest time after which a caller is told to come back.
+	maxRetryAfter = 10 * time.Second
+	// firstByteMargin times what is expected a first byte usually comes: expectations
 	// miss half of what waits where engines are full.
-	beginsWithin = 3
+	firstByteMargin = 3
 )
 
 // Choose gives the cheapest server for a call that is not among those tried.
@@ -39,12 +39,12 @@
 	var best Choice
 	var limited []Choice
 	found := false
-	levels := p.levels(call, now)
+	parts := p.sharedParts(call, now)
 	for _, s := range p.services[call.Service] {
 		if slices.Contains(tried, s.ID) || !p.usable(s, now) {
 			continue
 		}
-		c, ok := p.weigh(call, s, levels, now)
+		c, ok := p.estimate(call, s, parts, now)
 		switch {
 		case !ok:
 		case p.limits.Limited(s.ID):
@@ -56,43 +56,43 @@
 	if len(limited) == 0 {
 		return best, found
 	}
-	return p.amongLimited(best, found, limited)
+	return p.chooseWithLimited(best, found, limited)
 }
 
 // amongLimited chooses between the best server without a limit, if there is one, and those
 // with one that are cheaper and have room.
-func (p *Placer) amongLimited(best Choice, found bool, limited []Choice) (Choice, bool) {
+func (p *Placer) chooseWithLimited(best Choice, found bool, limited []Choice) (Choice, bool) {
 	for i := range limited {
 		if p.limits.Due(limited[i].Server.ID) {
-			limited[i].Cost -= askAgain
+			limited[i].Cost -= limitProbeBonus
 		}
 	}
 	slices.SortFunc(limited, func(x, y Choice) int { return cmp.Compare(x.Cost, y.Cost) })
-	passed, back := "", returnMost
+	skipped, retryAfter := "", maxRetryAfter
 	for _, c := range limited {
 		if found && best.Cost < c.Cost {
 			break
 		}
 		switch d := p.limits.Room(c.Server.ID).(type) {
 		case beechquota.Admitted:
-			c.LimitedServer = passed
+			c.LimitedServer = skipped
 			return c, true
 		case beechquota.Refused:
 			p.limits.Held(c.Server.ID)
-			passed, back = cmp.Or(passed, c.Server.ID), min(back, d.After)
+			skipped, retryAfter = cmp.Or(skipped, c.Server.ID), min(retryAfter, d.After)
 		}
 	}
 	if !found {
-		return Choice{LimitedServer: passed, RetryAfter: back}, false
+		return Choice{LimitedServer: skipped, RetryAfter: retryAfter}, false
 	}
-	best.LimitedServer = passed
+	best.LimitedServer = skipped
 	return best, true
 }
 
 // RetryAfter is when a caller of a service may come back whose servers are all at their
 // limits, given when one of them has room. Callers are told times one after the other, as
 // fast as the servers take them; told the same time, most would come to be refused again.
-func (p *Placer) RetryAfter(service string, room time.Duration) time.Duration {
+func (p *Placer) RetryAfter(service string, firstRoom time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -102,67 +102,67 @@
 			rate += p.limits.Rate(s.ID) / float64(p.settings.Gates)
 		}
 	}
-	at, latest := now.Add(room), now.Add(returnMost)
-	if next := p.returns[service]; next.After(at) {
+	at, latest := now.Add(firstRoom), now.Add(maxRetryAfter)
+	if next := p.nextRetry[service]; next.After(at) {
 		at = next
 	}
 	if !at.Before(latest) || rate <= 0 {
-		return returnMost
+		return maxRetryAfter
 	}
-	p.returns[service] = at.Add(min(time.Duration(float64(time.Second)/rate), returnMost))
+	p.nextRetry[service] = at.Add(min(time.Duration(float64(time.Second)/rate), maxRetryAfter))
 	return at.Sub(now)
 }
 
 func (p *Placer) usable(s *server, now time.Time) bool {
-	if s.Leaving || s.over || now.Before(s.downTil) || now.Before(s.darkTil) || now.Before(s.doubtTil) {
+	if s.Leaving || s.superseded || now.Before(s.downUntil) || now.Before(s.unavailableUntil) || now.Before(s.identityDoubtUntil) {
 		return false
 	}
-	return !s.fresh(now) || s.state.Phase == beechrollout.Serving
+	return !s.hasRecentReport(now) || s.state.Phase == beechrollout.Serving
 }
 
 // fresh tells whether the keeper has spoken lately.
-func (s *server) fresh(now time.Time) bool {
-	return !s.told.IsZero() && now.Sub(s.told) < toldLasts
+func (s *server) hasRecentReport(now time.Time) bool {
+	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) < reportTTL
 }
 
-func (p *Placer) weigh(call *beechcall.Call, s *server, levels []level, now time.Time) (Choice, bool) {
+func (p *Placer) estimate(call *beechcall.Call, s *server, parts []sharedPart, now time.Time) (Choice, bool) {
 	c := Choice{Server: s.Server}
 	if call.Model == "" {
-		c.Cost = p.plain(s)
+		c.Cost = p.plainServerCost(s)
 	} else {
-		have := s.weights[call.Model]
-		if have == 0 {
+		version := s.weights[call.Model]
+		if version == 0 {
 			return c, false
 		}
-		c.Weights = have
-		age, old := p.overtaken(s, call.Model, have, now)
-		if old && age > p.settings.OutdatedHardLimit {
+		c.Weights = version
+		age, outdated := p.outdatedFor(s, call.Model, version, now)
+		if outdated && age > p.settings.OutdatedHardLimit {
 			return c, false
 		}
-		if old && age > p.settings.OutdatedGrace {
+		if outdated && age > p.settings.OutdatedGrace {
 			c.Cost += p.settings.OutdatedPenalty
 		}
-		c.Salt = salt(call, have)
-		c.Cost += p.prefix(call, s, levels, now, &c)
-		short := p.short(s, call.PromptTokens, now)
-		slow := p.factor(s, now)
-		rate := p.speed.rate / slow
-		before := p.ahead(s, now.Add(c.Wait))/rate + p.blocked(short, s)
-		c.QueueTime = milliseconds(c.Wait) + before
-		own := float64(c.PrefillTokens) / rate
-		fixed := p.speed.fixed * slow
-		c.Expected = c.QueueTime + own + fixed
-		if old && !p.beginsInTime(&c, age) {
+		c.Salt = cacheSalt(call, version)
+		c.Cost += p.estimatePrefix(call, s, parts, now, &c)
+		shortfall := p.memoryShortfall(s, call.PromptTokens, now)
+		pace := p.paceFactor(s, now)
+		rate := p.prefill.rate / pace
+		queueTime := p.queuedTokens(s, now.Add(c.Wait))/rate + p.memoryWait(shortfall, s)
+		c.QueueTime = milliseconds(c.Wait) + queueTime
+		prefillTime := float64(c.PrefillTokens) / rate
+		fixed := p.prefill.fixed * pace
+		c.Expected = c.QueueTime + prefillTime + fixed
+		if outdated && !p.startsInTime(&c, age) {
 			return c, false
 		}
-		c.Cost += before + own + (fixed - p.speed.fixed) + p.crowding(short) + slow*p.fill(s, now) + late(c.Expected, milliseconds(call.Route.Objective))
+		c.Cost += queueTime + prefillTime + (fixed - p.prefill.fixed) + p.preemptionCost(shortfall) + pace*p.utilizationCost(s, now) + latenessCost(c.Expected, milliseconds(call.Route.Objective))
 	}
 	if s.Zone != p.settings.Zone {
 		c.Cost += p.settings.CrossZoneCost + p.settings.CrossZoneByteCost*float64(len(call.Body))
 	}
-	c.Cost += doubtCost * (1 - p.health.Weight(s.Address))
-	if !s.fresh(now) && p.full.Knows(s.ID) {
-		c.Cost += fullCost
+	c.Cost += unhealthyCost * (1 - p.health.Weight(s.Address))
+	if !s.hasRecentReport(now) && p.overloaded.Knows(s.ID) {
+		c.Cost += overloadedCost
 	}
 	return c, true
 }
@@ -174,46 +174,46 @@
 // With one edge for all, most engines can leave the choice at one moment, where orders
 // are late, and callers are refused or late at the rest. So those with little ahead
 // go on until shortly before the bound, while the others are refreshed.
-func (p *Placer) beginsInTime(c *Choice, age time.Duration) bool {
+func (p *Placer) startsInTime(c *Choice, age time.Duration) bool {
 	c.FirstByteTimeout = p.settings.OutdatedHardLimit - age - c.Wait
 	if age <= p.settings.OutdatedSoftLimit {
 		return true
 	}
-	return time.Duration(beginsWithin*c.Expected*float64(time.Millisecond)) < c.FirstByteTimeout
+	return time.Duration(firstByteMargin*c.Expected*float64(time.Millisecond)) < c.FirstByteTimeout
 }
 
 // plain is the cost of a plain service's server, which has no shared parts.
-func (p *Placer) plain(s *server) float64 {
+func (p *Placer) plainServerCost(s *server) float64 {
 	slots := float64(max(s.slots, 1))
-	return plainCost * p.load(s) / slots
+	return plainUtilizationCost * p.estimatedLoad(s) / slots
 }
 
 // load estimates what runs and waits at a server: the keeper's word, with what
 // this gate has sent or seen answered since. Without a keeper it is the server's own
 // word with an answer, and as that grows old the gates are taken to send alike.
-func (p *Placer) load(s *server) float64 {
-	if !s.told.IsZero() && p.clock.Since(s.told) < toldLasts {
-		return max(float64(s.state.Running+s.state.Waiting+s.flying-s.atTold), float64(s.flying))
+func (p *Placer) estimatedLoad(s *server) float64 {
+	if !s.reportedAt.IsZero() && p.clock.Since(s.reportedAt) < reportTTL {
+		return max(float64(s.state.Running+s.state.Waiting+s.inFlight-s.inFlightAtReport), float64(s.inFlight))
 	}
-	alike := float64(s.flying * p.settings.Gates)
-	age := p.clock.Since(s.saidAt)
-	if !s.said.Known || age >= saidLasts {
-		return alike
+	assumed := float64(s.inFlight * p.settings.Gates)
+	age := p.clock.Since(s.answerLoadAt)
+	if !s.answerLoad.Known || age >= answerLoadTTL {
+		return assumed
 	}
-	said := float64(max(s.said.Running+s.said.Waiting-s.atSaid, 0) + s.flying)
-	return said + (alike-said)*float64(age)/float64(saidLasts)
+	reported := float64(max(s.answerLoad.Running+s.answerLoad.Waiting-s.inFlightAtAnswer, 0) + s.inFlight)
+	return reported + (assumed-reported)*float64(age)/float64(answerLoadTTL)
 }
 
-func (p *Placer) fill(s *server, now time.Time) float64 {
+func (p *Placer) utilizationCost(s *server, now time.Time) float64 {
 	slots := float64(max(s.slots, defaultSlots))
-	load := p.load(s)
+	load := p.estimatedLoad(s)
 	share := min(load/slots, 1)
-	cost := fillCost * share * share
+	cost := fullBatchCost * share * share
 	if load > slots {
-		cost += overCost * (load - slots)
+		cost += queuedRequestCost * (load - slots)
 	}
-	if s.fresh(now) && s.state.CacheTotal > 0 && float64(s.state.CacheUsed) > memoryFull*float64(s.state.CacheTotal) {
-		cost += memoryCost
+	if s.hasRecentReport(now) && s.state.CacheTotal > 0 && float64(s.state.CacheUsed) > cacheFullShare*float64(s.state.CacheTotal) {
+		cost += cacheFullCost
 	}
 	return cost
 }
@@ -221,29 +221,29 @@
 // late is the cost of an answer that will probably miss its objective: most of
 // what it is worth to its caller is lost then, and no cached part makes up for
 // that. It sets in before the objective, since the wait is only estimated.
-func late(expected, objective float64) float64 {
+func latenessCost(expected, objective float64) float64 {
 	if objective <= 0 {
 		return 0
 	}
-	return lateCost * min(max((expected/objective-lateFrom)/(1-lateFrom), 0), 1)
+	return missedObjectiveCost * min(max((expected/objective-latenessStart)/(1-latenessStart), 0), 1)
 }
 
 // ahead is the prompt tokens that a server still has to read: what this gate
 // has sent, or what the keeper has heard from all gates, if that is more, or
 // what as many waiting requests as the engine reports usually have to read.
-func (p *Placer) ahead(s *server, now time.Time) float64 {
-	ahead := float64(s.unread)
-	if s.fresh(now) {
-		read := milliseconds(now.Sub(s.told)) * p.rateOf(s, now)
-		ahead = max(ahead, float64(s.state.Reading)-read)
-		ahead = max(ahead, float64(s.state.Waiting)*p.usual-read)
+func (p *Placer) queuedTokens(s *server, now time.Time) float64 {
+	tokens := float64(s.pendingPrefill)
+	if s.hasRecentReport(now) {
+		done := milliseconds(now.Sub(s.reportedAt)) * p.serverPrefillRate(s, now)
+		tokens = max(tokens, float64(s.state.Reading)-done)
+		tokens = max(tokens, float64(s.state.Waiting)*p.meanPrefill-done)
 	}
-	return ahead
+	return tokens
 }
 
 // rateOf is the prompt tokens that a server reads in a millisecond.
-func (p *Placer) rateOf(s *server, now time.Time) float64 {
-	return p.speed.rate / p.factor(s, now)
+func (p *Placer) serverPrefillRate(s *server, now time.Time) float64 {
+	return p.prefill.rate / p.paceFactor(s, now)
 }
 
 // StillUsable tells whether the server of a choice may be used yet, after the
--- a/internal/request/beechplace/kept.go
+++ b/internal/request/beechplace/kvstore.go
@@ -10,64 +10,64 @@
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
-// keptStore is a store of kept KV cache as this gate knows it. A fleet may have
+// kvStore is a store of kept KV cache as this gate knows it. A fleet may have
 // several, each behind a link of its own.
-type keptStore struct {
+type kvStore struct {
 	beechcall.Service
-	downTil time.Time
-	emptied time.Time // when it was seen down last; it comes back empty
-	fetches keptLink
-	saves   keptLink
+	downUntil   time.Time
+	lastFailure time.Time // when it was seen down last; it comes back empty
+	fetches     storeLink
+	saves       storeLink
 }
 
-// keptDownLasts is how long a store is left alone that took no connection: two are
+// storeRetryInterval is how long a store is left alone that took no connection: two are
 // looked at by turns.
-const keptDownLasts = 4 * time.Second
+const storeRetryInterval = 4 * time.Second
 
 // setStores takes in the stores of a configuration. What is known of one stays. The
 // caller holds the lock.
-func (p *Placer) setStores(list []beechcall.Service) {
-	stores := make([]*keptStore, 0, len(list))
-	for _, sheet := range list {
-		store := p.storeAt(sheet.Kept)
+func (p *Placer) setKVStores(list []beechcall.Service) {
+	stores := make([]*kvStore, 0, len(list))
+	for _, service := range list {
+		store := p.kvStoreAt(service.Kept)
 		if store == nil {
-			store = &keptStore{}
+			store = &kvStore{}
 		}
-		store.Service = sheet
+		store.Service = service
 		stores = append(stores, store)
 	}
-	p.stores = stores
-	p.shareLinks()
+	p.kvStores = stores
+	p.updateLinkShares()
 }
 
 // shareLinks works out this gate's share of both ways of the stores' links. The
 // caller holds the lock.
-func (p *Placer) shareLinks() {
-	bytes := 0
-	for _, s := range p.sheets {
-		bytes = max(bytes, s.TokenBytes)
+func (p *Placer) updateLinkShares() {
+	tokenBytes := 0
+	for _, s := range p.serviceConfigs {
+		tokenBytes = max(tokenBytes, s.TokenBytes)
 	}
-	for _, store := range p.stores {
-		store.fetches.set(store.Link, bytes, p.settings.Gates)
-		store.saves.set(store.Link, bytes, p.settings.Gates)
+	for _, store := range p.kvStores {
+		store.fetches.setRate(store.Link, tokenBytes, p.settings.Gates)
+		store.saves.setRate(store.Link, tokenBytes, p.settings.Gates)
 	}
 }
 
 // room tells whether so many tokens may be moved by a link now. The caller holds
 // the lock.
-func (p *Placer) room(link *keptLink, tokens int, now time.Time) bool {
-	link.least = lumpPrompts * p.size
-	return link.room(tokens, now)
+func (p *Placer) linkHasRoom(link *storeLink, tokens int, now time.Time) bool {
+	link.minBurst = burstPrompts * p.meanPrompt
+	return link.hasRoom(tokens, now)
 }
 
 // storeAt gives the store at an address, nil if there is none. The caller holds the
 // lock.
-func (p *Placer) storeAt(address netip.AddrPort) *keptStore {
-	i := slices.IndexFunc(p.stores, func(s *keptStore) bool { return s.Kept == address })
+func (p *Placer) kvStoreAt(address netip.AddrPort) *kvStore {
+	i := slices.IndexFunc(p.kvStores, func(s *kvStore) bool { return s.Kept == address })
 	if i < 0 {
 		return nil
 	}
-	return p.stores[i]
+	return p.kvStores[i]
 }
 
 // storeOf gives the store for a shared part with all parts before it, alike in all
@@ -75,10 +75,10 @@
 // so the innermost shared part decides. With a store of its own choice in each gate
 // most of what one had saved the others sought where it was not, and it was read
 // again. The caller holds the lock.
-func (p *Placer) storeOf(part string) *keptStore {
-	var best *keptStore
+func (p *Placer) kvStoreFor(part string) *kvStore {
+	var best *kvStore
 	var bestScore uint64
-	for _, store := range p.stores {
+	for _, store := range p.kvStores {
 		if score := xxhash.Sum64String(part + store.Kept.String()); best == nil || score > bestScore {
 			best, bestScore = store, score
 		}
@@ -88,16 +88,16 @@
 
 // savedSince tells when a part was sent to the store, zero where it is not there any
 // more.
-func (s *keptStore) savedSince(held *holding) time.Time {
-	if s == nil || !held.saved.After(s.emptied) {
+func (s *kvStore) savedAt(locations *partLocations) time.Time {
+	if s == nil || !locations.savedAt.After(s.lastFailure) {
 		return time.Time{}
 	}
-	return held.saved
+	return locations.savedAt
 }
 
 // address is where the store is, invalid while it does not answer.
-func (s *keptStore) address(now time.Time) netip.AddrPort {
-	if now.Before(s.downTil) {
+func (s *kvStore) address(now time.Time) netip.AddrPort {
+	if now.Before(s.downUntil) {
 		return netip.AddrPort{}
 	}
 	return s.Kept
@@ -108,9 +108,9 @@
 func (p *Placer) KVStoreFailed(address netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if store := p.storeAt(address); store != nil {
+	if store := p.kvStoreAt(address); store != nil {
 		now := p.clock.Now()
-		store.downTil, store.emptied = now.Add(keptDownLasts), now
+		store.downUntil, store.lastFailure = now.Add(storeRetryInterval), now
 	}
 }
 
@@ -118,8 +118,8 @@
 func (p *Placer) KVStores() []netip.AddrPort {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	addresses := make([]netip.AddrPort, 0, len(p.stores))
-	for _, store := range p.stores {
+	addresses := make([]netip.AddrPort, 0, len(p.kvStores))
+	for _, store := range p.kvStores {
 		addresses = append(addresses, store.Kept)
 	}
 	return addresses
--- a/internal/request/beechplace/limit_test.go
+++ b/internal/request/beechplace/limit_test.go
@@ -10,7 +10,7 @@
 )
 
 // full has a server name a limit and be sent what it takes.
-func (f *fleet) full(id string, rate float64) {
+func (f *fleet) exhaustLimit(id string, rate float64) {
 	f.limits.Heard(id, 0, beechthrottle.Names{Rate: rate}, f.limits.Now())
 	for range 8 {
 		f.limits.Take(id)
@@ -19,21 +19,21 @@
 
 // The server that holds a history names a limit and has had what it takes. Requests for
 // the history go elsewhere and not there, though it is read once more, and its home moves.
-func TestHistoryGivesWayToALimit(t *testing.T) {
+func TestServerLimitOverridesCacheLocality(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	f.tellAll(nil)
-	call := ask("h", 4000, 100)
+	f.reportAll(nil)
+	call := newCall("h", 4000, 100)
 	first := f.choose(t, call)
 	f.StartAttempt(call, first).Done(Answered)
 	f.clock.Advance(time.Second)
-	f.tellAll(nil)
+	f.reportAll(nil)
 	is.Equal(f.choose(t, call).Server.ID, first.Server.ID)
-	f.full(first.Server.ID, 0.1)
+	f.exhaustLimit(first.Server.ID, 0.1)
 	other := f.choose(t, call)
 	is.True(other.Server.ID != first.Server.ID)
 	is.Equal(other.LimitedServer, first.Server.ID)
-	is.True(f.levels(call, f.clock.Now())[0].home != first.Server.ID)
+	is.True(f.sharedParts(call, f.clock.Now())[0].homeID != first.Server.ID)
 }
 
 // All servers have had what they take. A caller is turned away at once, and those who
@@ -41,13 +41,13 @@
 func TestAllServersAtTheirLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	f.tellAll(nil)
-	f.full(f.servers[0].ID, 2)
-	f.full(f.servers[2].ID, 2)
-	c, ok := f.Choose(ask("h", 4000, 100), nil)
+	f.reportAll(nil)
+	f.exhaustLimit(f.servers[0].ID, 2)
+	f.exhaustLimit(f.servers[2].ID, 2)
+	c, ok := f.Choose(newCall("h", 4000, 100), nil)
 	is.True(!ok)
 	is.True(c.RetryAfter > 0)
-	is.True(c.RetryAfter <= returnMost)
+	is.True(c.RetryAfter <= maxRetryAfter)
 	var last time.Duration
 	for n := range 8 {
 		back := f.RetryAfter("llm", c.RetryAfter)
@@ -59,24 +59,24 @@
 	for range 100 {
 		last = f.RetryAfter("llm", c.RetryAfter)
 	}
-	is.Equal(last, returnMost)
+	is.Equal(last, maxRetryAfter)
 }
 
 // A request is chosen for a server and waits; meanwhile the server comes to its limit. It
 // does not go there, and one that found no connection does not count.
-func TestLimitIsKeptToWhenSending(t *testing.T) {
+func TestLimitIsCheckedWhenSending(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
-	f.tellAll(nil)
-	call := ask("h", 4000, 100)
+	f.reportAll(nil)
+	call := newCall("h", 4000, 100)
 	choice := f.choose(t, call)
 	late := f.StartAttempt(call, choice)
-	f.full(choice.Server.ID, 0.1)
+	f.exhaustLimit(choice.Server.ID, 0.1)
 	is.True(!late.AcquireLimit())
 	late.Done(Cancelled)
 
 	f = newFleet(1)
-	f.tellAll(nil)
+	f.reportAll(nil)
 	f.limits.Heard(choice.Server.ID, 0, beechthrottle.Names{Rate: 0.1}, f.limits.Now())
 	for range 20 { // a connection is never made
 		attempt := f.StartAttempt(call, choice)
--- a/internal/request/beechplace/memory.go
+++ b/internal/request/beechplace/memory.go
@@ -4,26 +4,26 @@
 
 // stay is how long runs keep their memory, weighed by their tokens. The zero
 // value has seen no run.
-type stay struct {
+type residenceTime struct {
 	tokenTime float64 // tokens x milliseconds, a running mean
 	tokens    float64 // a running mean
 }
 
 const (
-	// stayFirst is taken before a run has ended: the known kinds of requests
+	// defaultResidence is taken before a run has ended: the known kinds of requests
 	// run for 0.5 to 3 s.
-	stayFirst = 1000.0 // milliseconds
-	stayOver  = 128    // runs
+	defaultResidence = 1000.0 // milliseconds
+	residenceSamples = 128    // runs
 )
 
-func (s *stay) learn(tokens int, took time.Duration) {
-	s.tokenTime += (float64(tokens)*milliseconds(took) - s.tokenTime) / stayOver
-	s.tokens += (float64(tokens) - s.tokens) / stayOver
+func (s *residenceTime) learn(tokens int, took time.Duration) {
+	s.tokenTime += (float64(tokens)*milliseconds(took) - s.tokenTime) / residenceSamples
+	s.tokens += (float64(tokens) - s.tokens) / residenceSamples
 }
 
-func (s *stay) mean() float64 {
+func (s *residenceTime) mean() float64 {
 	if s.tokens <= 0 {
-		return stayFirst
+		return defaultResidence
 	}
 	return s.tokenTime / s.tokens
 }
@@ -35,26 +35,26 @@
 // With part of a fleet dark the others' memory fills with runs, and a long
 // prompt waits a second and more for room while little is ahead of it to be
 // read. Counted by reading alone it would go where it is late and keep others out.
-func (p *Placer) blocked(short float64, s *server) float64 {
-	if short <= 0 {
+func (p *Placer) memoryWait(shortfall float64, s *server) float64 {
+	if shortfall <= 0 {
 		return 0
 	}
-	return short * p.stay.mean() / float64(s.state.CacheUsed)
+	return shortfall * p.residence.mean() / float64(s.state.CacheUsed)
 }
 
 // short is the tokens that an engine's memory lacks for a prompt beside what runs
 // and what is on its way there; 0 where it has room or is not known.
-func (p *Placer) short(s *server, tokens int, now time.Time) float64 {
-	if !s.fresh(now) || s.state.CacheTotal <= 0 || s.state.CacheUsed <= 0 {
+func (p *Placer) memoryShortfall(s *server, tokens int, now time.Time) float64 {
+	if !s.hasRecentReport(now) || s.state.CacheTotal <= 0 || s.state.CacheUsed <= 0 {
 		return 0
 	}
-	arriving := s.state.Waiting + max(s.flying-s.atTold, 0)
-	need := float64(tokens) + float64(arriving)*p.size
+	arriving := s.state.Waiting + max(s.inFlight-s.inFlightAtReport, 0)
+	need := float64(tokens) + float64(arriving)*p.meanPrompt
 	return max(need-float64(s.state.CacheTotal-s.state.CacheUsed), 0)
 }
 
 // crowding is the cost of a prompt that an engine's memory has no room for: a run
 // yields there, and is read again from its start.
-func (p *Placer) crowding(short float64) float64 {
-	return p.settings.ReprefillCost * min(short, p.size)
+func (p *Placer) preemptionCost(shortfall float64) float64 {
+	return p.settings.ReprefillCost * min(shortfall, p.meanPrompt)
 }
--- a/internal/request/beechplace/full_test.go
+++ b/internal/request/beechplace/overload_test.go
@@ -12,7 +12,7 @@
 
 // Another gate tells that the plain servers of this zone are full. Those of the other zone
 // are chosen, until all are full: then the nearest, as before.
-func TestFullServersAreTheLast(t *testing.T) {
+func TestOverloadedServersAreChosenLast(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
@@ -23,24 +23,24 @@
 			other.TurnedAway(s.ID, 0)
 		}
 	}
-	f.Placer.full.Hear(other.Word())
+	f.Placer.overloaded.Hear(other.Word())
 	is.Equal(f.choose(t, call).Server.Zone, "b")
 	for _, s := range f.servers {
 		other.TurnedAway(s.ID, 0)
 	}
-	f.Placer.full.Hear(other.Word())
+	f.Placer.overloaded.Hear(other.Word())
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 }
 
 // A server turns a request of this gate away and asks for a second. It is the last choice
 // for as long, until it answers a newer request.
-func TestServerThatAsksForTime(t *testing.T) {
+func TestServerRetryAfterIsHonored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
 	call := &beechcall.Call{Service: "app", Route: route}
 	c := f.choose(t, call)
-	ticket := f.StartAttempt(call, c)
-	ticket.Done(Rejected)
+	attempt := f.StartAttempt(call, c)
+	attempt.Done(Rejected)
 	f.ObserveRejection(c.Server.ID, beechcall.NotRun{Status: 503, After: time.Second}, "")
 	f.clock.Advance(900 * time.Millisecond)
 	next := f.choose(t, call)
@@ -52,31 +52,31 @@
 }
 
 // A keeper that speaks knows better than an answer that is a moment old.
-func TestKeeperKnowsWhetherThereIsRoom(t *testing.T) {
+func TestRejectionIsNotSharedWhileKeeperReports(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	f.tellAll(nil)
-	call := ask("s", 300, 100)
+	f.reportAll(nil)
+	call := newCall("s", 300, 100)
 	c := f.choose(t, call)
-	ticket := f.StartAttempt(call, c)
-	ticket.Done(Rejected)
+	attempt := f.StartAttempt(call, c)
+	attempt.Done(Rejected)
 	f.ObserveRejection(c.Server.ID, beechcall.NotRun{Status: 503}, "m")
-	is.Equal(len(f.Placer.full.Word()), 0)
+	is.Equal(len(f.Placer.overloaded.Word()), 0)
 }
 
 // A server says with its answers that it is busy with others' requests. The next request
 // goes to one that is not; after a while what it said counts no more.
-func TestLoadThatAServerNames(t *testing.T) {
+func TestLoadReportedInAnswers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
 	c := f.choose(t, call)
-	ticket := f.StartAttempt(call, c)
-	ticket.ObserveLoad(beechcall.Load{Known: true, Running: 6, Waiting: 2, Slots: 6})
-	ticket.Done(Answered)
+	attempt := f.StartAttempt(call, c)
+	attempt.ObserveLoad(beechcall.Load{Known: true, Running: 6, Waiting: 2, Slots: 6})
+	attempt.Done(Answered)
 	next := f.choose(t, call)
 	is.True(next.Server.ID != c.Server.ID)
 	is.Equal(next.Server.Zone, c.Server.Zone)
-	f.clock.Advance(saidLasts)
+	f.clock.Advance(answerLoadTTL)
 	is.Equal(f.choose(t, call).Server.ID, c.Server.ID)
 }
--- a/internal/request/beechplace/pace.go
+++ b/internal/request/beechplace/pace.go
@@ -16,10 +16,10 @@
 	// engines' common speed lets expect. It counts against that of the middle one
 	// of all engines: where the whole fleet is busy, nobody is slow.
 	pace struct {
-		log     float64 // mean of the last
-		samples float64 // that it stands on
-		at      time.Time
-		untold  PaceReport // that other gates have not heard of
+		meanLog    float64 // mean of the last
+		samples    float64 // that it stands on
+		updatedAt  time.Time
+		unreported PaceReport // that other gates have not heard of
 	}
 
 	// PaceReport is what first words of an engine told a gate.
@@ -31,30 +31,30 @@
 )
 
 const (
-	// paceOver samples are remembered, so that an engine that slows down shows it within
+	// maxPaceSamples samples are remembered, so that an engine that slows down shows it within
 	// as many requests.
-	paceOver = 24
-	// paceDoubt is as many samples that say that an engine is like the others.
-	paceDoubt = 6
-	// paceFades is the time in which half of what was seen is forgotten: an engine that
+	maxPaceSamples = 24
+	// pacePriorSamples is as many samples that say that an engine is like the others.
+	pacePriorSamples = 6
+	// paceHalfLife is the time in which half of what was seen is forgotten: an engine that
 	// seems slow gets little to do, and would never show that it has recovered.
-	paceFades = 10 * time.Second
-	paceMost  = 8
+	paceHalfLife = 10 * time.Second
+	maxPaceRatio = 8
 	// paceNoise of the logarithm is what engines of the same speed differ by, as one or the
 	// other has more waiting than is known.
 	paceNoise = 0.45
-	// seenMost samples are more than a gate sees of an engine between two words.
-	seenMost = 10000
+	// maxReportSamples samples are more than a gate sees of an engine between two words.
+	maxReportSamples = 10000
 )
 
 // factor is how many times as long as the middle one an engine takes.
-func (p *Placer) factor(s *server, now time.Time) float64 {
+func (p *Placer) paceFactor(s *server, now time.Time) float64 {
 	e := &s.pace
 	if e.samples == 0 {
 		return 1
 	}
-	samples := e.kept(now)
-	log := (e.log - p.common) * samples / (samples + paceDoubt)
+	samples := e.effectiveSamples(now)
+	log := (e.meanLog - p.medianPace) * samples / (samples + pacePriorSamples)
 	if math.Abs(log) <= paceNoise {
 		return 1
 	}
@@ -62,38 +62,38 @@
 }
 
 // kept is how many samples are still believed.
-func (e *pace) kept(now time.Time) float64 {
-	return e.samples * math.Pow(0.5, float64(max(now.Sub(e.at), 0))/float64(paceFades))
+func (e *pace) effectiveSamples(now time.Time) float64 {
+	return e.samples * math.Pow(0.5, float64(max(now.Sub(e.updatedAt), 0))/float64(paceHalfLife))
 }
 
 // learn takes in how long first words took, as the mean of so many.
 func (e *pace) learn(log, samples float64, now time.Time) {
-	samples = min(samples, paceOver)
-	kept := min(e.kept(now), paceOver-samples)
-	e.log = (e.log*kept + log*samples) / (kept + samples)
-	e.samples, e.at = kept+samples, now
+	samples = min(samples, maxPaceSamples)
+	previous := min(e.effectiveSamples(now), maxPaceSamples-samples)
+	e.meanLog = (e.meanLog*previous + log*samples) / (previous + samples)
+	e.samples, e.updatedAt = previous+samples, now
 }
 
 // paced takes in what a first word tells of its engine.
-func (p *Placer) paced(s *server, took, usual float64, now time.Time) {
-	log := math.Log(min(max(took/max(usual, 1), 1./paceMost), paceMost))
+func (p *Placer) recordPace(s *server, took, expected float64, now time.Time) {
+	log := math.Log(min(max(took/max(expected, 1), 1./maxPaceRatio), maxPaceRatio))
 	s.pace.learn(log, 1, now)
-	u := &s.pace.untold
-	u.Log = (u.Log*float64(u.Samples) + log) / float64(u.Samples+1)
-	u.Samples++
+	unreported := &s.pace.unreported
+	unreported.Log = (unreported.Log*float64(unreported.Samples) + log) / float64(unreported.Samples+1)
+	unreported.Samples++
 }
 
 // center takes the middle one of all engines for what is common to them.
-func (p *Placer) center() {
+func (p *Placer) updateMedianPace() {
 	var logs []float64
 	for _, s := range p.byID {
 		if s.pace.samples > 0 {
-			logs = append(logs, s.pace.log)
+			logs = append(logs, s.pace.meanLog)
 		}
 	}
 	if len(logs) > 0 {
 		slices.Sort(logs)
-		p.common = logs[len(logs)/2]
+		p.medianPace = logs[len(logs)/2]
 	}
 }
 
@@ -102,29 +102,29 @@
 func (p *Placer) TakePaceReports(most int) []PaceReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.center()
+	p.updateMedianPace()
 	var list []PaceReport
 	for hash, s := range p.byHash {
-		if s.pace.untold.Samples == 0 || len(list) == most {
+		if s.pace.unreported.Samples == 0 || len(list) == most {
 			continue
 		}
-		s.pace.untold.Engine = hash
-		list = append(list, s.pace.untold)
-		s.pace.untold = PaceReport{}
+		s.pace.unreported.Engine = hash
+		list = append(list, s.pace.unreported)
+		s.pace.unreported = PaceReport{}
 	}
 	return list
 }
 
 // MergePaceReport takes in what another gate has seen. A word that makes no sense is passed
 // over.
-func (p *Placer) MergePaceReport(seen PaceReport) {
+func (p *Placer) MergePaceReport(report PaceReport) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s, ok := p.byHash[seen.Engine]
-	if !ok || seen.Samples <= 0 || seen.Samples > seenMost || !(math.Abs(seen.Log) <= math.Log(paceMost)) {
+	s, ok := p.byHash[report.Engine]
+	if !ok || report.Samples <= 0 || report.Samples > maxReportSamples || !(math.Abs(report.Log) <= math.Log(maxPaceRatio)) {
 		return
 	}
-	s.pace.learn(seen.Log, float64(seen.Samples), p.clock.Now())
+	s.pace.learn(report.Log, float64(report.Samples), p.clock.Now())
 }
 
 // Paces gives how many times as long as the middle one engines take, by ID.
@@ -135,7 +135,7 @@
 	paces := make(map[string]float64)
 	for id, s := range p.byID {
 		if s.pace.samples > 0 {
-			paces[id] = p.factor(s, now)
+			paces[id] = p.paceFactor(s, now)
 		}
 	}
 	return paces
--- a/internal/request/beechplace/pace_test.go
+++ b/internal/request/beechplace/pace_test.go
@@ -17,32 +17,32 @@
 
 // paceFleet is some gates before engines of which some are slower, in virtual time.
 type paceFleet struct {
-	clock  *clockwork.FakeClock
-	gates  []*Placer
-	slow   map[string]float64 // times as long as the others
-	random *rand.Rand
-	first  map[string]int // requests by engine
+	clock    *clockwork.FakeClock
+	gates    []*Placer
+	slowdown map[string]float64 // times as long as the others
+	random   *rand.Rand
+	requests map[string]int // requests by engine
 
-	running []running
+	running []pendingRequest
 }
 
-type running struct {
+type pendingRequest struct {
 	ticket *Attempt
 	until  time.Time
 }
 
 func newPaceFleet(gates, engines int, slow func(i int) float64) *paceFleet {
 	f := &paceFleet{
-		clock: clockwork.NewFakeClock(), slow: make(map[string]float64), random: rand.New(rand.NewPCG(1, 2)), first: make(map[string]int),
+		clock: clockwork.NewFakeClock(), slowdown: make(map[string]float64), random: rand.New(rand.NewPCG(1, 2)), requests: make(map[string]int),
 	}
 	var list []beechcall.Server
 	for i := range engines {
 		id := fmt.Sprintf("e%02d", i)
-		f.slow[id] = slow(i)
+		f.slowdown[id] = slow(i)
 		list = append(list, beechcall.Server{ID: id, Service: "llm", Zone: "a", Slots: 8, Address: address(i), Weights: map[string]uint64{"m": 1}})
 	}
 	for range gates {
-		p := New(Settings{Zone: "a", Gates: gates}, f.clock, weights{}, throttle(f.clock), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
+		p := New(Settings{Zone: "a", Gates: gates}, f.clock, fixedWeights{}, newThrottle(f.clock), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
 		p.SetServers(list)
 		f.gates = append(f.gates, p)
 	}
@@ -51,34 +51,34 @@
 
 // play has each gate send fifty requests a second, and gates tell one another
 // each second what they have seen.
-func (f *paceFleet) play(length time.Duration) {
+func (f *paceFleet) run(length time.Duration) {
 	const step = 20 * time.Millisecond
 	for round := range int(length / step) {
 		for i, p := range f.gates {
 			f.send(p, fmt.Sprint("own", i, f.clock.Now()))
 		}
 		f.clock.Advance(step)
-		f.answer()
+		f.completeRequests()
 		if round%50 == 49 {
-			f.tell()
+			f.exchangeReports()
 		}
 	}
 }
 
 // send chooses an engine, which answers after a while.
 func (f *paceFleet) send(p *Placer, subject string) {
-	c, ok := p.Choose(ask(subject, 0, 2000), nil)
+	c, ok := p.Choose(newCall(subject, 0, 2000), nil)
 	if !ok {
 		return
 	}
-	f.first[c.Server.ID]++
+	f.requests[c.Server.ID]++
 	wait := f.random.ExpFloat64() * 30 // behind what nobody knows of
-	took := (80 + 2000/60. + wait) * f.slow[c.Server.ID]
-	f.running = append(f.running, running{p.StartAttempt(ask(subject, 0, 2000), c), f.clock.Now().Add(time.Duration(took * float64(time.Millisecond)))})
+	took := (80 + 2000/60. + wait) * f.slowdown[c.Server.ID]
+	f.running = append(f.running, pendingRequest{p.StartAttempt(newCall(subject, 0, 2000), c), f.clock.Now().Add(time.Duration(took * float64(time.Millisecond)))})
 }
 
-func (f *paceFleet) answer() {
-	f.running = slices.DeleteFunc(f.running, func(r running) bool {
+func (f *paceFleet) completeRequests() {
+	f.running = slices.DeleteFunc(f.running, func(r pendingRequest) bool {
 		if f.clock.Now().Before(r.until) {
 			return false
 		}
@@ -88,7 +88,7 @@
 	})
 }
 
-func (f *paceFleet) tell() {
+func (f *paceFleet) exchangeReports() {
 	for i, from := range f.gates {
 		for _, s := range from.TakePaceReports(400) {
 			for j, to := range f.gates {
@@ -103,15 +103,15 @@
 // A third of the engines take three times as long. All gates find out within some
 // seconds, though each sees an engine seldom, and send the slow ones less, so that fewer
 // callers wait there.
-func TestSlowEnginesAreFoundOut(t *testing.T) {
+func TestSlowEnginesGetLessWork(t *testing.T) {
 	is := is.New(t)
 	f := newPaceFleet(8, 12, func(i int) float64 { return []float64{1, 1, 3}[i%3] })
-	f.play(8 * time.Second)
-	clear(f.first)
-	f.play(4 * time.Second)
+	f.run(8 * time.Second)
+	clear(f.requests)
+	f.run(4 * time.Second)
 	quick, slow := 0, 0
-	for id, n := range f.first {
-		if f.slow[id] > 1 {
+	for id, n := range f.requests {
+		if f.slowdown[id] > 1 {
 			slow += n
 		} else {
 			quick += n
@@ -120,7 +120,7 @@
 	is.True(float64(slow)/4 < 0.5*float64(quick)/8) // per engine
 	for _, p := range f.gates {
 		for id, factor := range p.Paces() {
-			if f.slow[id] == 1 {
+			if f.slowdown[id] == 1 {
 				is.Equal(factor, 1.0)
 			}
 		}
@@ -129,10 +129,10 @@
 
 // Engines are alike, and what waits at one or the other makes first words differ. None
 // may be taken for slow.
-func TestEnginesAlikeStayAlike(t *testing.T) {
+func TestEqualEnginesGetEqualPace(t *testing.T) {
 	is := is.New(t)
 	f := newPaceFleet(8, 12, func(int) float64 { return 1 })
-	f.play(12 * time.Second)
+	f.run(12 * time.Second)
 	for _, factor := range f.gates[0].Paces() {
 		is.True(factor > 0.9 && factor < 1.1)
 	}
@@ -140,27 +140,27 @@
 
 // One engine slows down by eight in the middle of its work and recovers. It gets less to do
 // within seconds, and is believed to be like the others again later.
-func TestEngineThatSlowsDownAndRecovers(t *testing.T) {
+func TestEngineSlowdownAndRecovery(t *testing.T) {
 	is := is.New(t)
 	f := newPaceFleet(8, 12, func(int) float64 { return 1 })
-	f.play(5 * time.Second)
-	before := f.first["e00"]
-	f.slow["e00"] = 8
-	f.play(5 * time.Second)
-	slowed := f.first["e00"] - before
+	f.run(5 * time.Second)
+	before := f.requests["e00"]
+	f.slowdown["e00"] = 8
+	f.run(5 * time.Second)
+	slowed := f.requests["e00"] - before
 	is.True(f.gates[1].Paces()["e00"] > 1.2)
 	is.True(slowed < before/2)
-	f.slow["e00"] = 1
-	f.play(20 * time.Second)
+	f.slowdown["e00"] = 1
+	f.run(20 * time.Second)
 	is.True(f.gates[1].Paces()["e00"] < 1.1)
 }
 
 // Another gate's word makes no sense, or is of an engine that is gone.
-func TestPacesThatMakeNoSense(t *testing.T) {
+func TestInvalidPaceReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newPaceFleet(1, 3, func(int) float64 { return 1 })
 	p := f.gates[0]
-	f.play(time.Second)
+	f.run(time.Second)
 	before := p.Paces()
 	var known uint64
 	for hash := range p.byHash {
@@ -169,7 +169,7 @@
 	for _, bad := range []PaceReport{
 		{known, 0, 1},
 		{known, -1, 1},
-		{known, seenMost + 1, 1},
+		{known, maxReportSamples + 1, 1},
 		{known, 1, math.NaN()},
 		{known, 1, math.Inf(1)},
 		{known, 1, 100},
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -20,101 +20,101 @@
 type (
 	// Placer chooses servers. It is safe for concurrent use.
 	Placer struct {
-		settings Settings
-		clock    clockwork.Clock
-		health   Health
-		limits   *beechthrottle.Throttle
-		full     *beechroom.Register
-		announce Announce
+		settings   Settings
+		clock      clockwork.Clock
+		health     Health
+		limits     *beechthrottle.Throttle
+		overloaded *beechroom.Register
+		announce   Announce
 
-		mu       sync.Mutex
-		services map[string][]*server
-		byID     map[string]*server
-		byPlace  map[netip.AddrPort]*server
-		byHash   map[uint64]*server // of the ID
-		sheets   map[string]beechcall.Service
-		stores   []*keptStore
-		versions map[string]*beechrollout.Versions // by model
-		holders  *lru.Cache[uint64, *holding]
-		speed    speed   // of engines in common, as learned
-		common   float64 // what first words tell of the middle one's pace
-		usual    float64 // tokens that a request has to read, the mean of the last
-		size     float64 // tokens of a prompt, the mean of the last
-		stay     stay
-		returns  map[string]time.Time // by service: when the last caller was told to come back
+		mu             sync.Mutex
+		services       map[string][]*server
+		byID           map[string]*server
+		byAddress      map[netip.AddrPort]*server
+		byHash         map[uint64]*server // of the ID
+		serviceConfigs map[string]beechcall.Service
+		kvStores       []*kvStore
+		versions       map[string]*beechrollout.Versions // by model
+		locations      *lru.Cache[uint64, *partLocations]
+		prefill        prefillModel // of engines in common, as learned
+		medianPace     float64      // what first words tell of the middle one's pace
+		meanPrefill    float64      // tokens that a request has to read, the mean of the last
+		meanPrompt     float64      // tokens of a prompt, the mean of the last
+		residence      residenceTime
+		nextRetry      map[string]time.Time // by service: when the last caller was told to come back
 	}
 
 	// server is a backend server in one lifetime with what is believed of it.
 	server struct {
 		beechcall.Server
-		slots   int
-		over    bool // another lifetime has its address
-		refuted bool // another one answered there
+		slots      int
+		superseded bool // another lifetime has its address
+		replaced   bool // another one answered there
 
-		told     time.Time // when its keeper last spoke; zero: never
-		state    State
-		empty    time.Time         // when it was seen to have started anew under its ID; zero: never
-		oldSince time.Time         // since when its weights are overtaken, by its keeper; zero: they are not, as it knows
-		weights  map[string]uint64 // the latest word, the list's or the engine's own
+		reportedAt    time.Time // when its keeper last spoke; zero: never
+		state         State
+		restartedAt   time.Time         // when it was seen to have started anew under its ID; zero: never
+		outdatedSince time.Time         // since when its weights are overtaken, by its keeper; zero: they are not, as it knows
+		weights       map[string]uint64 // the latest word, the list's or the engine's own
 
-		said   beechcall.Load // with its last answer to this gate
-		saidAt time.Time
-		atSaid int // flying then
+		answerLoad       beechcall.Load // with its last answer to this gate
+		answerLoadAt     time.Time
+		inFlightAtAnswer int // flying then
 
-		pace    pace
-		flying  int // sent by this gate, not answered
-		unread  int // tokens that these still have to read
-		atTold  int // flying when the keeper spoke
-		fails   int
-		downTil time.Time
-		darkTil time.Time // by the plan or by its own refusal: it loads weights
+		pace             pace
+		inFlight         int // sent by this gate, not answered
+		pendingPrefill   int // tokens that these still have to read
+		inFlightAtReport int // flying when the keeper spoke
+		failures         int
+		downUntil        time.Time
+		unavailableUntil time.Time // by the plan or by its own refusal: it loads weights
 		// doubtTil is while what answers at its address after it was down may be
 		// another lifetime, which the list does not tell yet. Sent on at once,
 		// requests would be turned away there, and the tries that each costs would be
 		// missed elsewhere.
-		doubtTil time.Time
+		identityDoubtUntil time.Time
 	}
 
 	// holding is where a shared part was sent lately. An instruction that all
 	// requests share lies in every engine, so all holders are remembered: with
 	// the latest few only, an engine that holds both the instruction and a history
 	// would be taken for one that has neither, and the history be read elsewhere.
-	holding struct {
-		servers map[string]holder // by ID
-		latest  []string          // IDs to fetch from, the latest first
-		saved   time.Time
+	partLocations struct {
+		servers map[string]cachedCopy // by ID
+		sources []string              // IDs to fetch from, the latest first
+		savedAt time.Time
 	}
 
-	holder struct {
-		at   time.Time
-		from time.Time // when it will have read the parts, so that others can fetch them
+	cachedCopy struct {
+		usedAt  time.Time
+		readyAt time.Time // when it will have read the parts, so that others can fetch them
 	}
 )
 
 const (
-	holdersKept   = 8192 // subjects with salts; the deployments have under a thousand at once
-	sourcesListed = 4
-	toldLasts     = 1500 * time.Millisecond // a keeper speaks several times in this
-	doubtLasts    = 1500 * time.Millisecond // a server that starts writes its entry at once, and the list tells of it within a second
-	unheardAfter  = 900 * time.Millisecond  // two intervals of a keeper whose engine works, and an idle one's
-	saidLasts     = 500 * time.Millisecond  // other gates' requests come and go
-	refusalDark   = 150 * time.Millisecond  // a server that turned work away gets none for a moment
-	announceLeast = 1500                    // tokens; a shorter prompt holds nobody up for long
-	defaultSlots  = 8
+	maxTrackedParts    = 8192 // subjects with salts; the deployments have under a thousand at once
+	maxSources         = 4
+	reportTTL          = 1500 * time.Millisecond // a keeper speaks several times in this
+	identityDoubtTime  = 1500 * time.Millisecond // a server that starts writes its entry at once, and the list tells of it within a second
+	keeperSilentAfter  = 900 * time.Millisecond  // two intervals of a keeper whose engine works, and an idle one's
+	answerLoadTTL      = 500 * time.Millisecond  // other gates' requests come and go
+	rejectionPause     = 150 * time.Millisecond  // a server that turned work away gets none for a moment
+	minAnnouncedTokens = 1500                    // tokens; a shorter prompt holds nobody up for long
+	defaultSlots       = 8
 )
 
 // New returns a placer that knows no server.
 func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, full *beechroom.Register, announce Announce) *Placer {
-	holders, err := lru.New[uint64, *holding](holdersKept)
+	holders, err := lru.New[uint64, *partLocations](maxTrackedParts)
 	if err != nil {
 		panic(err) // the size is a constant above zero
 	}
 	s = s.withDefaults()
 	return &Placer{
-		settings: s, speed: speed{rate: s.PrefillRate}, clock: clock, health: health, limits: limits, full: full, announce: announce,
-		services: make(map[string][]*server), byID: make(map[string]*server), byPlace: make(map[netip.AddrPort]*server),
-		sheets: make(map[string]beechcall.Service), versions: make(map[string]*beechrollout.Versions), holders: holders,
-		returns: make(map[string]time.Time),
+		settings: s, prefill: prefillModel{rate: s.PrefillRate}, clock: clock, health: health, limits: limits, overloaded: full, announce: announce,
+		services: make(map[string][]*server), byID: make(map[string]*server), byAddress: make(map[netip.AddrPort]*server),
+		serviceConfigs: make(map[string]beechcall.Service), versions: make(map[string]*beechrollout.Versions), locations: holders,
+		nextRetry: make(map[string]time.Time),
 	}
 }
 
@@ -123,31 +123,31 @@
 func (p *Placer) SetServers(list []beechcall.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.byID
+	previous := p.byID
 	p.byID = make(map[string]*server, len(list))
-	p.byPlace = make(map[netip.AddrPort]*server, len(list))
+	p.byAddress = make(map[netip.AddrPort]*server, len(list))
 	p.byHash = make(map[uint64]*server, len(list))
 	p.services = make(map[string][]*server)
-	for _, line := range list {
-		s, ok := old[line.ID]
+	for _, entry := range list {
+		s, ok := previous[entry.ID]
 		if !ok {
 			s = &server{weights: make(map[string]uint64)}
 		} else {
-			p.born(s, line.Born)
-			line.Born = max(line.Born, s.Born) // the list may be older than the keeper's word
+			p.observeStart(s, entry.Born)
+			entry.Born = max(entry.Born, s.Born) // the list may be older than the keeper's word
 		}
-		s.Server = line
-		s.slots = line.Slots
-		s.over = false
-		for model, version := range line.Weights {
+		s.Server = entry
+		s.slots = entry.Slots
+		s.superseded = false
+		for model, version := range entry.Weights {
 			s.weights[model] = max(s.weights[model], version)
 		}
-		p.byID[line.ID] = s
-		p.byHash[xxhash.Sum64String(line.ID)] = s
-		p.place(s)
-		p.services[line.Service] = append(p.services[line.Service], s)
+		p.byID[entry.ID] = s
+		p.byHash[xxhash.Sum64String(entry.ID)] = s
+		p.assignAddress(s)
+		p.services[entry.Service] = append(p.services[entry.Service], s)
 	}
-	for id := range old {
+	for id := range previous {
 		if _, listed := p.byID[id]; !listed {
 			p.limits.Anew(id, 0)
 		}
@@ -164,18 +164,18 @@
 
 // place gives a server its address. An address has one server at a time: of two
 // lines the earlier is that of a lifetime that has ended.
-func (p *Placer) place(s *server) {
-	there, taken := p.byPlace[s.Address]
+func (p *Placer) assignAddress(s *server) {
+	current, occupied := p.byAddress[s.Address]
 	switch {
-	case s.refuted:
-		s.over = true
-	case !taken:
-		p.byPlace[s.Address] = s
-	case there.Since < s.Since:
-		there.over = true
-		p.byPlace[s.Address] = s
+	case s.replaced:
+		s.superseded = true
+	case !occupied:
+		p.byAddress[s.Address] = s
+	case current.Since < s.Since:
+		current.superseded = true
+		p.byAddress[s.Address] = s
 	default:
-		s.over = true
+		s.superseded = true
 	}
 }
 
@@ -183,15 +183,15 @@
 func (p *Placer) SetConfiguration(c *beechcall.Configuration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.sheets = c.Services
-	p.setStores(c.KeptStores())
+	p.serviceConfigs = c.Services
+	p.setKVStores(c.KeptStores())
 }
 
 // SetGates tells how many gates send to the same engines.
 func (p *Placer) SetGates(n int) {
 	p.mu.Lock()
 	p.settings.Gates = max(n, 1)
-	p.shareLinks()
+	p.updateLinkShares()
 	p.mu.Unlock()
 }
 
@@ -211,34 +211,34 @@
 // overtaken is the time since an engine's weights were overtaken, by what this
 // gate has heard or, if that is longer, by its keeper's word: a gate that was
 // started a moment ago takes every version for new.
-func (p *Placer) overtaken(s *server, model string, have uint64, now time.Time) (age time.Duration, old bool) {
+func (p *Placer) outdatedFor(s *server, model string, version uint64, now time.Time) (age time.Duration, outdated bool) {
 	v, ok := p.versions[model]
 	if !ok {
 		return 0, false
 	}
-	age, old = v.Overtaken(have, now)
-	if old && !s.oldSince.IsZero() {
-		age = max(age, now.Sub(s.oldSince))
+	age, outdated = v.Overtaken(version, now)
+	if outdated && !s.outdatedSince.IsZero() {
+		age = max(age, now.Sub(s.outdatedSince))
 	}
-	return age, old
+	return age, outdated
 }
 
 // born takes in when a server's lifetime began. One that has started anew under
 // its ID holds nothing, owes nothing and has which weights it says; beliefs of
 // before would send it requests for parts that it lost.
-func (p *Placer) born(s *server, at uint64) {
-	if at <= s.Born {
+func (p *Placer) observeStart(s *server, start uint64) {
+	if start <= s.Born {
 		return // not told, known, or late word of a lifetime before
 	}
 	if s.Born != 0 {
-		p.limits.Anew(s.ID, at)
-		s.empty = p.clock.Now()
+		p.limits.Anew(s.ID, start)
+		s.restartedAt = p.clock.Now()
 		s.weights = make(map[string]uint64)
-		s.unread, s.fails = 0, 0
+		s.pendingPrefill, s.failures = 0, 0
 		s.pace = pace{}
-		s.told, s.downTil, s.darkTil = time.Time{}, time.Time{}, time.Time{}
+		s.reportedAt, s.downUntil, s.unavailableUntil = time.Time{}, time.Time{}, time.Time{}
 	}
-	s.Born = at
+	s.Born = start
 }
 
 // RolloutEngines gives what is known of the engines that serve a model, for a rollout
@@ -249,12 +249,12 @@
 	now := p.clock.Now()
 	var engines []beechrollout.Engine
 	for _, s := range p.byID {
-		if _, serves := s.Server.Weights[model]; !serves || s.Leaving || s.over {
+		if _, serves := s.Server.Weights[model]; !serves || s.Leaving || s.superseded {
 			continue
 		}
-		age, _ := p.overtaken(s, model, s.weights[model], now)
+		age, _ := p.outdatedFor(s, model, s.weights[model], now)
 		engines = append(engines, beechrollout.Engine{
-			ID: s.ID, Zone: s.Zone, Version: s.weights[model], Phase: s.state.Phase, Silent: !s.fresh(now), Tries: s.state.Tries,
+			ID: s.ID, Zone: s.Zone, Version: s.weights[model], Phase: s.state.Phase, Silent: !s.hasRecentReport(now), Tries: s.state.Tries,
 			Work: s.state.Running + s.state.Waiting, Slots: s.slots, Old: age,
 		})
 	}
@@ -268,38 +268,38 @@
 func (p *Placer) UpdateState(s State) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	v, ok := p.byPlace[s.Address]
-	if !ok || (s.Number < v.state.Number && v.fresh(p.clock.Now())) {
+	engine, ok := p.byAddress[s.Address]
+	if !ok || (s.Number < engine.state.Number && engine.hasRecentReport(p.clock.Now())) {
 		return ""
 	}
-	if v.state.Phase == beechrollout.Down && s.Phase != beechrollout.Down {
-		v.doubtTil = p.clock.Now().Add(doubtLasts)
+	if engine.state.Phase == beechrollout.Down && s.Phase != beechrollout.Down {
+		engine.identityDoubtUntil = p.clock.Now().Add(identityDoubtTime)
 	}
-	if s.Born > v.Born && v.Born != 0 {
-		v.doubtTil = time.Time{} // it has started anew under its ID
+	if s.Born > engine.Born && engine.Born != 0 {
+		engine.identityDoubtUntil = time.Time{} // it has started anew under its ID
 	}
-	p.born(v, s.Born)
-	v.oldSince = time.Time{}
+	p.observeStart(engine, s.Born)
+	engine.outdatedSince = time.Time{}
 	if s.Old > 0 {
-		v.oldSince = p.clock.Now().Add(-s.Old)
+		engine.outdatedSince = p.clock.Now().Add(-s.Old)
 	}
-	v.told, v.state, v.atTold = p.clock.Now(), s, v.flying
+	engine.reportedAt, engine.state, engine.inFlightAtReport = p.clock.Now(), s, engine.inFlight
 	for model, version := range s.Weights {
-		v.weights[model] = version
+		engine.weights[model] = version
 	}
 	if s.Phase == beechrollout.Serving {
-		v.darkTil = time.Time{}
+		engine.unavailableUntil = time.Time{}
 	}
 	for _, key := range s.Kept {
-		p.keep(key, v.told)
+		p.recordSaved(key, engine.reportedAt)
 	}
 	for _, key := range s.Gone {
-		p.drop(key, v.ID)
+		p.removeCopy(key, engine.ID)
 	}
 	for _, key := range s.Parts {
-		p.hold(key, v.ID, v.told, p.readBy(v, v.told), false)
+		p.recordCopy(key, engine.ID, engine.reportedAt, p.prefillDoneAt(engine, engine.reportedAt), false)
 	}
-	return v.ID
+	return engine.ID
 }
 
 // InOwnZone tells whether a server is in this gate's zone.
@@ -316,7 +316,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.byID[id]
-	return ok && p.clock.Since(s.told) > unheardAfter
+	return ok && p.clock.Since(s.reportedAt) > keeperSilentAfter
 }
 
 // PrefillRate is how many prompt tokens engines read in a millisecond, as learned;
@@ -324,15 +324,15 @@
 func (p *Placer) PrefillRate() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.speed.known {
+	if !p.prefill.learned {
 		return 0
 	}
-	return int(p.speed.rate + 0.5)
+	return int(p.prefill.rate + 0.5)
 }
 
 // salt keeps the cache of other weights and of other workspaces apart where one
 // of them is isolated: a part is found only under the salt it was read with.
-func salt(call *beechcall.Call, version uint64) string {
+func cacheSalt(call *beechcall.Call, version uint64) string {
 	text := "w" + strconv.FormatUint(version, 10)
 	if call.Workspace.Isolated {
 		text += "." + call.Workspace.Name
--- a/internal/request/beechplace/place_test.go
+++ b/internal/request/beechplace/placer_test.go
@@ -19,30 +19,30 @@
 	// fleet is a placer with engines, and what it announced.
 	fleet struct {
 		*Placer
-		clock     *clockwork.FakeClock
-		servers   []beechcall.Server
-		announced map[string]int
-		doubts    weights
+		clock         *clockwork.FakeClock
+		servers       []beechcall.Server
+		announced     map[string]int
+		healthWeights fixedWeights
 	}
 
-	weights map[netip.AddrPort]float64
+	fixedWeights map[netip.AddrPort]float64
 )
 
 // throttle knows no limits yet, and is the only gate's.
-func throttle(clock clockwork.Clock) *beechthrottle.Throttle {
+func newThrottle(clock clockwork.Clock) *beechthrottle.Throttle {
 	t := beechthrottle.New("gate", 1, beechfresh.Boot{}, clock, func(beechthrottle.Event) {}, func() {})
 	t.SetGates(1)
 	return t
 }
 
-func (w weights) Weight(s netip.AddrPort) float64 {
+func (w fixedWeights) Weight(s netip.AddrPort) float64 {
 	if v, ok := w[s]; ok {
 		return v
 	}
 	return 1
 }
 
-var kept = netip.MustParseAddrPort("10.9.0.1:80")
+var kvStoreAddress = netip.MustParseAddrPort("10.9.0.1:80")
 
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
@@ -51,8 +51,8 @@
 // newFleet has n engines, in zones a and b by turns, that serve model m at
 // version 1, and as many servers of a plain service.
 func newFleet(n int) *fleet {
-	f := &fleet{clock: clockwork.NewFakeClock(), announced: make(map[string]int), doubts: weights{}}
-	f.Placer = New(Settings{Zone: "a", Gates: 1}, f.clock, f.doubts, throttle(f.clock), beechroom.New(f.clock, func() {}), func(s beechcall.Server, tokens int, _ []uint64, _ bool) { f.announced[s.ID] += tokens })
+	f := &fleet{clock: clockwork.NewFakeClock(), announced: make(map[string]int), healthWeights: fixedWeights{}}
+	f.Placer = New(Settings{Zone: "a", Gates: 1}, f.clock, f.healthWeights, newThrottle(f.clock), beechroom.New(f.clock, func() {}), func(s beechcall.Server, tokens int, _ []uint64, _ bool) { f.announced[s.ID] += tokens })
 	for i := range n {
 		zone := []string{"a", "b"}[i%2]
 		f.servers = append(f.servers,
@@ -61,14 +61,14 @@
 	}
 	f.SetServers(f.servers)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm"}, "kept": {Name: "kept", Kept: kept},
+		"llm": {Name: "llm"}, "kept": {Name: "kept", Kept: kvStoreAddress},
 	}})
 	f.SetLatestVersion("m", 1)
 	return f
 }
 
 // tellAll has every keeper say that its engine serves, with a load.
-func (f *fleet) tellAll(edit func(i int, s *State)) {
+func (f *fleet) reportAll(edit func(i int, s *State)) {
 	for i := 0; i < len(f.servers); i += 2 {
 		s := State{Address: f.servers[i].Address, Weights: map[string]uint64{"m": f.byID[f.servers[i].ID].weights["m"]}, CacheTotal: 100000}
 		if edit != nil {
@@ -81,7 +81,7 @@
 var route = &beechcall.Route{Name: "pick", Objective: 600 * time.Millisecond}
 
 // ask is a request about a subject, with a prompt of its own behind it.
-func ask(subject string, shared, own int) *beechcall.Call {
+func newCall(subject string, shared, own int) *beechcall.Call {
 	return &beechcall.Call{
 		Service: "llm", Model: "m", Route: route, PromptTokens: shared + own, Workspace: beechcall.Workspace{Name: "w"},
 		Parts: []beechcall.Part{{ID: "common", Tokens: shared / 3}, {ID: subject, Tokens: shared - shared/3}, {ID: subject + "-own", Tokens: own}},
@@ -102,10 +102,10 @@
 func TestBurstIsSpread(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12)
-	f.tellAll(nil)
+	f.reportAll(nil)
 	count := map[string]int{}
 	for i := range 240 {
-		call := ask(fmt.Sprint("s", i), 0, 700)
+		call := newCall(fmt.Sprint("s", i), 0, 700)
 		call.Parts = nil
 		c := f.choose(t, call)
 		f.StartAttempt(call, c)
@@ -120,19 +120,19 @@
 
 // One history is asked for again and again. It goes where it is cached while
 // that is quick, and to a second engine before callers there wait too long.
-func TestHotSubject(t *testing.T) {
+func TestHotPrefixIsReplicated(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(12)
-	f.tellAll(nil)
-	first := f.choose(t, ask("hot", 6300, 2800))
-	f.StartAttempt(ask("hot", 6300, 2800), first)
+	f.reportAll(nil)
+	first := f.choose(t, newCall("hot", 6300, 2800))
+	f.StartAttempt(newCall("hot", 6300, 2800), first)
 	f.clock.Advance(500 * time.Millisecond)
-	f.tellAll(nil)
-	is.Equal(f.choose(t, ask("hot", 6300, 2800)).Server.ID, first.Server.ID)
+	f.reportAll(nil)
+	is.Equal(f.choose(t, newCall("hot", 6300, 2800)).Server.ID, first.Server.ID)
 	servers := map[string]bool{}
 	for range 40 {
-		c := f.choose(t, ask("hot", 6300, 2800))
-		f.StartAttempt(ask("hot", 6300, 2800), c)
+		c := f.choose(t, newCall("hot", 6300, 2800))
+		f.StartAttempt(newCall("hot", 6300, 2800), c)
 		servers[c.Server.ID] = true
 	}
 	is.True(len(servers) > 2)
@@ -140,23 +140,23 @@
 
 // A long prompt is read by the engine that looked best. Short questions of other
 // gates would wait behind it, had its keeper not told them.
-func TestShortAvoidsLongOfOtherGates(t *testing.T) {
+func TestShortPromptAvoidsLongPrefill(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	f.tellAll(func(i int, s *State) {
+	f.reportAll(func(i int, s *State) {
 		if i == 0 {
 			s.Reading = 20000
 		}
 	})
 	for i := range 10 {
-		call := ask(fmt.Sprint("q", i), 0, 300)
+		call := newCall(fmt.Sprint("q", i), 0, 300)
 		call.Parts = nil
 		c := f.choose(t, call)
 		is.True(c.Server.ID != "e00")
 		f.StartAttempt(call, c).Done(Answered)
 	}
 	is.True(f.announced["e02"] == 0) // short ones are not told of
-	long := ask("long", 0, 9000)
+	long := newCall("long", 0, 9000)
 	long.Parts = nil
 	c := f.choose(t, long)
 	f.StartAttempt(long, c)
@@ -168,10 +168,10 @@
 func TestSaturation(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	f.tellAll(func(_ int, s *State) { s.Running, s.Waiting, s.CacheUsed = 48, 30, 95000 })
+	f.reportAll(func(_ int, s *State) { s.Running, s.Waiting, s.CacheUsed = 48, 30, 95000 })
 	count := map[string]int{}
 	for i := range 200 {
-		call := ask(fmt.Sprint("s", i), 0, 500)
+		call := newCall(fmt.Sprint("s", i), 0, 500)
 		call.Parts = nil
 		c := f.choose(t, call)
 		f.StartAttempt(call, c)
@@ -184,26 +184,26 @@
 }
 
 // What the rate of reading is learned from real answers.
-func TestLearnsTheReadingRate(t *testing.T) {
+func TestLearnsPrefillRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	for i := range 200 {
-		call := ask(fmt.Sprint("s", i), 0, 8000)
+		call := newCall(fmt.Sprint("s", i), 0, 8000)
 		call.Parts = nil
-		ticket := f.StartAttempt(call, f.choose(t, call))
+		attempt := f.StartAttempt(call, f.choose(t, call))
 		f.clock.Advance(100 * time.Millisecond) // 80 tokens in a millisecond
-		ticket.FirstByte()
-		ticket.Done(Answered)
+		attempt.FirstByte()
+		attempt.Done(Answered)
 	}
-	is.True(f.speed.rate > 70 && f.speed.rate < 90)
+	is.True(f.prefill.rate > 70 && f.prefill.rate < 90)
 }
 
 // Engines take 80 ms for any first word and read 75 tokens in a millisecond
 // beyond that. Taken as one they seem to read 30; a history's engine is believed
 // to have callers wait three times as long as it does, and they go elsewhere.
-func TestFixedTimeIsNoReading(t *testing.T) {
+func TestFixedLatencyIsSeparatedFromPrefillRate(t *testing.T) {
 	is := is.New(t)
-	s := speed{rate: Defaults.PrefillRate}
+	s := prefillModel{rate: Defaults.PrefillRate}
 	for i := range 600 {
 		tokens := float64(200)
 		if i%3 == 0 {
@@ -229,8 +229,8 @@
 
 func BenchmarkChoose(b *testing.B) {
 	f := newFleet(56)
-	f.tellAll(nil)
-	call := ask("s", 6300, 2800)
+	f.reportAll(nil)
+	call := newCall("s", 6300, 2800)
 	for b.Loop() {
 		_, _ = f.Choose(call, nil)
 	}
@@ -239,17 +239,17 @@
 // Two thirds of a fleet are dark, and the memory of an engine is full of runs.
 // Nothing is ahead of a long prompt there to be read, but it waits for others to
 // end; its caller hears nothing for a second, though the next engine has room.
-func TestLongPromptGoesWhereThereIsRoom(t *testing.T) {
+func TestLongPromptAvoidsFullMemory(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	call := ask("h", 6000, 3000)
+	call := newCall("h", 6000, 3000)
 	for range 100 { // runs like these stay for a second
 		run := f.StartAttempt(call, f.choose(t, call))
 		f.clock.Advance(time.Second)
 		run.Done(Answered)
 	}
 	home := f.choose(t, call).Server
-	f.tellAll(func(_ int, s *State) {
+	f.reportAll(func(_ int, s *State) {
 		s.Running = 20
 		s.CacheUsed = 30000
 		if s.Address == home.Address {
@@ -260,27 +260,27 @@
 	is.True(c.Server.ID != home.ID)
 
 	// Where all are full the wait is told, so that a call can be refused at once.
-	f.tellAll(func(_ int, s *State) { s.Running, s.Waiting, s.CacheUsed = 50, 8, 95000 })
+	f.reportAll(func(_ int, s *State) { s.Running, s.Waiting, s.CacheUsed = 50, 8, 95000 })
 	c = f.choose(t, call)
 	is.True(c.QueueTime > 500)
-	short := ask("q", 90, 60)
+	short := newCall("q", 90, 60)
 	is.True(f.choose(t, short).QueueTime < c.QueueTime)
 }
 
 // The engine that holds a history has no room left for the prompt beside what runs
 // there: a run would yield and be read again from its start, its own history with it.
 // The history is fetched by the next engine for a hundredth of that.
-func TestFullMemoryIsNotCrowded(t *testing.T) {
+func TestCacheHitDoesNotForcePreemption(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	call := ask("h", 6000, 3000)
+	call := newCall("h", 6000, 3000)
 	for range 300 { // the size of prompts is known
 		f.StartAttempt(call, f.choose(t, call)).Done(Answered)
 		f.clock.Advance(time.Second)
 	}
-	f.tellAll(func(_ int, s *State) { s.CacheUsed = 30000 })
+	f.reportAll(func(_ int, s *State) { s.CacheUsed = 30000 })
 	home := f.choose(t, call).Server
-	f.tellAll(func(_ int, s *State) {
+	f.reportAll(func(_ int, s *State) {
 		s.Running, s.CacheUsed = 4, 30000
 		if s.Address == home.Address {
 			s.CacheUsed = s.CacheTotal - 1000
