--- a/internal/decision/beechretry/budget.go
+++ b/internal/decision/beechretry/budget.go
@@ -26,25 +26,25 @@
 
 	// Settings of the budget. Zero values are taken from Defaults.
 	Settings struct {
-		Percent     int           // of first attempts that may be retried
-		Spare       int           // retries beyond that, after a quiet time
-		Window      time.Duration // over which both are counted; 0 counts requests instead of time
-		MaxAttempts int           // for one request, the first included
-		Backoff     time.Duration // the longest before the first retry; doubles
-		MaxBackoff  time.Duration // the longest before any retry
+		RetryPercent int           // of first attempts that may be retried
+		Reserve      int           // retries beyond that, after a quiet time
+		Window       time.Duration // over which both are counted; 0 counts requests instead of time
+		MaxAttempts  int           // for one request, the first included
+		BaseBackoff  time.Duration // the longest before the first retry; doubles
+		MaxBackoff   time.Duration // the longest before any retry
 	}
 
 	// Outcome is a failed or refused attempt.
 	Outcome struct {
-		Attempt    int // counts from 1
-		Ran        Ran
-		Repeatable bool
-		Deadline   time.Time      // zero is none
-		Server     netip.AddrPort // that gave it
-		Better     netip.AddrPort // a refusal's hint; invalid is none
-		After      time.Duration  // a refusal's hint; 0 is none
-		Refused    bool           // turned away by choice, not failed
-		Only       bool           // no other server may be tried
+		Attempt         int // counts from 1
+		Ran             Ran
+		Repeatable      bool
+		Deadline        time.Time      // zero is none
+		Server          netip.AddrPort // that gave it
+		PreferredServer netip.AddrPort // a refusal's hint; invalid is none
+		RetryAfter      time.Duration  // a refusal's hint; 0 is none
+		Rejected        bool           // turned away by choice, not failed
+		OnlyServer      bool           // no other server may be tried
 	}
 
 	// Decision is the answer to Decide: Retry or GiveUp.
@@ -53,15 +53,15 @@
 	// Retry sends the request again after a time. Server is invalid where the
 	// router should choose.
 	Retry struct {
-		After  time.Duration
+		Delay  time.Duration
 		Server netip.AddrPort
 	}
 
 	// GiveUp answers the caller at once. Ran is what may truly be said, After
 	// when to come back; 0 where the caller should not.
 	GiveUp struct {
-		Ran   Ran
-		After time.Duration
+		Ran        Ran
+		RetryAfter time.Duration
 	}
 
 	// Budget bounds the retries of one entry host. It is safe for concurrent
@@ -89,8 +89,8 @@
 // Defaults are the settings where none are given; the package comment says
 // why.
 var Defaults = Settings{
-	Percent: 10, Spare: 20, MaxAttempts: 3,
-	Backoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
+	RetryPercent: 10, Reserve: 20, MaxAttempts: 3,
+	BaseBackoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
 }
 
 func (Retry) decision()  {}
@@ -99,48 +99,48 @@
 // New returns a budget with its spare retries. The source gives the jitter.
 func New(s Settings, c clockwork.Clock, source rand.Source) *Budget {
 	s = s.withDefaults()
-	return &Budget{settings: s, clock: c, random: rand.New(source), credit: s.Spare * one, ledger: ledger{slot: s.Window / ledgerSlots}}
+	return &Budget{settings: s, clock: c, random: rand.New(source), credit: s.Reserve * one, ledger: ledger{slot: s.Window / ledgerSlots}}
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.Percent <= 0 || s.Percent > 100 {
-		s.Percent = Defaults.Percent
+	if s.RetryPercent <= 0 || s.RetryPercent > 100 {
+		s.RetryPercent = Defaults.RetryPercent
 	}
-	if s.Spare <= 0 {
-		s.Spare = Defaults.Spare
+	if s.Reserve <= 0 {
+		s.Reserve = Defaults.Reserve
 	}
 	if s.MaxAttempts <= 0 {
 		s.MaxAttempts = Defaults.MaxAttempts
 	}
-	if s.Backoff <= 0 {
-		s.Backoff = Defaults.Backoff
+	if s.BaseBackoff <= 0 {
+		s.BaseBackoff = Defaults.BaseBackoff
 	}
 	if s.MaxBackoff <= 0 {
 		s.MaxBackoff = Defaults.MaxBackoff
 	}
-	s.MaxBackoff = max(s.MaxBackoff, s.Backoff)
+	s.MaxBackoff = max(s.MaxBackoff, s.BaseBackoff)
 	return s
 }
 
-// SetSpare changes the spare retries. What was spent stays spent.
-func (b *Budget) SetSpare(n int) {
+// SetReserve changes the spare retries. What was spent stays spent.
+func (b *Budget) SetReserve(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > 0 {
-		b.settings.Spare = n
+		b.settings.Reserve = n
 		b.credit = min(b.credit, n*one)
 	}
 }
 
-// Sent counts a first attempt, of which a fraction may be retried.
-func (b *Budget) Sent() {
+// RecordRequest counts a first attempt, of which a fraction may be retried.
+func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.settings.Window > 0 {
 		b.ledger.sent(b.clock.Now())
 		return
 	}
-	b.credit = min(b.credit+b.settings.Percent, b.settings.Spare*one)
+	b.credit = min(b.credit+b.settings.RetryPercent, b.settings.Reserve*one)
 }
 
 // Decide says whether an attempt that failed is tried again. A Retry has been
@@ -152,12 +152,12 @@
 		o.Ran = RanUnknown
 	}
 	o.Attempt = max(o.Attempt, 1)
-	o.After = max(o.After, 0)
+	o.RetryAfter = max(o.RetryAfter, 0)
 	if o.Attempt >= b.settings.MaxAttempts || !mayRunAgain(o) {
 		return b.giveUp(o)
 	}
 	r, ok := b.plan(o)
-	if !ok || !inTime(o, b.clock.Now().Add(r.After)) || !b.pay(o) {
+	if !ok || !inTime(o, b.clock.Now().Add(r.Delay)) || !b.pay(o) {
 		return b.giveUp(o)
 	}
 	return r
@@ -170,23 +170,23 @@
 // plan says where and when to try again, if anywhere: at the better server that
 // was named, at another one, or at the same one once it has said that it can.
 func (b *Budget) plan(o Outcome) (r Retry, ok bool) {
-	if o.Better.IsValid() && o.Better != o.Server {
-		return Retry{Server: o.Better}, true
+	if o.PreferredServer.IsValid() && o.PreferredServer != o.Server {
+		return Retry{Server: o.PreferredServer}, true
 	}
-	if !o.Only && o.Refused {
+	if !o.OnlyServer && o.Rejected {
 		return Retry{}, true
 	}
-	if !o.Only {
-		return Retry{After: b.backoff(o.Attempt)}, true
+	if !o.OnlyServer {
+		return Retry{Delay: b.backoff(o.Attempt)}, true
 	}
-	after := max(o.After, b.backoff(o.Attempt))
-	return Retry{After: after, Server: o.Server}, after <= b.settings.MaxBackoff
+	after := max(o.RetryAfter, b.backoff(o.Attempt))
+	return Retry{Delay: after, Server: o.Server}, after <= b.settings.MaxBackoff
 }
 
 // backoff is drawn from all times up to a bound that doubles: with a fixed
 // one, all that failed together would come back together.
 func (b *Budget) backoff(attempt int) time.Duration {
-	bound := b.settings.Backoff << min(attempt-1, maxShift)
+	bound := b.settings.BaseBackoff << min(attempt-1, maxShift)
 	bound = min(bound, b.settings.MaxBackoff)
 	return time.Duration(b.random.Int64N(int64(bound) + 1))
 }
@@ -199,8 +199,8 @@
 		return b.payInWindow(o)
 	}
 	floor := 0
-	if o.Refused {
-		floor = b.settings.Spare * one / 2
+	if o.Rejected {
+		floor = b.settings.Reserve * one / 2
 	}
 	if b.credit-one < floor {
 		return false
@@ -212,8 +212,8 @@
 func (b *Budget) payInWindow(o Outcome) bool {
 	now := b.clock.Now()
 	first, retries := b.ledger.sums(now)
-	allowed := b.settings.Spare*one + first*b.settings.Percent
-	if o.Refused {
+	allowed := b.settings.Reserve*one + first*b.settings.RetryPercent
+	if o.Rejected {
 		allowed /= 2
 	}
 	if (retries+1)*one > allowed {
@@ -232,8 +232,8 @@
 	if !mayRunAgain(o) {
 		return GiveUp{Ran: o.Ran}
 	}
-	if o.After == 0 {
-		o.After = unknownAfter + time.Duration(b.random.Int64N(int64(unknownAfter)))
+	if o.RetryAfter == 0 {
+		o.RetryAfter = unknownAfter + time.Duration(b.random.Int64N(int64(unknownAfter)))
 	}
-	return GiveUp{Ran: o.Ran, After: o.After}
+	return GiveUp{Ran: o.Ran, RetryAfter: o.RetryAfter}
 }
--- a/internal/decision/beechretry/budget_test.go
+++ b/internal/decision/beechretry/budget_test.go
@@ -37,7 +37,7 @@
 // send plays a request whose every attempt has the same outcome and counts the
 // attempts.
 func send(b *Budget, o Outcome) int {
-	b.Sent()
+	b.RecordRequest()
 	for o.Attempt = 1; ; o.Attempt++ {
 		if _, again := b.Decide(o).(Retry); !again {
 			return o.Attempt
@@ -56,7 +56,7 @@
 		attempts += send(b, Outcome{Ran: RanNo})
 	}
 	t.Logf("%d attempts for 10000 requests", attempts)
-	is.True(attempts <= 11000+Defaults.Spare)
+	is.True(attempts <= 11000+Defaults.Reserve)
 }
 
 // Under saturation every second request is refused, and now and then a server
@@ -67,10 +67,10 @@
 	lost := 0
 	for i := range 10000 {
 		if i%2 == 0 {
-			send(b, Outcome{Ran: RanNo, Refused: true, After: time.Second})
+			send(b, Outcome{Ran: RanNo, Rejected: true, RetryAfter: time.Second})
 		}
 		if i%100 == 1 {
-			b.Sent()
+			b.RecordRequest()
 			if _, again := b.Decide(Outcome{Ran: RanUnknown, Repeatable: true}).(Retry); !again {
 				lost++
 			}
@@ -82,42 +82,42 @@
 // A refusal names a better server, or a time; a booking may have run; the
 // deadline is near; only one server is there.
 func TestEachOutcome(t *testing.T) {
-	b, clock := newBudget(Settings{Spare: 1000})
+	b, clock := newBudget(Settings{Reserve: 1000})
 	soon := clock.Now().Add(time.Millisecond)
 	for _, c := range []struct {
 		name string
 		o    Outcome
 		want Decision
 	}{
-		{"better server", Outcome{Attempt: 1, Ran: RanNo, Refused: true, Server: first, Better: second}, Retry{Server: second}},
-		{"better is the same", Outcome{Attempt: 1, Ran: RanNo, Refused: true, Only: true, Server: first, Better: first, After: time.Minute}, GiveUp{Ran: RanNo, After: time.Minute}},
-		{"another server", Outcome{Attempt: 1, Ran: RanNo, Refused: true, After: time.Minute}, Retry{}},
-		{"one server, later", Outcome{Attempt: 1, Ran: RanNo, Refused: true, Only: true, Server: first, After: 400 * time.Millisecond}, Retry{After: 400 * time.Millisecond, Server: first}},
-		{"one server, much later", Outcome{Attempt: 1, Ran: RanNo, Refused: true, Only: true, Server: first, After: time.Minute}, GiveUp{Ran: RanNo, After: time.Minute}},
+		{"better server", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, Server: first, PreferredServer: second}, Retry{Server: second}},
+		{"better is the same", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, PreferredServer: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"another server", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, RetryAfter: time.Minute}, Retry{}},
+		{"one server, later", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: 400 * time.Millisecond}, Retry{Delay: 400 * time.Millisecond, Server: first}},
+		{"one server, much later", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
 		{"may have run", Outcome{Attempt: 1, Ran: RanUnknown}, GiveUp{Ran: RanUnknown}},
 		{"nothing said", Outcome{}, GiveUp{Ran: RanUnknown}},
-		{"ran", Outcome{Attempt: 1, Ran: RanYes, Better: second}, GiveUp{Ran: RanYes}},
-		{"not run", Outcome{Attempt: 1, Ran: RanNo, Better: second}, Retry{Server: second}},
-		{"last attempt", Outcome{Attempt: 3, Ran: RanNo, Better: second, After: time.Minute}, GiveUp{Ran: RanNo, After: time.Minute}},
-		{"deadline", Outcome{Attempt: 1, Ran: RanNo, Only: true, Server: first, After: 500 * time.Millisecond, Deadline: soon}, GiveUp{Ran: RanNo, After: 500 * time.Millisecond}},
-		{"deadline gone", Outcome{Attempt: 1, Ran: RanNo, Better: second, After: time.Minute, Deadline: clock.Now()}, GiveUp{Ran: RanNo, After: time.Minute}},
-		{"before the first", Outcome{Attempt: -5, Ran: RanNo, Better: second, After: -time.Hour}, Retry{Server: second}},
+		{"ran", Outcome{Attempt: 1, Ran: RanYes, PreferredServer: second}, GiveUp{Ran: RanYes}},
+		{"not run", Outcome{Attempt: 1, Ran: RanNo, PreferredServer: second}, Retry{Server: second}},
+		{"last attempt", Outcome{Attempt: 3, Ran: RanNo, PreferredServer: second, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"deadline", Outcome{Attempt: 1, Ran: RanNo, OnlyServer: true, Server: first, RetryAfter: 500 * time.Millisecond, Deadline: soon}, GiveUp{Ran: RanNo, RetryAfter: 500 * time.Millisecond}},
+		{"deadline gone", Outcome{Attempt: 1, Ran: RanNo, PreferredServer: second, RetryAfter: time.Minute, Deadline: clock.Now()}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"before the first", Outcome{Attempt: -5, Ran: RanNo, PreferredServer: second, RetryAfter: -time.Hour}, Retry{Server: second}},
 	} {
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(b.Decide(c.o), c.want) })
 	}
 	g := b.Decide(Outcome{Attempt: 9, Ran: RanNo}).(GiveUp)
-	is.New(t).True(g.After >= unknownAfter && g.After < 2*unknownAfter)
+	is.New(t).True(g.RetryAfter >= unknownAfter && g.RetryAfter < 2*unknownAfter)
 }
 
 // A server with 200 streams crashes. If all were sent again at the same
 // moment, the next server would get them as one burst.
 func TestRetriesAreSpread(t *testing.T) {
 	is := is.New(t)
-	b, _ := newBudget(Settings{Spare: 200, Backoff: 100 * time.Millisecond})
+	b, _ := newBudget(Settings{Reserve: 200, BaseBackoff: 100 * time.Millisecond})
 	var tenths [10]int
 	for range 200 {
 		r := b.Decide(Outcome{Attempt: 1, Ran: RanUnknown, Repeatable: true}).(Retry)
-		tenths[min(r.After/(10*time.Millisecond), 9)]++
+		tenths[min(r.Delay/(10*time.Millisecond), 9)]++
 	}
 	for _, n := range tenths {
 		is.True(n >= 8 && n <= 40)
@@ -129,16 +129,16 @@
 // the budget holds.
 func TestAnyOutcomeKeepsTheBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b, clock := newBudget(Settings{Percent: rapid.IntRange(-1, 200).Draw(t, "percent"), Spare: rapid.IntRange(-1, 5).Draw(t, "spare")})
+		b, clock := newBudget(Settings{RetryPercent: rapid.IntRange(-1, 200).Draw(t, "percent"), Reserve: rapid.IntRange(-1, 5).Draw(t, "spare")})
 		spent, sent := 0, 0
 		for range 100 {
-			b.Sent()
+			b.RecordRequest()
 			sent++
 			clock.Advance(time.Duration(rapid.Int64Range(-1e9, 1e9).Draw(t, "time")))
 			o := Outcome{
 				Attempt: rapid.IntRange(-1, 1<<40).Draw(t, "attempt"), Ran: rapid.SampledFrom([]Ran{RanNo, RanYes, RanUnknown, "", "maybe"}).Draw(t, "ran"),
-				Repeatable: rapid.Bool().Draw(t, "repeatable"), After: time.Duration(rapid.Int64().Draw(t, "after")),
-				Refused: rapid.Bool().Draw(t, "refused"), Only: rapid.Bool().Draw(t, "only"), Server: first,
+				Repeatable: rapid.Bool().Draw(t, "repeatable"), RetryAfter: time.Duration(rapid.Int64().Draw(t, "after")),
+				Rejected: rapid.Bool().Draw(t, "refused"), OnlyServer: rapid.Bool().Draw(t, "only"), Server: first,
 			}
 			if rapid.Bool().Draw(t, "small") {
 				o.Attempt %= 4
@@ -154,14 +154,14 @@
 			if o.Ran != RanNo && !o.Repeatable {
 				t.Fatal("ran twice", o)
 			}
-			if !o.Deadline.IsZero() && !clock.Now().Add(r.After).Before(o.Deadline) {
+			if !o.Deadline.IsZero() && !clock.Now().Add(r.Delay).Before(o.Deadline) {
 				t.Fatal("after the deadline", o, r)
 			}
-			if o.Attempt >= b.settings.MaxAttempts || r.After < 0 || r.After > b.settings.MaxBackoff {
+			if o.Attempt >= b.settings.MaxAttempts || r.Delay < 0 || r.Delay > b.settings.MaxBackoff {
 				t.Fatal("too often or too late", o, r)
 			}
 		}
-		if spent*one > sent*b.settings.Percent+b.settings.Spare*one {
+		if spent*one > sent*b.settings.RetryPercent+b.settings.Reserve*one {
 			t.Fatal("over budget", spent)
 		}
 	})
@@ -171,7 +171,7 @@
 	budget, _ := newBudget(Settings{})
 	b.ReportAllocs()
 	for b.Loop() {
-		budget.Sent()
+		budget.RecordRequest()
 		budget.Decide(Outcome{Attempt: 1, Ran: RanNo})
 	}
 }
@@ -183,14 +183,14 @@
 func TestManyHostsShareABound(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	b := New(Settings{Percent: 15, Spare: 1, Window: 10 * time.Second, MaxAttempts: 8}, clock, rand.NewPCG(1, 2))
+	b := New(Settings{RetryPercent: 15, Reserve: 1, Window: 10 * time.Second, MaxAttempts: 8}, clock, rand.NewPCG(1, 2))
 	for range 93 {
-		b.Sent()
+		b.RecordRequest()
 		clock.Advance(100 * time.Millisecond)
 	}
 	refused, failed := 0, 0
 	for range 20 {
-		if _, ok := b.Decide(Outcome{Ran: RanNo, Refused: true}).(Retry); ok {
+		if _, ok := b.Decide(Outcome{Ran: RanNo, Rejected: true}).(Retry); ok {
 			refused++
 		}
 	}
@@ -214,16 +214,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		clock := clockwork.NewFakeClock()
-		s := Settings{Percent: rapid.IntRange(1, 50).Draw(t, "percent"), Spare: rapid.IntRange(1, 5).Draw(t, "spare"), Window: window, MaxAttempts: 8}
+		s := Settings{RetryPercent: rapid.IntRange(1, 50).Draw(t, "percent"), Reserve: rapid.IntRange(1, 5).Draw(t, "spare"), Window: window, MaxAttempts: 8}
 		b := New(s, clock, rand.NewPCG(1, 2))
 		var sent, retried []time.Time
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			clock.Advance(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			for range rapid.IntRange(0, 8).Draw(t, "requests") {
-				b.Sent()
+				b.RecordRequest()
 				sent = append(sent, clock.Now())
 			}
-			if _, ok := b.Decide(Outcome{Ran: RanNo, Refused: rapid.Bool().Draw(t, "refused")}).(Retry); !ok {
+			if _, ok := b.Decide(Outcome{Ran: RanNo, Rejected: rapid.Bool().Draw(t, "refused")}).(Retry); !ok {
 				continue
 			}
 			retried = append(retried, clock.Now())
@@ -231,7 +231,7 @@
 				return len(slices.DeleteFunc(slices.Clone(list), func(at time.Time) bool { return clock.Since(at) >= d }))
 			}
 			slots := window - window/ledgerSlots // whole slots that are counted at least
-			if most := (s.Percent*in(sent, window) + s.Spare*one) / one; in(retried, slots) > most {
+			if most := (s.RetryPercent*in(sent, window) + s.Reserve*one) / one; in(retried, slots) > most {
 				t.Fatalf("%d retries in a window of %d", in(retried, slots), most)
 			}
 		}
--- a/internal/process/beechentry/dispatch.go
+++ b/internal/process/beechentry/dispatch.go
@@ -82,7 +82,7 @@
 }
 
 func (e *Entry) runAttempts(ctx context.Context, j *job) *failure {
-	e.budget.Sent()
+	e.budget.RecordRequest()
 	staleCount := 0
 	for {
 		j.request.Attempt++
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -107,7 +107,7 @@
 		holder:      beechmanifest.NewHolder(),
 		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, GrowthDelay: limitSettle}, d.Clock),
 		budget: beechretry.New(beechretry.Settings{
-			Percent: retryPercent, Spare: spareRetries, MaxAttempts: maxAttempts, Backoff: firstBackoff, MaxBackoff: maxBackoff,
+			RetryPercent: retryPercent, Reserve: spareRetries, MaxAttempts: maxAttempts, BaseBackoff: firstBackoff, MaxBackoff: maxBackoff,
 		}, d.Clock, randv2.NewPCG(randv2.Uint64(), randv2.Uint64())),
 		health:   beechhealth.New(beechhealth.Settings{MaxEjectedPercent: maxEjected}, d.Clock),
 		suspects: beechsuspect.New(beechsuspect.Settings{}, d.Clock),
--- a/internal/process/beechentry/judge.go
+++ b/internal/process/beechentry/judge.go
@@ -130,7 +130,7 @@
 	if !hasOther {
 		return false, e.refusedFailure(j, h.Refused, after)
 	}
-	if e.pauseForRetry(ctx, j, e.decideRetry(j, beechretry.Outcome{Ran: beechretry.RanNo, Server: server, Better: better, Refused: true})) {
+	if e.pauseForRetry(ctx, j, e.decideRetry(j, beechretry.Outcome{Ran: beechretry.RanNo, Server: server, PreferredServer: better, Rejected: true})) {
 		return true, nil
 	}
 	return false, e.refusedFailure(j, h.Refused, after)
@@ -237,11 +237,11 @@
 	}
 	e.numbers.Retries.Add(1)
 	j.preferred = retry.Server
-	if retry.After <= 0 {
+	if retry.Delay <= 0 {
 		return ctx.Err() == nil
 	}
 	select {
-	case <-e.clock.After(retry.After):
+	case <-e.clock.After(retry.Delay):
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/process/beechgate/budget.go
+++ b/internal/process/beechgate/budget.go
@@ -51,7 +51,7 @@
 	}
 	b.gates = n
 	for _, budget := range b.services {
-		budget.SetSpare(b.share())
+		budget.SetReserve(b.share())
 	}
 }
 
@@ -70,7 +70,7 @@
 }
 
 // Sent implements beechattempt.Budget.
-func (b *Budgets) Sent(service string) { b.of(service).Sent() }
+func (b *Budgets) Sent(service string) { b.of(service).RecordRequest() }
 
 // Decide implements beechattempt.Budget.
 func (b *Budgets) Decide(service string, o beechretry.Outcome) beechretry.Decision {
@@ -83,8 +83,8 @@
 	budget, ok := b.services[service]
 	if !ok {
 		settings := beechretry.Settings{
-			Percent: max(int(b.ratio*percent*cautious), 1), Spare: b.share(), Window: b.window,
-			MaxAttempts: triesMost, Backoff: time.Millisecond, MaxBackoff: time.Millisecond,
+			RetryPercent: max(int(b.ratio*percent*cautious), 1), Reserve: b.share(), Window: b.window,
+			MaxAttempts: triesMost, BaseBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
 		}
 		budget = beechretry.New(settings, b.clock, rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		b.services[service] = budget
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -310,7 +310,7 @@
 func (r *run) pay(ran beechretry.Ran, choice beechplace.Choice, refused bool) bool {
 	d := r.core.budget.Decide(r.call.Service, beechretry.Outcome{
 		Attempt: 1, Ran: ran, Repeatable: r.repeatable(), Deadline: r.call.Deadline,
-		Server: choice.Server.Address, Refused: refused,
+		Server: choice.Server.Address, Rejected: refused,
 	})
 	_, ok := d.(beechretry.Retry)
 	return ok
