--- a/internal/decision/beechretry/budget.go
+++ b/internal/decision/beechretry/budget.go
@@ -10,84 +10,85 @@
 )
 
 const (
-	// maxShift keeps the doubling of the backoff from overflowing.
-	maxShift = 16
-
-	// unknownAfter is the soonest to come back where nobody knows: the servers
-	// failed, and callers that return at once would keep them down. Up to as
-	// much is added by chance, so that they don't return together.
-	unknownAfter = time.Second
+	// maxBackoffShift keeps the exponential backoff from overflowing.
+	maxBackoffShift = 16
+
+	// defaultRetryAfter is the shortest retry time where no server has given one:
+	// the servers have failed, and callers that return at once would keep them
+	// down. Up to the same time is added at random, so that the callers do not
+	// return together.
+	defaultRetryAfter = time.Second
 )
 
 type (
-	// Ran says what is known of whether an attempt ran. Any other value counts
-	// as RanUnknown.
+	// Ran says whether an attempt is known to have run. Any other value counts as
+	// RanUnknown.
 	Ran string
 
-	// Settings of the budget. Zero values are taken from Defaults.
+	// Settings configures a Budget. Invalid and zero fields are taken from
+	// Defaults.
 	Settings struct {
 		RetryPercent int           // of first attempts that may be retried
-		Reserve      int           // retries beyond that, after a quiet time
-		Window       time.Duration // over which both are counted; 0 counts requests instead of time
-		MaxAttempts  int           // for one request, the first included
-		BaseBackoff  time.Duration // the longest before the first retry; doubles
-		MaxBackoff   time.Duration // the longest before any retry
+		Reserve      int           // retries allowed beyond RetryPercent
+		Window       time.Duration // over which attempts are counted; if 0, requests earn credit instead
+		MaxAttempts  int           // per request, including the first
+		BaseBackoff  time.Duration // maximum delay before the first retry; doubles with each attempt
+		MaxBackoff   time.Duration // maximum delay before any retry
 	}
 
-	// Outcome is a failed or refused attempt.
+	// Outcome is the outcome of a failed or rejected attempt.
 	Outcome struct {
 		Attempt         int // counts from 1
 		Ran             Ran
 		Repeatable      bool
-		Deadline        time.Time      // zero is none
-		Server          netip.AddrPort // that gave it
-		PreferredServer netip.AddrPort // a refusal's hint; invalid is none
-		RetryAfter      time.Duration  // a refusal's hint; 0 is none
-		Rejected        bool           // turned away by choice, not failed
-		OnlyServer      bool           // no other server may be tried
+		Deadline        time.Time      // zero if there is none
+		Server          netip.AddrPort // on which the attempt was made
+		PreferredServer netip.AddrPort // recommended by a rejection; invalid if none
+		RetryAfter      time.Duration  // given by a rejection; 0 if none
+		Rejected        bool           // declined by the server rather than failed
+		OnlyServer      bool           // no other server can be tried
 	}
 
 	// Decision is the answer to Decide: Retry or GiveUp.
 	Decision interface{ decision() }
 
-	// Retry sends the request again after a time. Server is invalid where the
-	// router should choose.
+	// Retry means that the request is sent again after a delay. Server is invalid
+	// if the router should choose.
 	Retry struct {
 		Delay  time.Duration
 		Server netip.AddrPort
 	}
 
-	// GiveUp answers the caller at once. Ran is what may truly be said, After
-	// when to come back; 0 where the caller should not.
+	// GiveUp means that the caller is answered at once. Ran is what is known of
+	// whether the request ran, and RetryAfter when to retry; 0 if the caller
+	// should not.
 	GiveUp struct {
 		Ran        Ran
 		RetryAfter time.Duration
 	}
 
-	// Budget bounds the retries of one entry host. It is safe for concurrent
-	// use.
+	// Budget limits the retries of one entry host. It is safe for concurrent use.
 	Budget struct {
 		mu       sync.Mutex
 		settings Settings
 		clock    clockwork.Clock
 		random   *rand.Rand
-		credit   int    // in hundredths of a retry; without a window
-		ledger   ledger // with one
+		credit   int           // in hundredths of a retry; unused with a window
+		window   slidingWindow // unused without a window
 	}
 )
 
-// What may be known of an attempt.
+// Values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// one is the price of a retry in credit.
-const one = 100
+// retryCost is the credit that a retry costs; each request earns RetryPercent.
+const retryCost = 100
 
-// Defaults are the settings where none are given; the package comment says
-// why.
+// Defaults are the default settings; the package comment explains them.
 var Defaults = Settings{
 	RetryPercent: 10, Reserve: 20, MaxAttempts: 3,
 	BaseBackoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond,
@@ -96,10 +97,11 @@
 func (Retry) decision()  {}
 func (GiveUp) decision() {}
 
-// New returns a budget with its spare retries. The source gives the jitter.
+// New returns a Budget with its full reserve. The random source is used for
+// jitter.
 func New(s Settings, c clockwork.Clock, source rand.Source) *Budget {
 	s = s.withDefaults()
-	return &Budget{settings: s, clock: c, random: rand.New(source), credit: s.Reserve * one, ledger: ledger{slot: s.Window / ledgerSlots}}
+	return &Budget{settings: s, clock: c, random: rand.New(source), credit: s.Reserve * retryCost, window: slidingWindow{slotLength: s.Window / windowSlots}}
 }
 
 func (s Settings) withDefaults() Settings {
@@ -122,29 +124,30 @@
 	return s
 }
 
-// SetReserve changes the spare retries. What was spent stays spent.
+// SetReserve changes the reserve. Retries made so far still count.
 func (b *Budget) SetReserve(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if n > 0 {
 		b.settings.Reserve = n
-		b.credit = min(b.credit, n*one)
+		b.credit = min(b.credit, n*retryCost)
 	}
 }
 
-// RecordRequest counts a first attempt, of which a fraction may be retried.
+// RecordRequest counts a first attempt, which adds a fraction of a retry to the
+// budget.
 func (b *Budget) RecordRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.settings.Window > 0 {
-		b.ledger.sent(b.clock.Now())
+		b.window.addRequest(b.clock.Now())
 		return
 	}
-	b.credit = min(b.credit+b.settings.RetryPercent, b.settings.Reserve*one)
+	b.credit = min(b.credit+b.settings.RetryPercent, b.settings.Reserve*retryCost)
 }
 
-// Decide says whether an attempt that failed is tried again. A Retry has been
-// paid for.
+// Decide returns whether a failed or rejected attempt is retried. A Retry has
+// already been taken from the budget.
 func (b *Budget) Decide(o Outcome) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -153,22 +156,24 @@
 	}
 	o.Attempt = max(o.Attempt, 1)
 	o.RetryAfter = max(o.RetryAfter, 0)
-	if o.Attempt >= b.settings.MaxAttempts || !mayRunAgain(o) {
+	if o.Attempt >= b.settings.MaxAttempts || !safeToRetry(o) {
 		return b.giveUp(o)
 	}
 	r, ok := b.plan(o)
-	if !ok || !inTime(o, b.clock.Now().Add(r.Delay)) || !b.pay(o) {
+	if !ok || !beforeDeadline(o, b.clock.Now().Add(r.Delay)) || !b.spend(o) {
 		return b.giveUp(o)
 	}
 	return r
 }
 
-// mayRunAgain tells whether a second run does no harm: there was no first, or
-// the request may be repeated. A booking that may have run must not run again.
-func mayRunAgain(o Outcome) bool { return o.Ran == RanNo || o.Repeatable }
+// safeToRetry reports whether a second run does no harm: either the first attempt
+// did not run, or the request is repeatable. A booking that may have run must not
+// run again.
+func safeToRetry(o Outcome) bool { return o.Ran == RanNo || o.Repeatable }
 
-// plan says where and when to try again, if anywhere: at the better server that
-// was named, at another one, or at the same one once it has said that it can.
+// plan returns where and when to retry, if possible: on the server that a
+// rejection recommends, on another one, or on the same one if that is the only
+// one and is available soon.
 func (b *Budget) plan(o Outcome) (r Retry, ok bool) {
 	if o.PreferredServer.IsValid() && o.PreferredServer != o.Server {
 		return Retry{Server: o.PreferredServer}, true
@@ -179,61 +184,63 @@
 	if !o.OnlyServer {
 		return Retry{Delay: b.backoff(o.Attempt)}, true
 	}
-	after := max(o.RetryAfter, b.backoff(o.Attempt))
-	return Retry{Delay: after, Server: o.Server}, after <= b.settings.MaxBackoff
+	delay := max(o.RetryAfter, b.backoff(o.Attempt))
+	return Retry{Delay: delay, Server: o.Server}, delay <= b.settings.MaxBackoff
 }
 
-// backoff is drawn from all times up to a bound that doubles: with a fixed
-// one, all that failed together would come back together.
+// backoff returns a random time up to a maximum that doubles with each attempt.
+// With a fixed time, all requests that failed together would be retried together.
 func (b *Budget) backoff(attempt int) time.Duration {
-	bound := b.settings.BaseBackoff << min(attempt-1, maxShift)
+	bound := b.settings.BaseBackoff << min(attempt-1, maxBackoffShift)
 	bound = min(bound, b.settings.MaxBackoff)
 	return time.Duration(b.random.Int64N(int64(bound) + 1))
 }
 
-// pay takes a retry out of the budget. Refusals leave half of it, or of the spare
-// where requests are counted: under saturation they are many, and a request whose
-// server crashed, which is rare, would find nothing left.
-func (b *Budget) pay(o Outcome) bool {
+// spend takes a retry from the budget, if possible. Rejections must leave half of
+// the budget, or half of the reserve if there is no window: under saturation
+// there are many rejections, which would otherwise leave nothing for the rare
+// request whose server has crashed.
+func (b *Budget) spend(o Outcome) bool {
 	if b.settings.Window > 0 {
-		return b.payInWindow(o)
+		return b.spendInWindow(o)
 	}
-	floor := 0
+	minCredit := 0
 	if o.Rejected {
-		floor = b.settings.Reserve * one / 2
+		minCredit = b.settings.Reserve * retryCost / 2
 	}
-	if b.credit-one < floor {
+	if b.credit-retryCost < minCredit {
 		return false
 	}
-	b.credit -= one
+	b.credit -= retryCost
 	return true
 }
 
-func (b *Budget) payInWindow(o Outcome) bool {
+func (b *Budget) spendInWindow(o Outcome) bool {
 	now := b.clock.Now()
-	first, retries := b.ledger.sums(now)
-	allowed := b.settings.Reserve*one + first*b.settings.RetryPercent
+	requests, retries := b.window.totals(now)
+	allowed := b.settings.Reserve*retryCost + requests*b.settings.RetryPercent
 	if o.Rejected {
 		allowed /= 2
 	}
-	if (retries+1)*one > allowed {
+	if (retries+1)*retryCost > allowed {
 		return false
 	}
-	b.ledger.retried(now)
+	b.window.addRetry(now)
 	return true
 }
 
-func inTime(o Outcome, at time.Time) bool {
+func beforeDeadline(o Outcome, at time.Time) bool {
 	return o.Deadline.IsZero() || at.Before(o.Deadline)
 }
 
-// giveUp tells the truth: what is not proved is not said.
+// giveUp reports only what is proven about whether the attempt ran. A request
+// that may have run and is not repeatable gets no retry time.
 func (b *Budget) giveUp(o Outcome) GiveUp {
-	if !mayRunAgain(o) {
+	if !safeToRetry(o) {
 		return GiveUp{Ran: o.Ran}
 	}
 	if o.RetryAfter == 0 {
-		o.RetryAfter = unknownAfter + time.Duration(b.random.Int64N(int64(unknownAfter)))
+		o.RetryAfter = defaultRetryAfter + time.Duration(b.random.Int64N(int64(defaultRetryAfter)))
 	}
 	return GiveUp{Ran: o.Ran, RetryAfter: o.RetryAfter}
 }
--- a/internal/decision/beechretry/budget_test.go
+++ b/internal/decision/beechretry/budget_test.go
@@ -19,8 +19,7 @@
 	second = netip.MustParseAddrPort("10.0.0.2:7000")
 )
 
-// TestMain gives the random tests the same seed each time; -rapid.seed tries
-// others.
+// TestMain gives the property tests a fixed seed, unless -rapid.seed is set.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if s := flag.Lookup("rapid.seed"); s.Value.String() == s.DefValue {
@@ -34,8 +33,8 @@
 	return New(s, clock, rand.NewPCG(1, 1)), clock
 }
 
-// send plays a request whose every attempt has the same outcome and counts the
-// attempts.
+// send simulates a request whose attempts all have the same outcome, and returns
+// the number of attempts.
 func send(b *Budget, o Outcome) int {
 	b.RecordRequest()
 	for o.Attempt = 1; ; o.Attempt++ {
@@ -45,9 +44,9 @@
 	}
 }
 
-// All servers of a model fail for a while. Were each request tried three
-// times, the servers would get three times the load when they can bear it
-// least, and stay down.
+// All servers of a model fail for a while. If each request were tried three
+// times, the servers would receive three times their load when they can handle it
+// least, and would not recover.
 func TestOutageIsNotAmplified(t *testing.T) {
 	is := is.New(t)
 	b, _ := newBudget(Settings{})
@@ -59,9 +58,10 @@
 	is.True(attempts <= 11000+Defaults.Reserve)
 }
 
-// Under saturation every second request is refused, and now and then a server
-// crashes under one. The refusals must not use up what the crashed one needs.
-func TestRefusalsLeaveRoomForFailures(t *testing.T) {
+// Under saturation every second request is rejected, and now and then a server
+// crashes while it runs one. The rejections must not use up the budget that the
+// crashed requests need.
+func TestRejectionsLeaveBudgetForFailures(t *testing.T) {
 	is := is.New(t)
 	b, _ := newBudget(Settings{})
 	lost := 0
@@ -79,9 +79,9 @@
 	is.Equal(lost, 0)
 }
 
-// A refusal names a better server, or a time; a booking may have run; the
-// deadline is near; only one server is there.
-func TestEachOutcome(t *testing.T) {
+// Covers rejections that recommend a server or a retry time, a booking that may
+// have run, a close deadline, and a model with a single server.
+func TestDecideOutcomes(t *testing.T) {
 	b, clock := newBudget(Settings{Reserve: 1000})
 	soon := clock.Now().Add(time.Millisecond)
 	for _, c := range []struct {
@@ -106,28 +106,28 @@
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(b.Decide(c.o), c.want) })
 	}
 	g := b.Decide(Outcome{Attempt: 9, Ran: RanNo}).(GiveUp)
-	is.New(t).True(g.RetryAfter >= unknownAfter && g.RetryAfter < 2*unknownAfter)
+	is.New(t).True(g.RetryAfter >= defaultRetryAfter && g.RetryAfter < 2*defaultRetryAfter)
 }
 
-// A server with 200 streams crashes. If all were sent again at the same
-// moment, the next server would get them as one burst.
+// A server with 200 streams crashes. If all were sent again at the same moment,
+// the next server would receive them as one burst.
 func TestRetriesAreSpread(t *testing.T) {
 	is := is.New(t)
 	b, _ := newBudget(Settings{Reserve: 200, BaseBackoff: 100 * time.Millisecond})
-	var tenths [10]int
+	var histogram [10]int
 	for range 200 {
 		r := b.Decide(Outcome{Attempt: 1, Ran: RanUnknown, Repeatable: true}).(Retry)
-		tenths[min(r.Delay/(10*time.Millisecond), 9)]++
+		histogram[min(r.Delay/(10*time.Millisecond), 9)]++
 	}
-	for _, n := range tenths {
+	for _, n := range histogram {
 		is.True(n >= 8 && n <= 40)
 	}
 }
 
-// Whatever the outcome says, what may have run and may not be repeated is never
-// sent again, nothing is sent after its deadline or too often, and not more than
-// the budget holds.
-func TestAnyOutcomeKeepsTheBounds(t *testing.T) {
+// Whatever the outcome, a request that may have run and is not repeatable is
+// never retried, nothing is sent after its deadline or more than MaxAttempts
+// times, and the budget is not exceeded.
+func TestBoundsHoldForAnyOutcome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, clock := newBudget(Settings{RetryPercent: rapid.IntRange(-1, 200).Draw(t, "percent"), Reserve: rapid.IntRange(-1, 5).Draw(t, "spare")})
 		spent, sent := 0, 0
@@ -152,16 +152,16 @@
 			}
 			spent++
 			if o.Ran != RanNo && !o.Repeatable {
-				t.Fatal("ran twice", o)
+				t.Fatal("retried although it may have run", o)
 			}
 			if !o.Deadline.IsZero() && !clock.Now().Add(r.Delay).Before(o.Deadline) {
-				t.Fatal("after the deadline", o, r)
+				t.Fatal("retried after the deadline", o, r)
 			}
 			if o.Attempt >= b.settings.MaxAttempts || r.Delay < 0 || r.Delay > b.settings.MaxBackoff {
-				t.Fatal("too often or too late", o, r)
+				t.Fatal("too many attempts or too long a delay", o, r)
 			}
 		}
-		if spent*one > sent*b.settings.RetryPercent+b.settings.Reserve*one {
+		if spent*retryCost > sent*b.settings.RetryPercent+b.settings.Reserve*retryCost {
 			t.Fatal("over budget", spent)
 		}
 	})
@@ -176,11 +176,11 @@
 	}
 }
 
-// Operators bound the retries of all entry hosts together, and 68 hosts share the
-// bound. Each has hardly any spare retry of its own, but dozens of requests in a
-// window. A third of the servers crash and return as others; requests that were
-// turned away, not run, were given up though the bound was far.
-func TestManyHostsShareABound(t *testing.T) {
+// 68 hosts share a limit on retries, so that each has hardly any reserve but
+// dozens of requests per window. A third of the servers crash and are replaced by
+// new ones. Requests that were rejected without having run used to be given up
+// although the shared limit was far from reached.
+func TestManyHostsShareALimit(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	b := New(Settings{RetryPercent: 15, Reserve: 1, Window: 10 * time.Second, MaxAttempts: 8}, clock, rand.NewPCG(1, 2))
@@ -199,18 +199,19 @@
 			failed++
 		}
 	}
-	is.Equal(refused, 7) // half of 93 x 0.15 and 1
+	is.Equal(refused, 7) // half of 93 x 0.15 + 1
 	is.Equal(failed, 7)  // the rest
 	clock.Advance(11 * time.Second)
 	_, ok := b.Decide(Outcome{Ran: RanUnknown, Repeatable: true}).(Retry)
-	is.True(ok) // the spare one
+	is.True(ok) // the reserve
 	_, ok = b.Decide(Outcome{Ran: RanUnknown, Repeatable: true}).(Retry)
 	is.True(!ok)
 }
 
-// Whenever requests and failures come, retries in any window stay within the
-// share of the requests of it and of the one before, and the spare.
-func TestNoWindowExceedsTheBound(t *testing.T) {
+// However requests and failures are distributed over time, the retries in any
+// window stay within the allowed percentage of the requests of that window and
+// the one before, plus the reserve.
+func TestNoWindowExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		clock := clockwork.NewFakeClock()
@@ -230,9 +231,9 @@
 			in := func(list []time.Time, d time.Duration) int {
 				return len(slices.DeleteFunc(slices.Clone(list), func(at time.Time) bool { return clock.Since(at) >= d }))
 			}
-			slots := window - window/ledgerSlots // whole slots that are counted at least
-			if most := (s.RetryPercent*in(sent, window) + s.Reserve*one) / one; in(retried, slots) > most {
-				t.Fatalf("%d retries in a window of %d", in(retried, slots), most)
+			counted := window - window/windowSlots // the shortest time that the counts cover
+			if most := (s.RetryPercent*in(sent, window) + s.Reserve*retryCost) / retryCost; in(retried, counted) > most {
+				t.Fatalf("%d retries in a window that allows %d", in(retried, counted), most)
 			}
 		}
 	})
