--- a/internal/decision/beechrelay/relay.go
+++ b/internal/decision/beechrelay/relay.go
@@ -39,8 +39,8 @@
 	few = 3
 )
 
-// Of gives the relays of a zone's processes for a sender; none where they are few.
-func Of(sender netip.AddrPort, zone []netip.AddrPort) []netip.AddrPort {
+// Select gives the relays of a zone's processes for a sender; none where they are few.
+func Select(sender netip.AddrPort, zone []netip.AddrPort) []netip.AddrPort {
 	if len(zone) <= few {
 		return nil
 	}
@@ -62,9 +62,9 @@
 	return first
 }
 
-// Take gives the relays for the n-th word: one of them by turns, or all where the
+// Recipients gives the relays for the n-th word: one of them by turns, or all where the
 // word must not be lost.
-func Take(relays []netip.AddrPort, n uint32, certain bool) []netip.AddrPort {
+func Recipients(relays []netip.AddrPort, n uint32, certain bool) []netip.AddrPort {
 	if certain || len(relays) == 0 {
 		return relays
 	}
--- a/internal/decision/beechrelay/relay_test.go
+++ b/internal/decision/beechrelay/relay_test.go
@@ -25,9 +25,9 @@
 func TestOrderOfTheListDoesNotMatter(t *testing.T) {
 	is := is.New(t)
 	zone := hosts(1, 11)
-	relays := Of(host(2, 1), zone)
+	relays := Select(host(2, 1), zone)
 	slices.Reverse(zone)
-	is.Equal(Of(host(2, 1), zone), relays)
+	is.Equal(Select(host(2, 1), zone), relays)
 	is.Equal(len(relays), 2)
 	is.True(relays[0] != relays[1])
 }
@@ -39,9 +39,9 @@
 	zone := hosts(1, 11)
 	words := map[netip.AddrPort]int{}
 	for i := range 100 {
-		relays := Of(host(2, i), zone)
+		relays := Select(host(2, i), zone)
 		for n := range uint32(10) {
-			for _, relay := range Take(relays, n, false) {
+			for _, relay := range Recipients(relays, n, false) {
 				words[relay]++
 			}
 		}
@@ -58,16 +58,16 @@
 	is := is.New(t)
 	zone := hosts(1, 11)
 	for i := range 100 {
-		before := Of(host(2, i), zone)
+		before := Select(host(2, i), zone)
 		heard := 0
 		for n := range uint32(10) {
-			if Take(before, n, false)[0] != zone[4] {
+			if Recipients(before, n, false)[0] != zone[4] {
 				heard++
 			}
 		}
 		is.True(heard >= 5)
-		is.True(slices.ContainsFunc(Take(before, 3, true), func(p netip.AddrPort) bool { return p != zone[4] }))
-		after := Of(host(2, i), slices.Delete(slices.Clone(zone), 4, 5))
+		is.True(slices.ContainsFunc(Recipients(before, 3, true), func(p netip.AddrPort) bool { return p != zone[4] }))
+		after := Select(host(2, i), slices.Delete(slices.Clone(zone), 4, 5))
 		if !slices.Contains(before, zone[4]) {
 			is.Equal(after, before)
 		}
@@ -76,8 +76,8 @@
 
 func TestFewAreToldDirectly(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(Of(host(2, 1), hosts(1, 3))), 0)
-	is.Equal(len(Of(host(2, 1), nil)), 0)
-	is.Equal(len(Take(nil, 1, true)), 0)
-	is.Equal(len(Take(nil, 1, false)), 0)
+	is.Equal(len(Select(host(2, 1), hosts(1, 3))), 0)
+	is.Equal(len(Select(host(2, 1), nil)), 0)
+	is.Equal(len(Recipients(nil, 1, true)), 0)
+	is.Equal(len(Recipients(nil, 1, false)), 0)
 }
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -87,9 +87,9 @@
 	g.toZone(word(false))
 	for _, zone := range g.others.zones(g.clock.Now()) {
 		to := zone
-		relays := beechrelay.Of(g.circle.Self(), zone)
+		relays := beechrelay.Select(g.circle.Self(), zone)
 		if relays != nil {
-			to = beechrelay.Take(relays, n, certain)
+			to = beechrelay.Recipients(relays, n, certain)
 		}
 		if err := g.socket.SendAll(to, beechbeat.Far, word(relays != nil)); err != nil {
 			g.log.Debug("gate not told", zap.Error(err))
--- a/internal/process/beechkeeper/tell.go
+++ b/internal/process/beechkeeper/tell.go
@@ -89,7 +89,7 @@
 		}
 	}
 	for zone, list := range gates {
-		relays := beechrelay.Of(k.settings.Beats, list)
+		relays := beechrelay.Select(k.settings.Beats, list)
 		if relays == nil {
 			delete(k.zones, zone)
 			continue
@@ -163,7 +163,7 @@
 func (k *Keeper) tellZone(zone string, a *audience, at time.Time) {
 	certain := k.state() != a.is
 	a.words++
-	to := beechrelay.Take(a.relays, a.words, certain)
+	to := beechrelay.Recipients(a.relays, a.words, certain)
 	k.send(to, beechbeat.Far, beechbeat.Pass{Pass: &beechwire.Pass{Tell: *k.word(a, at)}})
 	k.needs.Log.Debug("zone told", zap.String("zone", zone), zap.Stringers("peers", to))
 }
