--- a/internal/decision/beechrelay/relay.go
+++ b/internal/decision/beechrelay/relay.go
@@ -1,26 +1,26 @@
-// Package beechrelay decides through which processes of an availability zone a
-// word to all of them goes.
+// Package beechrelay selects the processes of an availability zone that relay
+// messages from other zones to the rest of their zone.
 //
-// # Load it answers
+// # Why
 //
-// A keeper tells every gate how its engine stands, several times a second, so that
-// words grow with keepers times gates and become most of what crosses the borders
-// of zones. Inside a zone bytes cost nothing. So a zone hears through one of its
-// gates, which passes the word on.
+// A keeper reports the state of its engine to every gate several times a second, so
+// the number of messages grows with keepers times gates, and they make up most of
+// the traffic between zones. Traffic inside a zone is free. Each message is
+// therefore sent to one gate of a zone, which relays it to the others.
 //
-// # How it decides
+// # Algorithm
 //
-// Two relays of a zone take turns, by rendezvous hash of the sender and each of the
-// zone's processes, so that a zone's work is spread over all of them, and few
-// senders change theirs when one comes or goes. A relay that has died or stalls
-// loses every second word until its zone's list drops it, no more. What must not
-// be lost goes through both. A zone of a few is told directly: there is nothing to
-// save.
+// A sender alternates between two relays per zone, which are chosen by rendezvous
+// hashing of the sender and each process of the zone. This spreads a zone's relaying
+// over all of its processes, and few senders change relays when a process joins or
+// leaves. A relay that has died or stalls loses only every second message, until it
+// is removed from the zone's list. Messages that must not be lost go through both
+// relays. Small zones are sent to directly, since relaying would save nothing.
 //
 // # Usage
 //
-//	relays := beechrelay.Of(self, zone)       // nil: tell each directly
-//	to := beechrelay.Take(relays, n, certain) // for the n-th word
+//	relays := beechrelay.Select(self, zone)       // nil: send to each process directly
+//	to := beechrelay.Recipients(relays, n, false) // for the n-th message
 package beechrelay
 
 import (
@@ -33,39 +33,41 @@
 )
 
 const (
-	// relays of a zone share the words of a sender.
-	relays = 2
-	// few processes are told directly.
-	few = 3
+	// relaysPerZone is the number of relays that a sender alternates between.
+	relaysPerZone = 2
+	// maxDirect is the largest number of processes in a zone that are sent to
+	// directly.
+	maxDirect = 3
 )
 
-// Select gives the relays of a zone's processes for a sender; none where they are few.
+// Select returns a sender's relays in a zone, given the zone's processes, or nil
+// if the zone is small enough to be sent to directly.
 func Select(sender netip.AddrPort, zone []netip.AddrPort) []netip.AddrPort {
-	if len(zone) <= few {
+	if len(zone) <= maxDirect {
 		return nil
 	}
-	type scored struct {
+	type candidate struct {
 		process netip.AddrPort
 		score   uint64
 	}
-	list := make([]scored, 0, len(zone))
+	candidates := make([]candidate, 0, len(zone))
 	for _, process := range zone {
-		list = append(list, scored{process, score(sender, process)})
+		candidates = append(candidates, candidate{process, score(sender, process)})
 	}
-	slices.SortFunc(list, func(x, y scored) int {
+	slices.SortFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(cmp.Compare(x.score, y.score), x.process.Compare(y.process))
 	})
-	first := make([]netip.AddrPort, 0, relays)
-	for _, s := range list[:relays] {
-		first = append(first, s.process)
+	chosen := make([]netip.AddrPort, 0, relaysPerZone)
+	for _, c := range candidates[:relaysPerZone] {
+		chosen = append(chosen, c.process)
 	}
-	return first
+	return chosen
 }
 
-// Recipients gives the relays for the n-th word: one of them by turns, or all where the
-// word must not be lost.
-func Recipients(relays []netip.AddrPort, n uint32, certain bool) []netip.AddrPort {
-	if certain || len(relays) == 0 {
+// Recipients returns the relays that the n-th message is sent to: one of them in
+// turn, or all of them for a message that must not be lost.
+func Recipients(relays []netip.AddrPort, n uint32, all bool) []netip.AddrPort {
+	if all || len(relays) == 0 {
 		return relays
 	}
 	i := int(n % uint32(len(relays)))
@@ -73,11 +75,11 @@
 }
 
 func score(sender, process netip.AddrPort) uint64 {
-	var text [36]byte
+	var buf [36]byte
 	from, to := sender.Addr().As16(), process.Addr().As16()
-	copy(text[:16], from[:])
-	copy(text[16:32], to[:])
-	binary.BigEndian.PutUint16(text[32:34], sender.Port())
-	binary.BigEndian.PutUint16(text[34:], process.Port())
-	return xxhash.Sum64(text[:])
+	copy(buf[:16], from[:])
+	copy(buf[16:32], to[:])
+	binary.BigEndian.PutUint16(buf[32:34], sender.Port())
+	binary.BigEndian.PutUint16(buf[34:], process.Port())
+	return xxhash.Sum64(buf[:])
 }
--- a/internal/decision/beechrelay/relay_test.go
+++ b/internal/decision/beechrelay/relay_test.go
@@ -20,9 +20,9 @@
 	return list
 }
 
-// Whatever order the list comes in, the same relays stand in for a zone: a keeper's
-// words would wander over the zone otherwise, and overtake one another.
-func TestOrderOfTheListDoesNotMatter(t *testing.T) {
+// The relays must not depend on the order of the zone's list: a keeper's messages
+// would otherwise take changing paths and overtake each other.
+func TestSelectIgnoresOrder(t *testing.T) {
 	is := is.New(t)
 	zone := hosts(1, 11)
 	relays := Select(host(2, 1), zone)
@@ -32,40 +32,40 @@
 	is.True(relays[0] != relays[1])
 }
 
-// Entry hosts are thin, so no one of them may carry the words of a whole fleet for
-// its zone.
-func TestRelayingIsSpread(t *testing.T) {
+// Entry hosts are small machines, so no one of them may relay a whole fleet's
+// messages for its zone.
+func TestLoadIsSpread(t *testing.T) {
 	is := is.New(t)
 	zone := hosts(1, 11)
-	words := map[netip.AddrPort]int{}
+	messages := map[netip.AddrPort]int{}
 	for i := range 100 {
 		relays := Select(host(2, i), zone)
 		for n := range uint32(10) {
 			for _, relay := range Recipients(relays, n, false) {
-				words[relay]++
+				messages[relay]++
 			}
 		}
 	}
 	for _, process := range zone {
-		is.True(words[process] < 3*1000/11)
-		is.True(words[process] > 1000/11/3)
+		is.True(messages[process] < 3*1000/11)
+		is.True(messages[process] > 1000/11/3)
 	}
 }
 
-// A gate dies. The keepers whose relay it was lose every second word until they hear
-// so, and only those change a relay then.
-func TestRelayThatDiesTakesHalfOfTheWords(t *testing.T) {
+// A gate dies. Keepers that use it as a relay lose every second message until
+// they are told, and only those keepers change relays.
+func TestFailedRelayLosesHalfOfTheMessages(t *testing.T) {
 	is := is.New(t)
 	zone := hosts(1, 11)
 	for i := range 100 {
 		before := Select(host(2, i), zone)
-		heard := 0
+		received := 0
 		for n := range uint32(10) {
 			if Recipients(before, n, false)[0] != zone[4] {
-				heard++
+				received++
 			}
 		}
-		is.True(heard >= 5)
+		is.True(received >= 5)
 		is.True(slices.ContainsFunc(Recipients(before, 3, true), func(p netip.AddrPort) bool { return p != zone[4] }))
 		after := Select(host(2, i), slices.Delete(slices.Clone(zone), 4, 5))
 		if !slices.Contains(before, zone[4]) {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestFewAreToldDirectly(t *testing.T) {
+func TestSmallZonesNeedNoRelays(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Select(host(2, 1), hosts(1, 3))), 0)
 	is.Equal(len(Select(host(2, 1), nil)), 0)
