--- a/internal/process/beechentry/completion.go
+++ b/internal/process/beechentry/completion.go
@@ -41,7 +41,7 @@
 	if f != nil {
 		return nil, f
 	}
-	prompt, err := beechprefix.Read(r.URL.Path, body)
+	prompt, err := beechprefix.Decode(r.URL.Path, body)
 	if err != nil {
 		return nil, promptFailure(err)
 	}
--- a/internal/process/beechreplay/workload_test.go
+++ b/internal/process/beechreplay/workload_test.go
@@ -129,7 +129,7 @@
 		history = w.histories[d.histories-1-2*i/d.requests]
 	}
 	question := message("user", fmt.Sprint("question ", i), 100+random.IntN(800))
-	chain := beechprefix.New(w.root, w.instruction, history, question)
+	chain := beechprefix.NewChat(w.root, w.instruction, history, question)
 	q := &request{id: uint64(i), zone: random.IntN(d.zones), workspace: w.root.Workspace, prompt: chain.PromptTokens}
 	q.output = 1 + int(float64(d.outputMean)*random.ExpFloat64())
 	for _, l := range chain.Levels {
--- a/internal/prompt/beechprefix/chain.go
+++ b/internal/prompt/beechprefix/chain.go
@@ -46,16 +46,16 @@
 	return sha256.Sum256(bytes)
 }
 
-// New is the chain of a chat's messages under root, with tokens estimated by the
+// NewChat is the chain of a chat's messages under root, with tokens estimated by the
 // default ratio.
-func New(root Root, messages ...Message) Chain {
+func NewChat(root Root, messages ...Message) Chain {
 	p := Prompt{messages: messages}
 	return p.Chain(root, nil)
 }
 
-// Plain is the chain of a plain prompt under root, with tokens estimated by the
+// NewPlain is the chain of a plain prompt under root, with tokens estimated by the
 // default ratio.
-func Plain(root Root, text string) Chain {
+func NewPlain(root Root, text string) Chain {
 	p := Prompt{text: text, plain: true}
 	return p.Chain(root, nil)
 }
--- a/internal/prompt/beechprefix/parse.go
+++ b/internal/prompt/beechprefix/parse.go
@@ -47,16 +47,16 @@
 // Parse reads a request body and gives its chain under root, with tokens
 // estimated by the default ratio. Its error is always an *Error.
 func Parse(root Root, path string, body []byte) (Chain, Fields, error) {
-	p, err := Read(path, body)
+	p, err := Decode(path, body)
 	if err != nil {
 		return Chain{}, Fields{}, err
 	}
 	return p.Chain(root, nil), p.Fields, nil
 }
 
-// Read decodes a request body once. Fields it does not know are passed over. Its
+// Decode decodes a request body once. Fields it does not know are passed over. Its
 // error is always an *Error.
-func Read(path string, raw []byte) (*Prompt, error) {
+func Decode(path string, raw []byte) (*Prompt, error) {
 	if path != PathChat && path != PathCompletions {
 		return nil, &Error{Kind: KindPath, Reason: fmt.Sprintf("path %q has no prompt", path)}
 	}
--- a/internal/prompt/beechprefix/prefix_test.go
+++ b/internal/prompt/beechprefix/prefix_test.go
@@ -95,7 +95,7 @@
 		}
 		a, b := root("a"), root("b")
 		messages := []Message{{Role: "system", Content: "x"}, {Role: "user", Content: part.Draw(t, "content")}}
-		one, two := New(a, messages...), New(b, messages...)
+		one, two := NewChat(a, messages...), NewChat(b, messages...)
 		if (a == b) != (one.Salt == two.Salt) || (a == b) != slices.Equal(one.Levels, two.Levels) {
 			t.Fatalf("roots %+v and %+v: salts %s and %s", a, b, one.Salt, two.Salt)
 		}
@@ -110,7 +110,7 @@
 	for i := range 300 {
 		messages = append(messages, Message{Role: "user", Content: fmt.Sprint("turn ", i)})
 	}
-	before, after := New(loop, messages[:298]...), New(loop, messages...)
+	before, after := NewChat(loop, messages[:298]...), NewChat(loop, messages...)
 	is.Equal(len(after.Levels), MaxLevels)
 	is.Equal(before.Levels[:headLevels], after.Levels[:headLevels])
 	is.True(slices.Contains(after.Levels, before.Levels[len(before.Levels)-1]))
@@ -119,12 +119,12 @@
 func TestPlainPromptIsCutIntoChunks(t *testing.T) {
 	is := is.New(t)
 	shared := strings.Repeat("lease history. ", 4000)
-	one, two := Plain(loop, shared+"Water rights?"), Plain(loop, shared+"Who pays?")
+	one, two := NewPlain(loop, shared+"Water rights?"), NewPlain(loop, shared+"Who pays?")
 	is.True(len(one.Levels) <= MaxLevels)
 	is.Equal(one.Levels[len(one.Levels)-2], two.Levels[len(two.Levels)-2])
 	is.True(one.Levels[len(one.Levels)-2].Tokens > len(shared)/8) // no stride leaves out half
-	is.Equal(len(Plain(loop, "short").Levels), 1)
-	is.True(len(Plain(loop, strings.Repeat("x", 4<<20)).Levels) <= MaxLevels)
+	is.Equal(len(NewPlain(loop, "short").Levels), 1)
+	is.True(len(NewPlain(loop, strings.Repeat("x", 4<<20)).Levels) <= MaxLevels)
 
 	chain, fields := parse(t, PathCompletions, `{"model":"m","prompt":["a","b"]}`)
 	is.Equal(fields.Messages, 1)
