--- a/internal/prompt/beechprefix/chain.go
+++ b/internal/prompt/beechprefix/chain.go
@@ -9,16 +9,16 @@
 	"github.com/zeebo/xxh3"
 )
 
-// A chain has at most MaxLevels levels, so that a long conversation costs no more
-// to route than a short one. Of a longer chat the first headLevels and the last
-// levels are kept: the instruction that many share, and the turns that the
+// A chain has at most MaxLevels levels, so that routing a long conversation costs no
+// more than routing a short one. A longer chat has the first headLevels, for the
+// instruction that many prompts share, and the last levels, for the turns that the
 // caller's next request will extend.
 const (
 	MaxLevels  = 32
 	headLevels = 4
 
-	// chunkBytes is about 500 tokens of text: small against a prompt worth
-	// caching, large against an engine's block.
+	// chunkBytes is about 500 tokens of text: small compared with a prompt worth
+	// caching, large compared with an engine's block.
 	chunkBytes = 2048
 )
 
@@ -30,45 +30,47 @@
 	levels     []Level
 }
 
-// Salt is the cache salt of a root in hex: level 0 of every chain below it. Each
-// part is hashed with its length, so that no two roots run together.
+// Salt returns the cache salt of the root in hex, which is level 0 of every chain
+// under it. Each field is hashed with its length, so that different roots cannot
+// produce the same input.
 func (r Root) Salt() string {
-	sum := r.sum()
+	sum := r.hash()
 	return hex.EncodeToString(sum[:])
 }
 
-func (r Root) sum() [sha256.Size]byte {
-	var bytes []byte
+func (r Root) hash() [sha256.Size]byte {
+	var buf []byte
 	for _, part := range [...]string{r.Workspace, r.Model, r.Adapter, r.Weights} {
-		bytes = binary.LittleEndian.AppendUint64(bytes, uint64(len(part)))
-		bytes = append(bytes, part...)
+		buf = binary.LittleEndian.AppendUint64(buf, uint64(len(part)))
+		buf = append(buf, part...)
 	}
-	return sha256.Sum256(bytes)
+	return sha256.Sum256(buf)
 }
 
-// NewChat is the chain of a chat's messages under root, with tokens estimated by the
-// default ratio.
+// NewChat returns the chain of a chat's messages under root, with tokens
+// estimated by the default ratio.
 func NewChat(root Root, messages ...Message) Chain {
 	p := Prompt{messages: messages}
 	return p.Chain(root, nil)
 }
 
-// NewPlain is the chain of a plain prompt under root, with tokens estimated by the
-// default ratio.
+// NewPlain returns the chain of a plain prompt under root, with tokens estimated
+// by the default ratio.
 func NewPlain(root Root, text string) Chain {
 	p := Prompt{text: text, plain: true}
 	return p.Chain(root, nil)
 }
 
-// Chain is the prompt's chain under root. A nil estimator has the default ratio.
+// Chain returns the prompt's chain under root. A nil estimator uses the default
+// ratio.
 func (p *Prompt) Chain(root Root, estimator *Estimator) Chain {
-	sum := root.sum()
+	sum := root.hash()
 	b := builder{estimator: estimator}
 	copy(b.key[:], sum[:])
 	if p.plain {
-		b.chunks(p.text)
+		b.addChunks(p.text)
 	} else {
-		b.chat(p.tools, p.messages)
+		b.addMessages(p.tools, p.messages)
 	}
 	return Chain{
 		Salt:         hex.EncodeToString(sum[:]),
@@ -77,35 +79,37 @@
 	}
 }
 
-// chat extends the chain by each message. Engines render the tools ahead of the
-// first message, so they extend the chain first, without a level of their own.
-func (b *builder) chat(tools string, messages []Message) {
+// addMessages extends the chain by each message. Engines render the tools before
+// the first message, so the tools extend the chain first, without a level of
+// their own.
+func (b *builder) addMessages(tools string, messages []Message) {
 	b.levels = make([]Level, 0, min(len(messages), MaxLevels))
 	if tools != "" {
 		b.extend(tools)
 	}
 	for i, m := range messages {
 		b.extend(m.Role, m.Content, m.Extra)
-		if keepsMessage(i, len(messages)) {
-			b.level()
+		if messageHasLevel(i, len(messages)) {
+			b.addLevel()
 		}
 	}
 }
 
-// chunks extends the chain by each whole chunk of a plain prompt. What is left
-// at the end counts as tokens; it is a prefix of nothing longer.
-func (b *builder) chunks(text string) {
+// addChunks extends the chain by each complete chunk of a plain prompt. The
+// remainder only counts towards the tokens, since it is not a prefix of any
+// longer prompt.
+func (b *builder) addChunks(text string) {
 	rest := text
 	for i := 0; len(rest) >= chunkBytes && len(b.levels) < MaxLevels; i++ {
 		b.extend(rest[:chunkBytes])
 		rest = rest[chunkBytes:]
-		if keepsChunk(i + 1) {
-			b.level()
+		if chunkHasLevel(i + 1) {
+			b.addLevel()
 		}
 	}
 	if len(b.levels) == 0 && len(rest) > 0 {
 		b.extend(rest)
-		b.level()
+		b.addLevel()
 		return
 	}
 	b.characters += utf8.RuneCountInString(rest)
@@ -124,19 +128,19 @@
 	b.key = b.hasher.Sum128().Bytes()
 }
 
-func (b *builder) level() {
+func (b *builder) addLevel() {
 	b.levels = append(b.levels, Level{Key: b.key, Tokens: b.estimator.Tokens(b.characters)})
 }
 
-// keepsMessage tells whether message i of n has a level in the chain.
-func keepsMessage(i, n int) bool {
+// messageHasLevel reports whether message i of n has a level in the chain.
+func messageHasLevel(i, n int) bool {
 	return i < headLevels || i >= n-(MaxLevels-headLevels)
 }
 
-// keepsChunk tells whether the chain has a level after n chunks: each of the
-// first eight, then four to each doubling. It depends on n alone, so that two
-// prompts keep the same levels of what they share.
-func keepsChunk(n int) bool {
+// chunkHasLevel reports whether the chain has a level after n chunks: after each
+// of the first eight, then four times per doubling. It depends on n alone, so
+// that two prompts have the same levels for the part they share.
+func chunkHasLevel(n int) bool {
 	stride := 1
 	for n >= 8*stride {
 		stride *= 2
--- a/internal/prompt/beechprefix/estimator.go
+++ b/internal/prompt/beechprefix/estimator.go
@@ -5,23 +5,24 @@
 	"sync/atomic"
 )
 
-// The ratio starts at four characters a token, which suits English and Spanish
-// prose, and stays within what tokenizers give for any text.
+// The ratio starts at four characters per token, which suits English and Spanish
+// prose, and is kept within the range of tokenizers for any text.
 const (
-	defaultRatio = 4.0
-	minRatio     = 0.5
-	maxRatio     = 16.0
-	correction   = 0.05 // share of one report's error that is taken in
+	defaultCharsPerToken = 4.0
+	minCharsPerToken     = 0.5
+	maxCharsPerToken     = 16.0
+	smoothing            = 0.05 // weight of each new report in the moving average
 )
 
-// Estimator estimates tokens from characters. Its ratio is corrected from the
-// usage that engines report. It is safe for concurrent use; nil and the zero
-// value have the default ratio.
+// Estimator estimates token counts from character counts. It adjusts its ratio to
+// the usage that engines report. It is safe for concurrent use; nil and the zero
+// value use the default ratio.
 type Estimator struct {
-	bits atomic.Uint64 // the ratio as float bits, 0 for the default
+	ratioBits atomic.Uint64 // the ratio as float64 bits; 0 means the default
 }
 
-// Tokens is the estimate for that many characters, rounded up.
+// Tokens returns the estimated number of tokens in the given number of
+// characters, rounded up.
 func (e *Estimator) Tokens(characters int) int {
 	if characters <= 0 {
 		return 0
@@ -29,19 +30,19 @@
 	return int(math.Ceil(float64(characters) / e.ratio()))
 }
 
-// Correct takes in that a prompt estimated at so many tokens had so many by the
-// engine's count. Counts that are not positive are passed over.
+// Correct adjusts the ratio to a prompt for which an estimate and the engine's
+// count are known. Counts that are not positive are ignored.
 func (e *Estimator) Correct(estimated, counted int) {
 	if estimated <= 0 || counted <= 0 {
 		return
 	}
 	for {
-		old := e.bits.Load()
+		old := e.ratioBits.Load()
 		ratio := e.ratio()
 		target := ratio * float64(estimated) / float64(counted)
-		ratio += correction * (target - ratio)
-		ratio = min(max(ratio, minRatio), maxRatio)
-		if e.bits.CompareAndSwap(old, math.Float64bits(ratio)) {
+		ratio += smoothing * (target - ratio)
+		ratio = min(max(ratio, minCharsPerToken), maxCharsPerToken)
+		if e.ratioBits.CompareAndSwap(old, math.Float64bits(ratio)) {
 			return
 		}
 	}
@@ -49,10 +50,10 @@
 
 func (e *Estimator) ratio() float64 {
 	if e == nil {
-		return defaultRatio
+		return defaultCharsPerToken
 	}
-	if bits := e.bits.Load(); bits != 0 {
+	if bits := e.ratioBits.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
-	return defaultRatio
+	return defaultCharsPerToken
 }
--- a/internal/prompt/beechprefix/parse.go
+++ b/internal/prompt/beechprefix/parse.go
@@ -9,42 +9,45 @@
 	"unicode/utf8"
 )
 
-// Paths with a prompt.
+// Paths of requests that have a prompt.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
 )
 
 type (
-	// text is a JSON string, or any other value in canonical form.
-	text string
+	// canonicalText is the text of a JSON string, or the canonical form of any
+	// other JSON value.
+	canonicalText string
 
+	// The type names body and message are visible to callers:
+	// json.UnmarshalTypeError puts them into error messages.
 	body struct {
-		Model               string     `json:"model"`
-		Stream              *bool      `json:"stream"`
-		MaxTokens           *int       `json:"max_tokens"`
-		MaxCompletionTokens *int       `json:"max_completion_tokens"`
-		Messages            *[]message `json:"messages"`
-		Prompt              *text      `json:"prompt"`
-		Tools               text       `json:"tools"`
-		Functions           text       `json:"functions"`
-		Choices             *int       `json:"n"`
-		LogProbs            text       `json:"logprobs"`
+		Model               string         `json:"model"`
+		Stream              *bool          `json:"stream"`
+		MaxTokens           *int           `json:"max_tokens"`
+		MaxCompletionTokens *int           `json:"max_completion_tokens"`
+		Messages            *[]message     `json:"messages"`
+		Prompt              *canonicalText `json:"prompt"`
+		Tools               canonicalText  `json:"tools"`
+		Functions           canonicalText  `json:"functions"`
+		Choices             *int           `json:"n"`
+		LogProbs            canonicalText  `json:"logprobs"`
 		StreamOptions       *struct {
 			IncludeUsage bool `json:"include_usage"`
 		} `json:"stream_options"`
 	}
 
 	message struct {
-		Role       string `json:"role"`
-		Content    text   `json:"content"`
-		Name       text   `json:"name"`
-		ToolCalls  text   `json:"tool_calls"`
-		ToolCallID text   `json:"tool_call_id"`
+		Role       string        `json:"role"`
+		Content    canonicalText `json:"content"`
+		Name       canonicalText `json:"name"`
+		ToolCalls  canonicalText `json:"tool_calls"`
+		ToolCallID canonicalText `json:"tool_call_id"`
 	}
 )
 
-// Parse reads a request body and gives its chain under root, with tokens
+// Parse decodes a request body and returns its chain under root, with tokens
 // estimated by the default ratio. Its error is always an *Error.
 func Parse(root Root, path string, body []byte) (Chain, Fields, error) {
 	p, err := Decode(path, body)
@@ -54,8 +57,8 @@
 	return p.Chain(root, nil), p.Fields, nil
 }
 
-// Decode decodes a request body once. Fields it does not know are passed over. Its
-// error is always an *Error.
+// Decode decodes a request body. Unknown fields are ignored. Its error is always
+// an *Error.
 func Decode(path string, raw []byte) (*Prompt, error) {
 	if path != PathChat && path != PathCompletions {
 		return nil, &Error{Kind: KindPath, Reason: fmt.Sprintf("path %q has no prompt", path)}
@@ -71,13 +74,13 @@
 		return nil, &Error{Kind: KindField, Field: "model", Reason: "must be a model's name"}
 	}
 	p := &Prompt{Fields: b.fields()}
-	if err := p.readMaxTokens(&b); err != nil {
+	if err := p.setMaxTokens(&b); err != nil {
 		return nil, err
 	}
 	if path == PathChat {
-		return p, p.readMessages(&b)
+		return p, p.setMessages(&b)
 	}
-	return p, p.readPlain(&b)
+	return p, p.setPlain(&b)
 }
 
 func (b *body) fields() Fields {
@@ -90,7 +93,7 @@
 	}
 }
 
-func (p *Prompt) readMaxTokens(b *body) error {
+func (p *Prompt) setMaxTokens(b *body) error {
 	for _, limit := range [...]*int{b.MaxTokens, b.MaxCompletionTokens} {
 		if limit == nil {
 			continue
@@ -103,7 +106,7 @@
 	return nil
 }
 
-func (p *Prompt) readMessages(b *body) error {
+func (p *Prompt) setMessages(b *body) error {
 	if b.Messages == nil || len(*b.Messages) == 0 {
 		return &Error{Kind: KindField, Field: "messages", Reason: "must hold at least one message"}
 	}
@@ -116,7 +119,7 @@
 	return nil
 }
 
-func (p *Prompt) readPlain(b *body) error {
+func (p *Prompt) setPlain(b *body) error {
 	if b.Prompt == nil || *b.Prompt == "" {
 		return &Error{Kind: KindField, Field: "prompt", Reason: "must not be empty"}
 	}
@@ -134,11 +137,11 @@
 	return strings.Join(parts, "\x00")
 }
 
-// UnmarshalJSON keeps a string as its text and anything else as JSON with sorted
-// keys and no spaces, so that two spellings of one value hash alike. A string
-// without escapes, the usual case of a long prompt, is copied and not decoded a
-// second time.
-func (t *text) UnmarshalJSON(raw []byte) error {
+// UnmarshalJSON keeps the text of a string, and converts any other value to JSON
+// with sorted keys and no spaces, so that different encodings of a value have the
+// same hash. A string without escapes, the usual case for a long prompt, is
+// copied rather than decoded a second time.
+func (t *canonicalText) UnmarshalJSON(raw []byte) error {
 	if bytes.Equal(raw, []byte("null")) {
 		return nil
 	}
@@ -146,13 +149,13 @@
 		return t.unmarshalValue(raw)
 	}
 	if bytes.IndexByte(raw, '\\') < 0 {
-		*t = text(raw[1 : len(raw)-1])
+		*t = canonicalText(raw[1 : len(raw)-1])
 		return nil
 	}
 	return json.Unmarshal(raw, (*string)(t))
 }
 
-func (t *text) unmarshalValue(raw []byte) error {
+func (t *canonicalText) unmarshalValue(raw []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
 	var value any
@@ -163,15 +166,15 @@
 	if err != nil {
 		return err
 	}
-	*t = text(canonical)
+	*t = canonicalText(canonical)
 	return nil
 }
 
 func decodeError(err error) *Error {
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		reason := "must be " + wrongType.Type.String() + ", not " + wrongType.Value
-		return &Error{Kind: KindField, Field: wrongType.Field, Reason: reason}
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		reason := "must be " + typeError.Type.String() + ", not " + typeError.Value
+		return &Error{Kind: KindField, Field: typeError.Field, Reason: reason}
 	}
 	return &Error{Kind: KindSyntax, Reason: err.Error()}
 }
--- a/internal/prompt/beechprefix/prefix_test.go
+++ b/internal/prompt/beechprefix/prefix_test.go
@@ -11,59 +11,60 @@
 	"pgregory.net/rapid"
 )
 
-var loop = Root{Workspace: "loop", Model: "advisor", Weights: "7"}
+var testRoot = Root{Workspace: "loop", Model: "advisor", Weights: "7"}
 
-const chat = `{"model":"advisor","stream":true,"max_tokens":50,"messages":[` +
+const chatBody = `{"model":"advisor","stream":true,"max_tokens":50,"messages":[` +
 	`{"role":"system","content":"You give fit advice."},` +
 	`{"role":"user","content":"History: wool, size 41."},` +
 	`{"role":"user","content":"Which sock?"}],"some_new_field":{"kept":1}}`
 
 func parse(t *testing.T, path, body string) (Chain, Fields) {
 	t.Helper()
-	chain, fields, err := Parse(loop, path, []byte(body))
+	chain, fields, err := Parse(testRoot, path, []byte(body))
 	is.New(t).NoErr(err)
 	return chain, fields
 }
 
-func TestChatBecomesNestedLevels(t *testing.T) {
+func TestChatHasLevelPerMessage(t *testing.T) {
 	is := is.New(t)
-	chain, fields := parse(t, PathChat, chat)
+	chain, fields := parse(t, PathChat, chatBody)
 	is.Equal(fields, Fields{Model: "advisor", Stream: true, Resumable: true, MaxTokens: 50, Messages: 3})
 	is.Equal(len(chain.Levels), 3)
 	is.Equal(chain.PromptTokens, chain.Levels[2].Tokens)
 
-	other, _ := parse(t, PathChat, strings.Replace(chat, "Which sock?", "Which yarn?", 1))
+	other, _ := parse(t, PathChat, strings.Replace(chatBody, "Which sock?", "Which yarn?", 1))
 	is.Equal(chain.Levels[:2], other.Levels[:2])
 	is.True(chain.Levels[2].Key != other.Levels[2].Key)
 }
 
-func TestFieldsThatResumingNeeds(t *testing.T) {
+func TestResumableRequests(t *testing.T) {
 	is := is.New(t)
-	_, fields := parse(t, PathChat, strings.Replace(chat, `"stream":true`, `"n":2,"stream_options":{"include_usage":true}`, 1))
+	_, fields := parse(t, PathChat, strings.Replace(chatBody, `"stream":true`, `"n":2,"stream_options":{"include_usage":true}`, 1))
 	is.Equal(fields, Fields{Model: "advisor", WantsUsage: true, MaxTokens: 50, Messages: 3})
-	_, fields = parse(t, PathChat, strings.Replace(chat, `"stream":true`, `"tools":[{}]`, 1))
+	_, fields = parse(t, PathChat, strings.Replace(chatBody, `"stream":true`, `"tools":[{}]`, 1))
 	is.True(!fields.Resumable)
 }
 
-// Two members' clients write the same prompt with other spaces, escapes and key order.
-// Taken for different prompts, each would be recomputed.
-func TestSpellingsOfOnePromptShareTheChain(t *testing.T) {
+// Two members' clients encode the same prompt with different spaces, escapes and
+// key order. If their keys differed, the prompt would be computed once for each
+// encoding.
+func TestEquivalentJSONHasSameChain(t *testing.T) {
 	is := is.New(t)
-	spellings := []string{
+	encodings := []string{
 		`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"Cobán"}]}]}`,
 		`{"messages": [ {"content": [ {"text": "Cob\u00e1n", "type": "text"} ], "role": "user"} ], "model": "m"}`,
 	}
-	first, _ := parse(t, PathChat, spellings[0])
-	second, _ := parse(t, PathChat, spellings[1])
+	first, _ := parse(t, PathChat, encodings[0])
+	second, _ := parse(t, PathChat, encodings[1])
 	is.Equal(first, second)
 	plain, _ := parse(t, PathChat, `{"model":"m","messages":[{"role":"user","content":"a\nb"}]}`)
 	escaped, _ := parse(t, PathChat, `{"model":"m","messages":[{"role":"user","content":"a\u000ab"}]}`)
 	is.Equal(plain, escaped)
 }
 
-// Engines render tools, tool calls and names into the prompt. A chain that left them out
-// would promise cache for another prompt.
-func TestWhatTheEngineRendersIsInTheChain(t *testing.T) {
+// Engines render tools, tool calls and names into the prompt. If the chain left
+// them out, it would match the cache of a different prompt.
+func TestChainCoversAllRenderedFields(t *testing.T) {
 	is := is.New(t)
 	message := func(extra string) string {
 		return `{"model":"m","messages":[{"role":"assistant","content":"x"` + extra + `}]}`
@@ -84,8 +85,9 @@
 	}
 }
 
-// A caller of another workspace, or one served by newer weights, sends the same prompt.
-// A shared key would let it be routed to, and answered from, cache that is not its own.
+// A caller of another workspace, or one served by newer weights, sends the same
+// prompt. If a key were shared, its request could be routed to a cache that is
+// not its own, and answered from it.
 func TestNoKeyIsSharedAcrossRoots(t *testing.T) {
 	part := rapid.StringMatching(`[ab]{0,2}`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -102,15 +104,15 @@
 	})
 }
 
-// A conversation goes on for hundreds of turns. Its chain stays short, and the next
-// turn still finds the levels of this one.
+// The chain of a conversation of hundreds of turns is bounded, and the next turn
+// still shares levels with the current one.
 func TestLongChatIsBoundedAndExtends(t *testing.T) {
 	is := is.New(t)
 	var messages []Message
 	for i := range 300 {
 		messages = append(messages, Message{Role: "user", Content: fmt.Sprint("turn ", i)})
 	}
-	before, after := NewChat(loop, messages[:298]...), NewChat(loop, messages...)
+	before, after := NewChat(testRoot, messages[:298]...), NewChat(testRoot, messages...)
 	is.Equal(len(after.Levels), MaxLevels)
 	is.Equal(before.Levels[:headLevels], after.Levels[:headLevels])
 	is.True(slices.Contains(after.Levels, before.Levels[len(before.Levels)-1]))
@@ -119,12 +121,12 @@
 func TestPlainPromptIsCutIntoChunks(t *testing.T) {
 	is := is.New(t)
 	shared := strings.Repeat("lease history. ", 4000)
-	one, two := NewPlain(loop, shared+"Water rights?"), NewPlain(loop, shared+"Who pays?")
+	one, two := NewPlain(testRoot, shared+"Water rights?"), NewPlain(testRoot, shared+"Who pays?")
 	is.True(len(one.Levels) <= MaxLevels)
 	is.Equal(one.Levels[len(one.Levels)-2], two.Levels[len(two.Levels)-2])
-	is.True(one.Levels[len(one.Levels)-2].Tokens > len(shared)/8) // no stride leaves out half
-	is.Equal(len(NewPlain(loop, "short").Levels), 1)
-	is.True(len(NewPlain(loop, strings.Repeat("x", 4<<20)).Levels) <= MaxLevels)
+	is.True(one.Levels[len(one.Levels)-2].Tokens > len(shared)/8) // no stride may skip half of the prompt
+	is.Equal(len(NewPlain(testRoot, "short").Levels), 1)
+	is.True(len(NewPlain(testRoot, strings.Repeat("x", 4<<20)).Levels) <= MaxLevels)
 
 	chain, fields := parse(t, PathCompletions, `{"model":"m","prompt":["a","b"]}`)
 	is.Equal(fields.Messages, 1)
@@ -138,7 +140,7 @@
 	is.Equal(none.Tokens(-1), 0)
 	e := &Estimator{}
 	for range 200 {
-		e.Correct(e.Tokens(3000), 1000) // the engine counts three characters a token
+		e.Correct(e.Tokens(3000), 1000) // the engine counts three characters per token
 	}
 	is.True(e.Tokens(3000) > 980)
 	is.True(e.Tokens(3000) < 1020)
@@ -150,7 +152,7 @@
 	is.Equal(e.Tokens(10), 20) // the ratio stays within bounds
 }
 
-func TestBadBodiesGetTypedErrors(t *testing.T) {
+func TestInvalidBodiesGetTypedErrors(t *testing.T) {
 	is := is.New(t)
 	cases := []struct {
 		path, body string
@@ -177,23 +179,24 @@
 		{PathChat, strings.Repeat(`[`, 20_000), KindSyntax, ""},
 	}
 	for _, c := range cases {
-		_, _, err := Parse(loop, c.path, []byte(c.body))
-		var typed *Error
-		is.True(errors.As(err, &typed))
-		if typed.Kind != c.kind || typed.Field != c.field {
-			t.Errorf("body %.40s: got kind %s, field %q (%v)", c.body, typed.Kind, typed.Field, err)
+		_, _, err := Parse(testRoot, c.path, []byte(c.body))
+		var prefixErr *Error
+		is.True(errors.As(err, &prefixErr))
+		if prefixErr.Kind != c.kind || prefixErr.Field != c.field {
+			t.Errorf("body %.40s: got kind %s, field %q (%v)", c.body, prefixErr.Kind, prefixErr.Field, err)
 		}
 	}
 }
 
-// FuzzParse looks for a body that panics, or whose chain breaks what routing relies on.
+// FuzzParse looks for a body that causes a panic, or whose chain violates what
+// routing relies on.
 func FuzzParse(f *testing.F) {
-	f.Add(PathChat, []byte(chat))
+	f.Add(PathChat, []byte(chatBody))
 	f.Add(PathChat, []byte(`{"model":"m","messages":[{"role":"tool","content":null,"tool_calls":[1e400]}]}`))
 	f.Add(PathChat, []byte(`{"model":"m","messages":[{"content":"\ud800"},null]}`))
 	f.Add(PathCompletions, []byte(`{"model":"m","prompt":[[1,2],"a"]}`))
 	f.Fuzz(func(t *testing.T, path string, body []byte) {
-		chain, fields, err := Parse(loop, path, body)
+		chain, fields, err := Parse(testRoot, path, body)
 		if err != nil {
 			var typed *Error
 			if !errors.As(err, &typed) {
@@ -217,13 +220,13 @@
 	})
 }
 
-// BenchmarkParse reads a prompt of a long history, 64 KB.
+// BenchmarkParse parses a prompt with a long history of 64 KB.
 func BenchmarkParse(b *testing.B) {
-	body := []byte(strings.Replace(chat, "wool", strings.Repeat("wool, size 41. ", 4400), 1))
+	body := []byte(strings.Replace(chatBody, "wool", strings.Repeat("wool, size 41. ", 4400), 1))
 	b.SetBytes(int64(len(body)))
 	b.ReportAllocs()
 	for range b.N {
-		if _, _, err := Parse(loop, PathChat, body); err != nil {
+		if _, _, err := Parse(testRoot, PathChat, body); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/prompt/beechprefix/types.go
+++ b/internal/prompt/beechprefix/types.go
@@ -1,17 +1,18 @@
 package beechprefix
 
 type (
-	// Key is a prefix's chained hash.
+	// Key is the chained hash that identifies a prefix.
 	Key = [16]byte
 
-	// Level is one step of a prompt's prefix chain, the shortest first.
-	// Tokens is an estimate counted from the prompt's start.
+	// Level is one prefix in a prompt's chain; a chain is ordered from the
+	// shortest prefix to the longest. Tokens is the estimated number of tokens
+	// from the start of the prompt to the end of the level.
 	Level struct {
 		Key    Key
 		Tokens int
 	}
 
-	// Root is what level 0 hashes. No key of one root can match one of
+	// Root is what level 0 is a hash of. No key of one root can match a key of
 	// another.
 	Root struct {
 		Workspace string
@@ -20,27 +21,28 @@
 		Weights   string
 	}
 
-	// Chain is a prompt's prefix chain. Salt goes to the engine, so that its
-	// own cache cannot match across roots.
+	// Chain is a prompt's prefix chain. Salt is sent to the engine, so that the
+	// engine's own cache cannot match across roots.
 	Chain struct {
 		Salt         string
 		Levels       []Level
 		PromptTokens int
 	}
 
-	// Message is one chat message in canonical form. Content is the text, or
-	// the canonical JSON of the content's parts. Extra is the canonical JSON of
-	// everything else the engine renders: name, tool calls, tool call id.
+	// Message is a chat message in canonical form. Content is the text, or the
+	// canonical JSON of a content that has several parts. Extra is the canonical
+	// JSON of everything else that the engine renders: name, tool calls, tool
+	// call ID.
 	Message struct {
 		Role    string
 		Content string
 		Extra   string
 	}
 
-	// Fields is what the entry host reads from a body besides the prompt.
-	// MaxTokens is 0 where the caller set none. Resumable says that the text
-	// given so far is all an engine needs to go on with the answer: one choice,
-	// no tool calls, no log probabilities.
+	// Fields is what the entry host needs from a body besides the prompt.
+	// MaxTokens is 0 if the caller set no limit. Resumable says that an engine
+	// can continue an interrupted answer from its text alone: one choice, no tool
+	// calls, no log probabilities.
 	Fields struct {
 		Model      string
 		Stream     bool
@@ -50,7 +52,7 @@
 		Messages   int
 	}
 
-	// Prompt is a body that was read, before its root is known.
+	// Prompt is a decoded body whose root is not known yet.
 	Prompt struct {
 		Fields   Fields
 		tools    string
@@ -62,8 +64,8 @@
 	// Kind says what is wrong with a body.
 	Kind string
 
-	// Error is a body that cannot be read. Field names the field at fault and is
-	// empty where the body as a whole is.
+	// Error is the error for a body that cannot be decoded. Field names the
+	// invalid field, and is empty if the body as a whole is invalid.
 	Error struct {
 		Kind   Kind
 		Field  string
@@ -75,8 +77,8 @@
 const (
 	KindEncoding Kind = "encoding" // not UTF-8
 	KindSyntax   Kind = "syntax"   // not JSON
-	KindField    Kind = "field"    // a field of the wrong type, or missing
-	KindPath     Kind = "path"     // not a path with a prompt
+	KindField    Kind = "field"    // a field is missing or has the wrong type
+	KindPath     Kind = "path"     // requests on this path have no prompt
 )
 
 func (e *Error) Error() string {
