--- a/internal/process/beechagent/admission.go
+++ b/internal/process/beechagent/admission.go
@@ -120,7 +120,7 @@
 	for _, l := range r.Levels {
 		levels = append(levels, beechqueue.Level{Key: keyOf(l), Tokens: l.Tokens})
 	}
-	cached, _ := a.index.Cached(r.Salt, indexLevels(r.Levels))
+	cached, _ := a.index.CachedTokens(r.Salt, indexLevels(r.Levels))
 	return beechqueue.Request{
 		ID:           id,
 		Workspace:    r.Workspace,
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -85,7 +85,7 @@
 // gone, since the version it knows.
 func (a *Agent) changesSince(after uint64) *beechwire.Changes {
 	changes, next := a.index.Changes(after)
-	reply := &beechwire.Changes{Incarnation: a.incarnation, Next: next, All: changes.All, List: make([]beechwire.Change, 0, len(changes.List))}
+	reply := &beechwire.Changes{Incarnation: a.incarnation, Next: next, All: changes.Snapshot, List: make([]beechwire.Change, 0, len(changes.List))}
 	for _, c := range changes.List {
 		reply.List = append(reply.List, beechwire.Change{Key: c.Key[:], Tokens: c.Tokens, Held: c.Held})
 	}
--- a/internal/process/beechagent/runner.go
+++ b/internal/process/beechagent/runner.go
@@ -20,8 +20,8 @@
 // the start needs is in begins.
 func (a *Agent) run(ctx context.Context, g *generation, body []byte, deadline time.Time) {
 	levels := indexLevels(g.request.Levels)
-	a.index.Queued(g.request.Salt, levels)
-	defer a.index.Left(g.request.Salt, levels)
+	a.index.AddWaiting(g.request.Salt, levels)
+	defer a.index.RemoveWaiting(g.request.Salt, levels)
 	ctx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
 	t := a.begins(ctx, g, deadline, abort)
--- a/internal/process/beechagent/view.go
+++ b/internal/process/beechagent/view.go
@@ -165,7 +165,7 @@
 	if ended := a.view.set(report); ended != 0 {
 		a.engineCrashed(ended)
 	}
-	a.index.Begin(report.Incarnation)
+	a.index.StartIncarnation(report.Incarnation)
 	a.scheduler.wake()
 }
 
@@ -213,7 +213,7 @@
 		}
 		if now != incarnation {
 			incarnation, after = now, 0
-			a.index.Begin(now)
+			a.index.StartIncarnation(now)
 			return
 		}
 		if len(events) > 0 {
--- a/internal/prompt/beechindex/bench_test.go
+++ b/internal/prompt/beechindex/bench_test.go
@@ -23,7 +23,7 @@
 func BenchmarkApply(b *testing.B) {
 	const blocks, batch = 32 << 10, 64
 	x := New(Settings{})
-	x.Begin(1)
+	x.StartIncarnation(1)
 	events := make([]Event, batch)
 	sequence := uint64(0)
 	b.ReportAllocs()
@@ -46,7 +46,7 @@
 	for b.Loop() {
 		before := liveHeap()
 		x := New(Settings{})
-		x.Begin(1)
+		x.StartIncarnation(1)
 		for i := range entries {
 			key := Key{1: byte(i), 2: byte(i >> 8), 3: 7}
 			x.Learn(Reply{Incarnation: 1, Salt: benchSalt, Levels: []Level{{Key: key, Tokens: 64}, {Key: Key{9}, Tokens: 80}}, Prompt: 80, Cached: 64})
--- a/internal/prompt/beechindex/index.go
+++ b/internal/prompt/beechindex/index.go
@@ -63,10 +63,10 @@
 	return x
 }
 
-// Begin starts an incarnation of the engine and empties the index. An incarnation
+// StartIncarnation starts an incarnation of the engine and empties the index. An incarnation
 // that has begun or ended before is passed over, so a late report of a dead engine
 // cannot bring its entries back.
-func (x *Index) Begin(incarnation uint64) {
+func (x *Index) StartIncarnation(incarnation uint64) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if x.begun && incarnation == x.incarnation || slices.Contains(x.ended, incarnation) {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Queued notes that a request waits which will bring its levels into the cache.
-// Each Queued has one Left.
-func (x *Index) Queued(salt string, levels []Level) {
+// AddWaiting notes that a request waits which will bring its levels into the cache.
+// Each AddWaiting has one Left.
+func (x *Index) AddWaiting(salt string, levels []Level) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for _, l := range slices.Backward(shared(levels)) {
@@ -177,8 +177,8 @@
 	}
 }
 
-// Left notes that a request counted by Queued has ended, whatever its outcome.
-func (x *Index) Left(salt string, levels []Level) {
+// RemoveWaiting notes that a request counted by Queued has ended, whatever its outcome.
+func (x *Index) RemoveWaiting(salt string, levels []Level) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	for _, l := range shared(levels) {
@@ -223,10 +223,10 @@
 	}
 }
 
-// Cached is how many tokens of the prompt, by the levels' own count, the engine has
+// CachedTokens is how many tokens of the prompt, by the levels' own count, the engine has
 // cached. Known is false where a lost event or an eviction that fits no level
 // leaves more of it open; tokens is then what is still vouched for.
-func (x *Index) Cached(salt string, levels []Level) (tokens int, known bool) {
+func (x *Index) CachedTokens(salt string, levels []Level) (tokens int, known bool) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	if !x.begun {
@@ -258,7 +258,7 @@
 	if list, ok := x.log.since(after); ok {
 		return Changes{List: list}, x.log.version
 	}
-	changes.All = true
+	changes.Snapshot = true
 	for _, key := range slices.Backward(x.entries.Keys()) {
 		e, _ := x.entries.Peek(key)
 		if e.announced && len(changes.List) < maxLog {
@@ -289,7 +289,7 @@
 	if x.begun && incarnation == x.incarnation {
 		return true
 	}
-	x.counts.Ended++
+	x.counts.Stale++
 	return false
 }
 
--- a/internal/prompt/beechindex/index_test.go
+++ b/internal/prompt/beechindex/index_test.go
@@ -35,7 +35,7 @@
 	s.incarnation++
 	s.sequence = 0
 	s.learned = map[entryKey]bool{}
-	s.index.Begin(s.incarnation)
+	s.index.StartIncarnation(s.incarnation)
 }
 
 func salts(t *rapid.T) string {
@@ -91,7 +91,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"crash": func(*rapid.T) { s.crash() },
 			"late report of a dead engine": func(t *rapid.T) {
-				s.index.Begin(rapid.Uint64Range(1, s.incarnation).Draw(t, "incarnation"))
+				s.index.StartIncarnation(rapid.Uint64Range(1, s.incarnation).Draw(t, "incarnation"))
 			},
 			"reply": func(t *rapid.T) { s.reply(s.incarnation, salts(t), prompt(t), 0) },
 			"reply of a dead engine": func(t *rapid.T) {
@@ -113,11 +113,11 @@
 					s.index.Apply(l.incarnation, []Event{l.event})
 				}
 			},
-			"queued": func(t *rapid.T) { s.index.Queued(salts(t), prompt(t)) },
-			"left":   func(t *rapid.T) { s.index.Left(salts(t), prompt(t)) },
+			"queued": func(t *rapid.T) { s.index.AddWaiting(salts(t), prompt(t)) },
+			"left":   func(t *rapid.T) { s.index.RemoveWaiting(salts(t), prompt(t)) },
 			"": func(t *rapid.T) {
 				salt, levels := salts(t), prompt(t)
-				tokens, _ := s.index.Cached(salt, levels)
+				tokens, _ := s.index.CachedTokens(salt, levels)
 				for _, l := range levels {
 					if l.Tokens <= tokens && !s.learned[entryKey{salt: salt, key: l.Key}] {
 						t.Fatalf("%d tokens cached, but no reply of incarnation %d in %s tells of %v", tokens, s.incarnation, salt, l.Key)
@@ -145,21 +145,21 @@
 	asked := levels(1, 1)
 	s.storeRun("loop/7", asked, 0)
 	s.reply(1, "loop/7", asked, 0)
-	tokens, known := s.index.Cached("loop/7", asked)
+	tokens, known := s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 320)
 	is.True(known)
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 320, false)})
-	tokens, known = s.index.Cached("loop/7", asked)
+	tokens, known = s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 256) // the question went, the history stays
 	is.True(known)
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 128, false)})
-	tokens, _ = s.index.Cached("loop/7", asked)
+	tokens, _ = s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 64) // a block amid the history went
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 128, true), s.event("loop/7", asked, 256, true)})
-	tokens, _ = s.index.Cached("loop/7", asked)
+	tokens, _ = s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 256)
 }
 
@@ -174,7 +174,7 @@
 	s.storeRun("loop/7", short, 0)
 	s.reply(1, "loop/7", asked, 0) // 320 tokens, 304 stored
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 256, false)})
-	tokens, _ := s.index.Cached("loop/7", asked)
+	tokens, _ := s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 64)
 
 	other := levels(2, 1)
@@ -185,7 +185,7 @@
 	s.storeRun("loop/7", longer, 256) // one block
 	s.reply(1, "loop/7", longer, 256)
 	s.index.Apply(1, []Event{s.event("loop/7", longer, 272, false)})
-	tokens, known := s.index.Cached("loop/7", longer)
+	tokens, known := s.index.CachedTokens("loop/7", longer)
 	is.Equal(tokens, 256)
 	is.True(known)
 	is.Equal(s.index.Counts().Unmatched, uint64(0))
@@ -195,7 +195,7 @@
 	s.storeRun("loop/7", third, 256)
 	s.reply(1, "loop/7", third, 256)
 	s.index.Apply(1, []Event{s.event("loop/7", third, 320, false)})
-	tokens, _ = s.index.Cached("loop/7", third)
+	tokens, _ = s.index.CachedTokens("loop/7", third)
 	is.Equal(tokens, 256)
 }
 
@@ -210,13 +210,13 @@
 
 	s.event("loop/7", asked, 320, false) // lost
 	s.index.Apply(1, []Event{s.event("loop/7", levels(2, 2), 16, true)})
-	tokens, known := s.index.Cached("loop/7", asked)
+	tokens, known := s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 0)
 	is.True(!known)
 	is.Equal(s.index.Counts().Gaps, uint64(1))
 
 	s.reply(1, "loop/7", levels(1, 2), 256)
-	tokens, known = s.index.Cached("loop/7", levels(1, 2))
+	tokens, known = s.index.CachedTokens("loop/7", levels(1, 2))
 	is.Equal(tokens, 320)
 	is.True(known)
 }
@@ -226,14 +226,14 @@
 func TestRestartBesideLiveEngineAdmitsNotKnowing(t *testing.T) {
 	is := is.New(t)
 	s := newScene()
-	_, known := s.index.Cached("loop/7", levels(1, 1))
+	_, known := s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
 	s.sequence = 41
 	s.index.Apply(1, []Event{s.event("loop/7", levels(2, 2), 16, true)})
-	_, known = s.index.Cached("loop/7", levels(1, 1))
+	_, known = s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
-	s.index.Queued("loop/7", levels(1, 1)) // that one waits says nothing of the cache
-	_, known = s.index.Cached("loop/7", levels(1, 1))
+	s.index.AddWaiting("loop/7", levels(1, 1)) // that one waits says nothing of the cache
+	_, known = s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
 }
 
@@ -253,9 +253,9 @@
 	s := newScene()
 	asked := levels(1, 1)
 	first, next := s.index.Changes(0)
-	is.True(first.All)
+	is.True(first.Snapshot)
 
-	s.index.Queued("loop/7", asked)
+	s.index.AddWaiting("loop/7", asked)
 	changes, next := s.index.Changes(next)
 	is.Equal(held(changes), map[Key]bool{asked[0].Key: true, asked[1].Key: true})
 
@@ -265,13 +265,13 @@
 	changes, next = s.index.Changes(next)
 	is.Equal(len(changes.List), 0) // it still waits
 
-	s.index.Left("loop/7", asked)
+	s.index.RemoveWaiting("loop/7", asked)
 	changes, next = s.index.Changes(next)
 	is.Equal(held(changes), map[Key]bool{asked[1].Key: false})
 
 	s.crash()
 	changes, _ = s.index.Changes(next)
-	is.True(changes.All)
+	is.True(changes.Snapshot)
 	is.Equal(len(changes.List), 0)
 }
 
@@ -283,10 +283,10 @@
 	s.index.Learn(Reply{Incarnation: 1, Salt: "loop/7", Levels: asked, Estimated: 320, Prompt: -1})
 	s.index.Learn(Reply{Incarnation: 1, Salt: "loop/7", Levels: asked, Estimated: 320, Prompt: 10, Cached: 20})
 	s.index.Learn(Reply{Incarnation: 1, Salt: "loop/7", Prompt: 10})
-	s.index.Queued("loop/7", nil)
-	s.index.Left("loop/7", asked)
+	s.index.AddWaiting("loop/7", nil)
+	s.index.RemoveWaiting("loop/7", asked)
 	is.Equal(s.index.Counts().Entries, 0)
-	tokens, _ := s.index.Cached("loop/7", nil)
+	tokens, _ := s.index.CachedTokens("loop/7", nil)
 	is.Equal(tokens, 0)
 }
 
@@ -294,7 +294,7 @@
 func TestIndexIsBounded(t *testing.T) {
 	is := is.New(t)
 	index := New(Settings{MaxBytes: 64 << 10})
-	index.Begin(1)
+	index.StartIncarnation(1)
 	for i := range 10_000 {
 		key := Key{byte(i), byte(i >> 8)}
 		index.Learn(Reply{Incarnation: 1, Salt: "s", Levels: []Level{{Key: key, Tokens: 10}}, Estimated: 10, Prompt: 10})
--- a/internal/prompt/beechindex/types.go
+++ b/internal/prompt/beechindex/types.go
@@ -46,8 +46,8 @@
 	// Changes is a part of what an agent tells entry hosts. All says that the
 	// list is everything held, so that anything else is to be forgotten.
 	Changes struct {
-		All  bool
-		List []Change
+		Snapshot bool
+		List     []Change
 	}
 
 	// Settings bound the index. MaxBytes of 0 is the default.
@@ -59,7 +59,7 @@
 	Counts struct {
 		Entries   int
 		Gaps      uint64 // holes in the events' sequence
-		Ended     uint64 // events and replies of an ended incarnation, dropped
+		Stale     uint64 `json:"Ended"` // events and replies of an ended incarnation, dropped
 		Evictions uint64 // entries that an event took away
 		Unmatched uint64 // evictions of blocks that no entry is tied to
 	}
