--- a/internal/prompt/beechindex/bench_test.go
+++ b/internal/prompt/beechindex/bench_test.go
@@ -8,8 +8,8 @@
 
 const benchSalt = "workspace/model@1"
 
-// blockEvent is the event of block number n of an engine's cache, stored at
-// first and evicted when it comes round again.
+// blockEvent returns an event for an engine's blocks in turn: each is stored in
+// the first round and evicted in the next.
 func blockEvent(sequence uint64, blocks int) Event {
 	n := int(sequence-1) % blocks
 	return Event{
@@ -18,8 +18,8 @@
 	}
 }
 
-// BenchmarkApply takes in the events of an engine's cache: the time of each is
-// the agent's work for one of the fleet's cache events.
+// BenchmarkApply measures the time in which an agent processes one of its
+// engine's cache events.
 func BenchmarkApply(b *testing.B) {
 	const blocks, batch = 32 << 10, 64
 	x := New(Settings{})
@@ -39,8 +39,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(sequence), "ns/event")
 }
 
-// BenchmarkMemory fills an index to its bound with entries and reports what one
-// takes, and what the whole index takes.
+// BenchmarkMemory fills an index and reports the memory per entry and of the
+// whole index.
 func BenchmarkMemory(b *testing.B) {
 	const entries = 12 << 10
 	for b.Loop() {
--- a/internal/prompt/beechindex/index.go
+++ b/internal/prompt/beechindex/index.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	defaultBytes = 8 << 20
-	entryBytes   = 320 // an entry with its key and list links
-	blockBytes   = 240 // a block's tie with its key and list links
+	defaultMaxBytes = 8 << 20
+	entryBytes      = 320 // an entry with its key and list links
+	blockBytes      = 240 // a block's owner with its key and list links
 
-	maxEnded = 64 // incarnations remembered as ended
+	maxEndedIncarnations = 64 // ended incarnations that are remembered
 )
 
 type (
@@ -21,72 +21,74 @@
 		key  Key
 	}
 
-	// entry is one level. Epoch counts the gaps before it was last confirmed;
-	// doubt the evictions of unknown blocks, which count against it while it is
-	// tied to no block of its own.
+	// entry is the state of one level. Epoch and unmatched are the index's values
+	// when the level was last confirmed. While no blocks are assigned to the
+	// level, any eviction of an unknown block since then may have been one of its
+	// own.
 	entry struct {
 		tokens    int
-		stored    bool
-		gone      bool // was stored, then evicted
-		tied      bool
+		stored    bool // is in the engine's cache
+		evicted   bool // was stored before
+		hasBlocks bool // blocks are assigned to it
 		epoch     uint64
-		doubt     uint64
-		waiting   int // requests that wait and will bring it
-		announced bool
+		unmatched uint64
+		waiting   int  // waiting requests that will store it
+		announced bool // reported to entry hosts as held
 	}
 
-	// Index is the picture of one engine's prompt cache.
+	// Index tracks the prompt cache of one engine.
 	Index struct {
-		mutex       sync.Mutex
-		incarnation uint64
-		begun       bool
-		ended       []uint64
-		sequence    uint64
-		whole       bool // every prompt since the incarnation began is still known
-		epoch       uint64
-		doubt       uint64
-		entries     *simplelru.LRU[entryKey, *entry]
-		ties        ties
-		log         changeLog
-		counts      Counts
+		mutex             sync.Mutex
+		incarnation       uint64
+		started           bool
+		endedIncarnations []uint64
+		sequence          uint64
+		complete          bool // no level stored since the incarnation began has been forgotten
+		epoch             uint64
+		unmatched         uint64
+		entries           *simplelru.LRU[entryKey, *entry]
+		blocks            blockMap
+		log               changeLog
+		counts            Counts
 	}
 )
 
-// New is an empty index. It takes nothing in before Begin.
+// New returns an empty index, which ignores everything until StartIncarnation is
+// called.
 func New(s Settings) *Index {
 	if s.MaxBytes <= 0 {
-		s.MaxBytes = defaultBytes
+		s.MaxBytes = defaultMaxBytes
 	}
 	x := &Index{log: changeLog{version: 1}}
-	x.entries, _ = simplelru.NewLRU(max(1, s.MaxBytes/2/entryBytes), x.dropped)
-	x.ties = newTies(max(1, s.MaxBytes/2/blockBytes))
+	x.entries, _ = simplelru.NewLRU(max(1, s.MaxBytes/2/entryBytes), x.entryRemoved)
+	x.blocks = newBlockMap(max(1, s.MaxBytes/2/blockBytes))
 	return x
 }
 
-// StartIncarnation starts an incarnation of the engine and empties the index. An incarnation
-// that has begun or ended before is passed over, so a late report of a dead engine
-// cannot bring its entries back.
+// StartIncarnation starts an incarnation of the engine and empties the index. The
+// current incarnation and ended ones are ignored, so that a late report of a dead
+// engine cannot bring its entries back.
 func (x *Index) StartIncarnation(incarnation uint64) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if x.begun && incarnation == x.incarnation || slices.Contains(x.ended, incarnation) {
+	if x.started && incarnation == x.incarnation || slices.Contains(x.endedIncarnations, incarnation) {
 		return
 	}
-	if x.begun {
-		x.ended = append(x.ended, x.incarnation)
-		x.ended = x.ended[max(0, len(x.ended)-maxEnded):]
+	if x.started {
+		x.endedIncarnations = append(x.endedIncarnations, x.incarnation)
+		x.endedIncarnations = x.endedIncarnations[max(0, len(x.endedIncarnations)-maxEndedIncarnations):]
 	}
-	x.incarnation, x.begun = incarnation, true
-	x.sequence, x.epoch, x.doubt, x.whole = 0, 0, 0, false
+	x.incarnation, x.started = incarnation, true
+	x.sequence, x.epoch, x.unmatched, x.complete = 0, 0, 0, false
 	x.clear()
 }
 
-// Apply takes in cache events of an incarnation, in the order they came. An event
-// that came before is passed over.
+// Apply processes cache events of an incarnation, in the order received. An event
+// whose sequence number has passed is ignored.
 func (x *Index) Apply(incarnation uint64, events []Event) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if !x.current(incarnation) {
+	if !x.isCurrent(incarnation) {
 		return
 	}
 	for _, e := range events {
@@ -95,14 +97,14 @@
 		}
 		switch {
 		case e.Sequence != x.sequence+1:
-			x.gap()
+			x.recordGap()
 		case e.Sequence == 1:
-			x.whole = true
+			x.complete = true
 		}
 		x.sequence = e.Sequence
 		x.apply(e)
 	}
-	x.tie()
+	x.assignBlocks()
 }
 
 func (x *Index) apply(e Event) {
@@ -110,8 +112,8 @@
 	case e.Cleared:
 		x.clear()
 	case e.Stored:
-		x.ties.store(e)
-		if key, ok := x.ties.level(e); ok {
+		x.blocks.addBlock(e)
+		if key, ok := x.blocks.owner(e); ok {
 			x.restore(key, e)
 		}
 	default:
@@ -119,69 +121,70 @@
 	}
 }
 
-// gap makes everything learned so far unknown. Runs of blocks that were being
-// gathered may miss one and are given up.
-func (x *Index) gap() {
+// recordGap makes everything learned so far unknown. The runs of blocks collected
+// so far are discarded, since one of their blocks may be missing.
+func (x *Index) recordGap() {
 	x.epoch++
 	x.counts.Gaps++
-	x.ties.forgetRuns()
+	x.blocks.resetPending()
 }
 
 func (x *Index) clear() {
-	whole := x.whole
+	complete := x.complete
 	x.entries.Purge()
-	x.whole = whole
-	x.ties.clear()
-	x.log.forget()
+	x.complete = complete
+	x.blocks.clear()
+	x.log.reset()
 }
 
-// restore notes that a block of a level was stored again. The level is whole again
-// only with its last block, which the engine stores last.
+// restore marks a level as cached when its last block is stored again, since the
+// engine stores a level's blocks in order.
 func (x *Index) restore(key entryKey, event Event) {
 	e, ok := x.entries.Get(key)
-	if !ok || !x.ties.isLast(event) {
+	if !ok || !x.blocks.isLastBlock(event) {
 		return
 	}
-	e.stored, e.gone, e.epoch = true, false, x.epoch
+	e.stored, e.evicted, e.epoch = true, false, x.epoch
 	x.announce(key, e, true)
 }
 
 func (x *Index) evict(event Event) {
-	key, ok := x.ties.level(event)
+	key, ok := x.blocks.owner(event)
 	if !ok {
 		x.counts.Unmatched++
-		x.doubt++
+		x.unmatched++
 		return
 	}
 	e, ok := x.entries.Peek(key)
 	if !ok || !e.stored {
 		return
 	}
-	e.stored, e.gone = false, true
+	e.stored, e.evicted = false, true
 	x.counts.Evictions++
 	if e.waiting == 0 {
 		x.announce(key, e, false)
 	}
 }
 
-// AddWaiting notes that a request waits which will bring its levels into the cache.
-// Each AddWaiting has one Left.
+// AddWaiting records a waiting request that will store its levels in the cache.
+// Each call must be followed by one call of RemoveWaiting.
 func (x *Index) AddWaiting(salt string, levels []Level) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	for _, l := range slices.Backward(shared(levels)) {
+	for _, l := range slices.Backward(sharedLevels(levels)) {
 		key := entryKey{salt: salt, key: l.Key}
-		e := x.use(key, l)
+		e := x.touch(key, l)
 		e.waiting++
 		x.announce(key, e, true)
 	}
 }
 
-// RemoveWaiting notes that a request counted by Queued has ended, whatever its outcome.
+// RemoveWaiting records that a request added by AddWaiting has ended, whatever
+// its outcome.
 func (x *Index) RemoveWaiting(salt string, levels []Level) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	for _, l := range shared(levels) {
+	for _, l := range sharedLevels(levels) {
 		key := entryKey{salt: salt, key: l.Key}
 		e, ok := x.entries.Peek(key)
 		if !ok {
@@ -194,53 +197,55 @@
 	}
 }
 
-// Learn takes in a reply's usage: the engine has prefilled the whole prompt, so its
-// levels are cached now. Counts that make no sense are passed over.
-func (x *Index) Learn(p Reply) {
+// Learn processes the usage in a reply: the engine has processed the whole
+// prompt, so all of its levels are cached now. Implausible counts are ignored.
+func (x *Index) Learn(reply Reply) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if !x.current(p.Incarnation) || p.Prompt <= 0 || p.Cached < 0 || p.Cached > p.Prompt {
+	if !x.isCurrent(reply.Incarnation) || reply.Prompt <= 0 || reply.Cached < 0 || reply.Cached > reply.Prompt {
 		return
 	}
-	for i, l := range slices.Backward(p.Levels) {
-		key := entryKey{salt: p.Salt, key: l.Key}
-		e := x.use(key, l)
-		e.stored, e.gone, e.epoch, e.doubt = true, false, x.epoch, x.doubt
-		if i < len(shared(p.Levels)) {
+	for i, l := range slices.Backward(reply.Levels) {
+		key := entryKey{salt: reply.Salt, key: l.Key}
+		e := x.touch(key, l)
+		e.stored, e.evicted, e.epoch, e.unmatched = true, false, x.epoch, x.unmatched
+		if i < len(sharedLevels(reply.Levels)) {
 			x.announce(key, e, true)
 		}
 	}
-	x.ties.learn(p)
-	x.tie()
+	x.blocks.addReply(reply)
+	x.assignBlocks()
 }
 
-// tie ties levels to blocks where a run of stored blocks fits a reply.
-func (x *Index) tie() {
-	for _, key := range x.ties.match() {
+// assignBlocks assigns blocks to the levels of each reply that matches a run of
+// stored blocks.
+func (x *Index) assignBlocks() {
+	for _, key := range x.blocks.matchReplies() {
 		if e, ok := x.entries.Peek(key); ok {
-			e.tied = true
+			e.hasBlocks = true
 		}
 	}
 }
 
-// CachedTokens is how many tokens of the prompt, by the levels' own count, the engine has
-// cached. Known is false where a lost event or an eviction that fits no level
-// leaves more of it open; tokens is then what is still vouched for.
+// CachedTokens returns how many tokens of the prompt are cached, in the levels'
+// own count. Known is false if more may be cached, because an event was lost or
+// an evicted block could not be assigned to a level; tokens is then what is still
+// known to be cached.
 func (x *Index) CachedTokens(salt string, levels []Level) (tokens int, known bool) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
-	if !x.begun {
+	if !x.started {
 		return 0, false
 	}
 	for _, l := range levels {
 		e, ok := x.entries.Peek(entryKey{salt: salt, key: l.Key})
 		if !ok {
-			return tokens, x.whole
+			return tokens, x.complete
 		}
 		if !e.stored {
-			return tokens, e.gone || x.whole
+			return tokens, e.evicted || x.complete
 		}
-		if e.epoch != x.epoch || !e.tied && e.doubt != x.doubt {
+		if e.epoch != x.epoch || !e.hasBlocks && e.unmatched != x.unmatched {
 			return tokens, false
 		}
 		tokens = l.Tokens
@@ -248,10 +253,10 @@
 	return tokens, true
 }
 
-// Changes is what has come and gone since a version that an earlier call gave, and
-// the version to give next. From version 0, or one that is too old, it is
-// everything held, the most recent if that is too much for one message; All then
-// says to forget the rest.
+// Changes returns the changes since a version returned by an earlier call, and
+// the version to pass next. From version 0, or a version that is too old, it
+// returns a snapshot of the levels held, or the most recent of them if there are
+// too many for one message.
 func (x *Index) Changes(after uint64) (changes Changes, next uint64) {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -261,22 +266,22 @@
 	changes.Snapshot = true
 	for _, key := range slices.Backward(x.entries.Keys()) {
 		e, _ := x.entries.Peek(key)
-		if e.announced && len(changes.List) < maxLog {
+		if e.announced && len(changes.List) < maxChanges {
 			changes.List = append(changes.List, Change{Key: key.key, Tokens: e.tokens, Held: true})
 		}
 	}
 	return changes, x.log.version
 }
 
-// Version is the version that Changes would give next. A process that has it
-// need not ask.
+// Version returns the version that Changes would return next. A process that
+// already has it need not call Changes.
 func (x *Index) Version() uint64 {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
 	return x.log.version
 }
 
-// Counts is what the index has seen so far.
+// Counts returns the metrics so far.
 func (x *Index) Counts() Counts {
 	x.mutex.Lock()
 	defer x.mutex.Unlock()
@@ -285,15 +290,15 @@
 	return counts
 }
 
-func (x *Index) current(incarnation uint64) bool {
-	if x.begun && incarnation == x.incarnation {
+func (x *Index) isCurrent(incarnation uint64) bool {
+	if x.started && incarnation == x.incarnation {
 		return true
 	}
 	x.counts.Stale++
 	return false
 }
 
-func (x *Index) use(key entryKey, l Level) *entry {
+func (x *Index) touch(key entryKey, l Level) *entry {
 	e, ok := x.entries.Get(key)
 	if !ok {
 		e = &entry{}
@@ -311,16 +316,17 @@
 	x.log.add(Change{Key: key.key, Tokens: e.tokens, Held: held})
 }
 
-// dropped is called for an entry that has to make room, or is cleared away. The
-// engine may hold it still, so it is not called gone; its use to others ends with
-// the first reply that says so.
-func (x *Index) dropped(_ entryKey, e *entry) {
-	x.whole = false
+// entryRemoved is called when an entry is removed to make room or by a clear. The
+// engine may still have the level cached, so it is not reported as evicted; entry
+// hosts stop using it with the first reply that says it is not cached.
+func (x *Index) entryRemoved(_ entryKey, e *entry) {
+	x.complete = false
 	e.announced = false
 }
 
-// shared is the levels that another prompt may have in common with this one.
-func shared(levels []Level) []Level {
+// sharedLevels returns the levels that other prompts may have in common with this
+// one: all but the last, if there are several.
+func sharedLevels(levels []Level) []Level {
 	if len(levels) < 2 {
 		return levels
 	}
--- a/internal/prompt/beechindex/index_test.go
+++ b/internal/prompt/beechindex/index_test.go
@@ -10,42 +10,44 @@
 
 const blockSize = 16
 
-// scene is an engine's cache as an agent sees it: events may be lost, late or
-// doubled, the engine may crash, replies of a dead engine may still arrive.
-type scene struct {
+// simulation is an engine's cache as an agent sees it: events may be lost,
+// delayed or duplicated, the engine may crash, and replies of a dead engine may
+// still arrive.
+type simulation struct {
 	index       *Index
 	incarnation uint64
 	sequence    uint64
-	late        []lateEvent
-	learned     map[entryKey]bool // by a reply of the present incarnation
+	delayed     []delayedEvent
+	learned     map[entryKey]bool // by a reply of the current incarnation
 }
 
-type lateEvent struct {
+type delayedEvent struct {
 	incarnation uint64
 	event       Event
 }
 
-func newScene() *scene {
-	s := &scene{index: New(Settings{}), learned: map[entryKey]bool{}}
+func newSimulation() *simulation {
+	s := &simulation{index: New(Settings{}), learned: map[entryKey]bool{}}
 	s.crash()
 	return s
 }
 
-func (s *scene) crash() {
+func (s *simulation) crash() {
 	s.incarnation++
 	s.sequence = 0
 	s.learned = map[entryKey]bool{}
 	s.index.StartIncarnation(s.incarnation)
 }
 
-func salts(t *rapid.T) string {
+func drawSalt(t *rapid.T) string {
 	workspace := rapid.SampledFrom([]string{"loop", "monterroso"}).Draw(t, "workspace")
 	weights := rapid.SampledFrom([]string{"7", "8"}).Draw(t, "weights")
 	return workspace + "/" + weights
 }
 
-// prompt has the same keys in each salt, so that only the salt keeps them apart.
-func prompt(t *rapid.T) []Level {
+// drawPrompt draws from prompts that have the same keys under every salt, so that
+// only the salt separates them.
+func drawPrompt(t *rapid.T) []Level {
 	history := rapid.IntRange(0, 3).Draw(t, "history")
 	question := rapid.IntRange(0, 3).Draw(t, "question")
 	return levels(history, question)
@@ -59,7 +61,7 @@
 	}
 }
 
-func (s *scene) reply(incarnation uint64, salt string, levels []Level, cached int) {
+func (s *simulation) reply(incarnation uint64, salt string, levels []Level, cached int) {
 	last := levels[len(levels)-1].Tokens
 	s.index.Learn(Reply{Incarnation: incarnation, Salt: salt, Levels: levels, Estimated: last, Prompt: last, Cached: cached})
 	if incarnation == s.incarnation {
@@ -69,7 +71,7 @@
 	}
 }
 
-func (s *scene) event(salt string, levels []Level, tokens int, stored bool) Event {
+func (s *simulation) event(salt string, levels []Level, tokens int, stored bool) Event {
 	s.sequence++
 	level := levels[0].Key
 	for _, l := range levels {
@@ -81,46 +83,47 @@
 	return Event{Sequence: s.sequence, Salt: salt, Hash: fmt.Sprint(level, tokens), Tokens: tokens, Stored: stored}
 }
 
-// An engine dies and comes back empty, weights are replaced, workspaces share the
-// engine. Events and replies of what is gone arrive late, doubled or not at all. A
-// lookup that answered from one of them would promise a caller a first token that
-// never comes that soon, and tell one workspace what another one asked.
+// An engine crashes and restarts with an empty cache, weights are replaced, and
+// workspaces share the engine. Events and replies of an earlier incarnation
+// arrive late, twice or not at all. If a lookup used one of them, the predicted
+// time to first token would be too short, and one workspace could learn what
+// another has asked.
 func TestLookupNeverCrossesIncarnationWorkspaceOrWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newScene()
+		s := newSimulation()
 		t.Repeat(map[string]func(*rapid.T){
 			"crash": func(*rapid.T) { s.crash() },
 			"late report of a dead engine": func(t *rapid.T) {
 				s.index.StartIncarnation(rapid.Uint64Range(1, s.incarnation).Draw(t, "incarnation"))
 			},
-			"reply": func(t *rapid.T) { s.reply(s.incarnation, salts(t), prompt(t), 0) },
+			"reply": func(t *rapid.T) { s.reply(s.incarnation, drawSalt(t), drawPrompt(t), 0) },
 			"reply of a dead engine": func(t *rapid.T) {
-				s.reply(rapid.Uint64Range(0, s.incarnation-1).Draw(t, "incarnation"), salts(t), prompt(t), 0)
+				s.reply(rapid.Uint64Range(0, s.incarnation-1).Draw(t, "incarnation"), drawSalt(t), drawPrompt(t), 0)
 			},
 			"event": func(t *rapid.T) {
 				tokens := blockSize * rapid.IntRange(1, 20).Draw(t, "block")
-				e := s.event(salts(t), prompt(t), tokens, rapid.Bool().Draw(t, "stored"))
+				e := s.event(drawSalt(t), drawPrompt(t), tokens, rapid.Bool().Draw(t, "stored"))
 				switch rapid.SampledFrom([]string{"at once", "late", "lost"}).Draw(t, "fate") {
 				case "at once":
 					s.index.Apply(s.incarnation, []Event{e})
 				case "late":
-					s.late = append(s.late, lateEvent{incarnation: s.incarnation, event: e})
+					s.delayed = append(s.delayed, delayedEvent{incarnation: s.incarnation, event: e})
 				}
 			},
 			"late event": func(t *rapid.T) {
-				if len(s.late) > 0 {
-					l := rapid.SampledFrom(s.late).Draw(t, "late")
+				if len(s.delayed) > 0 {
+					l := rapid.SampledFrom(s.delayed).Draw(t, "late")
 					s.index.Apply(l.incarnation, []Event{l.event})
 				}
 			},
-			"queued": func(t *rapid.T) { s.index.AddWaiting(salts(t), prompt(t)) },
-			"left":   func(t *rapid.T) { s.index.RemoveWaiting(salts(t), prompt(t)) },
+			"queued": func(t *rapid.T) { s.index.AddWaiting(drawSalt(t), drawPrompt(t)) },
+			"left":   func(t *rapid.T) { s.index.RemoveWaiting(drawSalt(t), drawPrompt(t)) },
 			"": func(t *rapid.T) {
-				salt, levels := salts(t), prompt(t)
+				salt, levels := drawSalt(t), drawPrompt(t)
 				tokens, _ := s.index.CachedTokens(salt, levels)
 				for _, l := range levels {
 					if l.Tokens <= tokens && !s.learned[entryKey{salt: salt, key: l.Key}] {
-						t.Fatalf("%d tokens cached, but no reply of incarnation %d in %s tells of %v", tokens, s.incarnation, salt, l.Key)
+						t.Fatalf("%d tokens cached, but no reply of incarnation %d with salt %s has level %v", tokens, s.incarnation, salt, l.Key)
 					}
 				}
 			},
@@ -128,7 +131,7 @@
 	})
 }
 
-func (s *scene) storeRun(salt string, levels []Level, from int) {
+func (s *simulation) storeRun(salt string, levels []Level, from int) {
 	last := levels[len(levels)-1].Tokens
 	var events []Event
 	for tokens := from + blockSize; tokens <= last; tokens += blockSize {
@@ -137,11 +140,11 @@
 	s.index.Apply(s.incarnation, events)
 }
 
-// Engines evict within seconds, the end of a prompt first. Without the tie between
-// blocks and levels the agent would promise a history that is gone.
-func TestEvictionTakesTheLevelOfItsBlock(t *testing.T) {
+// Engines evict within seconds, starting with the end of a prompt. If blocks were
+// not assigned to levels, the agent would count an evicted history as cached.
+func TestBlockEvictionEvictsLevel(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	asked := levels(1, 1)
 	s.storeRun("loop/7", asked, 0)
 	s.reply(1, "loop/7", asked, 0)
@@ -151,23 +154,24 @@
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 320, false)})
 	tokens, known = s.index.CachedTokens("loop/7", asked)
-	is.Equal(tokens, 256) // the question went, the history stays
+	is.Equal(tokens, 256) // the question is evicted, the history stays
 	is.True(known)
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 128, false)})
 	tokens, _ = s.index.CachedTokens("loop/7", asked)
-	is.Equal(tokens, 64) // a block amid the history went
+	is.Equal(tokens, 64) // a block in the middle of the history is evicted
 
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 128, true), s.event("loop/7", asked, 256, true)})
 	tokens, _ = s.index.CachedTokens("loop/7", asked)
 	is.Equal(tokens, 256)
 }
 
-// An engine computes at least one token anew, so a prompt of whole blocks is stored
-// without its last one, and a question may add a single block to a long history.
-func TestRunsOfOneBlockAndWholePromptsAreTied(t *testing.T) {
+// An engine always computes at least one token, so a prompt that fills its last
+// block is stored without that block. A question may also add a single block to a
+// long history.
+func TestSingleBlocksAndWholePromptsAreAssigned(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	asked := levels(1, 1)
 	short := append([]Level{}, asked...)
 	short[2].Tokens = 304
@@ -199,11 +203,11 @@
 	is.Equal(tokens, 256)
 }
 
-// A lost event may have been an eviction. Whatever was learned before is not vouched
-// for, and a reply confirms it again.
-func TestGapLeavesUnknownUntilConfirmed(t *testing.T) {
+// A lost event may have been an eviction. Whatever was learned before it is
+// unknown until a reply confirms it.
+func TestLevelsAreUnknownAfterGap(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	asked := levels(1, 1)
 	s.storeRun("loop/7", asked, 0)
 	s.reply(1, "loop/7", asked, 0)
@@ -221,23 +225,23 @@
 	is.True(known)
 }
 
-// An agent that restarts beside a live engine has missed its first events, so it
-// does not claim to know that a prompt is not cached.
-func TestRestartBesideLiveEngineAdmitsNotKnowing(t *testing.T) {
+// An agent that restarts while its engine keeps running has missed the first
+// events, so it must not claim to know that a prompt is not cached.
+func TestAgentRestartLeavesCacheUnknown(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	_, known := s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
 	s.sequence = 41
 	s.index.Apply(1, []Event{s.event("loop/7", levels(2, 2), 16, true)})
 	_, known = s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
-	s.index.AddWaiting("loop/7", levels(1, 1)) // that one waits says nothing of the cache
+	s.index.AddWaiting("loop/7", levels(1, 1)) // a waiting request says nothing about the cache
 	_, known = s.index.CachedTokens("loop/7", levels(1, 1))
 	is.True(!known)
 }
 
-func held(c Changes) map[Key]bool {
+func changedKeys(c Changes) map[Key]bool {
 	state := map[Key]bool{}
 	for _, change := range c.List {
 		state[change.Key] = change.Held
@@ -245,29 +249,30 @@
 	return state
 }
 
-// Two entry hosts get the same history within a heartbeat. The second must hear of it
-// while the first request still waits, or the history is prefilled twice; and it
-// must not hear that it is gone while a request that waits brings it back.
-func TestChangesTellWhatWaitsAndWhatIsGone(t *testing.T) {
+// Two entry hosts receive the same history within a heartbeat. The second must
+// learn of it while the first request is still waiting, or the history is
+// computed twice. It must not be told that the history was evicted while a
+// waiting request will store it again.
+func TestChangesReportWaitingAndEvictedLevels(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	asked := levels(1, 1)
 	first, next := s.index.Changes(0)
 	is.True(first.Snapshot)
 
 	s.index.AddWaiting("loop/7", asked)
 	changes, next := s.index.Changes(next)
-	is.Equal(held(changes), map[Key]bool{asked[0].Key: true, asked[1].Key: true})
+	is.Equal(changedKeys(changes), map[Key]bool{asked[0].Key: true, asked[1].Key: true})
 
 	s.storeRun("loop/7", asked, 0)
 	s.reply(1, "loop/7", asked, 0)
 	s.index.Apply(1, []Event{s.event("loop/7", asked, 256, false)})
 	changes, next = s.index.Changes(next)
-	is.Equal(len(changes.List), 0) // it still waits
+	is.Equal(len(changes.List), 0) // the request is still waiting
 
 	s.index.RemoveWaiting("loop/7", asked)
 	changes, next = s.index.Changes(next)
-	is.Equal(held(changes), map[Key]bool{asked[1].Key: false})
+	is.Equal(changedKeys(changes), map[Key]bool{asked[1].Key: false})
 
 	s.crash()
 	changes, _ = s.index.Changes(next)
@@ -275,10 +280,10 @@
 	is.Equal(len(changes.List), 0)
 }
 
-// Counts that no engine should send, and prompts without levels, change nothing.
-func TestBadRepliesArePassedOver(t *testing.T) {
+// Implausible counts and prompts without levels must change nothing.
+func TestInvalidRepliesAreIgnored(t *testing.T) {
 	is := is.New(t)
-	s := newScene()
+	s := newSimulation()
 	asked := levels(1, 1)
 	s.index.Learn(Reply{Incarnation: 1, Salt: "loop/7", Levels: asked, Estimated: 320, Prompt: -1})
 	s.index.Learn(Reply{Incarnation: 1, Salt: "loop/7", Levels: asked, Estimated: 320, Prompt: 10, Cached: 20})
@@ -301,5 +306,5 @@
 	}
 	is.Equal(index.Counts().Entries, (64<<10)/2/entryBytes)
 	changes, _ := index.Changes(0)
-	is.True(len(changes.List) <= maxLog)
+	is.True(len(changes.List) <= maxChanges)
 }
--- a/internal/prompt/beechindex/main_test.go
+++ b/internal/prompt/beechindex/main_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-// TestMain gives the random tests a fixed seed and enough runs, unless a flag says
-// otherwise.
+// TestMain gives the property tests a fixed seed and more runs, unless flags are
+// set.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	fixFlag("rapid.seed", "0", "1")
-	fixFlag("rapid.checks", "100", "1000")
+	setFlagDefault("rapid.seed", "0", "1")
+	setFlagDefault("rapid.checks", "100", "1000")
 	os.Exit(m.Run())
 }
 
-func fixFlag(name, untouched, value string) {
-	if f := flag.Lookup(name); f.Value.String() == untouched {
+func setFlagDefault(name, defaultValue, value string) {
+	if f := flag.Lookup(name); f.Value.String() == defaultValue {
 		_ = f.Value.Set(value)
 	}
 	fmt.Printf("-%s=%s\n", name, flag.Lookup(name).Value)
--- a/internal/prompt/beechindex/types.go
+++ b/internal/prompt/beechindex/types.go
@@ -1,20 +1,22 @@
 package beechindex
 
 type (
-	// Key is a prefix's chained hash.
+	// Key is the chained hash that identifies a prefix.
 	Key = [16]byte
 
-	// Level is one step of a prompt's prefix chain, the shortest first. Tokens
-	// counts from the prompt's start, by the entry host's estimate.
+	// Level is one prefix in a prompt's chain; a chain is ordered from the
+	// shortest prefix to the longest. Tokens is the entry host's estimate of the
+	// tokens from the start of the prompt to the end of the level.
 	Level struct {
 		Key    Key
 		Tokens int
 	}
 
-	// Event is one change of the engine's prompt cache. Sequence counts from 1
-	// without holes; a hole is a lost event. Hash names a block by the engine's
-	// own hash, Tokens counts from the prompt's start through it. Stored false
-	// is an eviction. Cleared empties the cache.
+	// Event is a change of the engine's prompt cache. Sequence counts from 1
+	// without gaps; a gap means that an event was lost. Hash identifies a block
+	// by the engine's own hash. Tokens is the number of tokens from the start of
+	// the prompt to the end of the block. Stored is false for an eviction.
+	// Cleared means that the whole cache was emptied.
 	Event struct {
 		Sequence uint64
 		Salt     string
@@ -24,9 +26,10 @@
 		Cleared  bool
 	}
 
-	// Reply is what the engine's usage said of a prompt that it has prefilled.
-	// Prompt and Cached are the engine's own token counts. Estimated is the
-	// entry host's for the whole prompt; 0 takes the last level's.
+	// Reply is the engine's usage report for a prompt that it has processed.
+	// Prompt and Cached are the engine's own token counts. Estimated is the entry
+	// host's estimate for the whole prompt; if 0, the estimate of the last level
+	// is used.
 	Reply struct {
 		Incarnation uint64
 		Salt        string
@@ -36,31 +39,32 @@
 		Cached      int
 	}
 
-	// Change is a level that has come into the cache or queue, or gone.
+	// Change is a level that has become held (cached, or about to be stored by a
+	// waiting request) or is no longer held.
 	Change struct {
 		Key    Key
 		Tokens int
 		Held   bool
 	}
 
-	// Changes is a part of what an agent tells entry hosts. All says that the
-	// list is everything held, so that anything else is to be forgotten.
+	// Changes is a list of changes for entry hosts. Snapshot says that the list
+	// is everything held, so that any other level must be forgotten.
 	Changes struct {
 		Snapshot bool
 		List     []Change
 	}
 
-	// Settings bound the index. MaxBytes of 0 is the default.
+	// Settings configures an Index. If MaxBytes is 0, a default is used.
 	Settings struct {
 		MaxBytes int
 	}
 
-	// Counts is what the index has seen, for metrics.
+	// Counts are the metrics of an index.
 	Counts struct {
 		Entries   int
-		Gaps      uint64 // holes in the events' sequence
-		Stale     uint64 `json:"Ended"` // events and replies of an ended incarnation, dropped
-		Evictions uint64 // entries that an event took away
-		Unmatched uint64 // evictions of blocks that no entry is tied to
+		Gaps      uint64 // gaps in the sequence of events
+		Stale     uint64 `json:"Ended"` // dropped events and replies of an ended incarnation
+		Evictions uint64 // entries evicted by an event
+		Unmatched uint64 // evictions of blocks that are assigned to no level
 	}
 )
