--- a/internal/decision/beechqueue/bounds_test.go
+++ b/internal/decision/beechqueue/bounds_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain gives the random tests the same seed each time; -rapid.seed tries
-// others.
+// TestMain fixes the seed of the property tests, so that runs are reproducible;
+// -rapid.seed sets another one.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if s := flag.Lookup("rapid.seed"); s.Value.String() == s.DefValue {
@@ -22,21 +22,21 @@
 	os.Exit(m.Run())
 }
 
-// backClock is a clock that an operator sets back.
-type backClock struct {
+// settableClock is a clock that can be set back.
+type settableClock struct {
 	clockwork.Clock
 	now time.Time
 }
 
-func (c *backClock) Now() time.Time { return c.now }
+func (c *settableClock) Now() time.Time { return c.now }
 
-// Counts come from callers, agents and engines, and any of them may be wrong:
-// negative, huge, told twice, for work that is not known, on a clock that is
-// set back. Whatever comes, no more runs than there are slots, each work ends
-// in one way, no two suspects run together, and an emptied queue counts zero.
-func TestAnyInputKeepsTheBounds(t *testing.T) {
+// Callers, agents and engines may send counts that are negative, huge, repeated or
+// for unknown requests, and the clock may be set back. Whatever the input, no more
+// requests run than there are slots, each request ends once, no two suspects run
+// together, and an emptied queue has all counters at zero.
+func TestInvariantsHoldForAnyInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		clock := &backClock{Clock: clockwork.NewRealClock(), now: time.Unix(1e9, 0)}
+		clock := &settableClock{Clock: clockwork.NewRealClock(), now: time.Unix(1e9, 0)}
 		q := New(Settings{
 			MaxWaiting: rapid.IntRange(-1, 20).Draw(t, "waiting"), MaxWait: rapid.SampledFrom([]time.Duration{-1, 0, time.Second}).Draw(t, "wait"),
 			MaxLongPrefills: rapid.IntRange(-1, 2).Draw(t, "longs"), LongPrefill: rapid.IntRange(-1, 2000).Draw(t, "long"),
@@ -46,12 +46,12 @@
 		load := Load{Slots: 3, PrefillRate: 1000, TokenTime: time.Millisecond}
 		running, waiting := map[uint64]Request{}, map[uint64]bool{}
 		id := uint64(0)
-		begin := func(w Request) {
-			if _, twice := running[w.ID]; twice {
-				t.Fatal("started twice", w.ID)
+		begin := func(req Request) {
+			if _, twice := running[req.ID]; twice {
+				t.Fatal("started twice, ID", req.ID)
 			}
-			running[w.ID] = w
-			delete(waiting, w.ID)
+			running[req.ID] = req
+			delete(waiting, req.ID)
 			suspects := 0
 			for _, r := range running {
 				if r.Suspect {
@@ -59,58 +59,58 @@
 				}
 			}
 			if suspects > 1 || len(running) > load.Slots {
-				t.Fatal("too many at once", suspects, len(running))
+				t.Fatal("too many requests running: suspects, all", suspects, len(running))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				id++
-				w := Request{
+				req := Request{
 					ID: id, Workspace: rapid.SampledFrom([]string{"a", "b", "c", ""}).Draw(t, "workspace"),
 					Priority: number.Draw(t, "priority"), PromptTokens: number.Draw(t, "prompt"), CachedTokens: number.Draw(t, "cached"),
 					OutputTokens: number.Draw(t, "output"), Suspect: rapid.Bool().Draw(t, "alone"),
 				}
 				for range rapid.IntRange(0, 3).Draw(t, "levels") {
-					w.Levels = append(w.Levels, Level{Key{byte(rapid.IntRange(0, 3).Draw(t, "key"))}, number.Draw(t, "tokens")})
+					req.Levels = append(req.Levels, Level{Key{byte(rapid.IntRange(0, 3).Draw(t, "key"))}, number.Draw(t, "tokens")})
 				}
 				if rapid.Bool().Draw(t, "bounded") {
-					w.Deadline = clock.now.Add(time.Duration(number.Draw(t, "deadline")))
+					req.Deadline = clock.now.Add(time.Duration(number.Draw(t, "deadline")))
 				}
-				switch d := q.Offer(w, load).(type) {
+				switch d := q.Offer(req, load).(type) {
 				case Run:
-					begin(w)
+					begin(req)
 				case Wait:
 					waiting[id] = true
 				case Refuse:
-					if d.RetryAfter < minAfter || d.RetryAfter > maxAfter {
-						t.Fatal("come back after", d.RetryAfter)
+					if d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
+						t.Fatal("RetryAfter out of bounds:", d.RetryAfter)
 					}
 				}
 			},
 			"twice": func(t *rapid.T) {
 				if _, known := running[id]; known && q.Offer(Request{ID: id}, load) != (Refuse{Reason: ReasonInvalid}) {
-					t.Fatal("took work twice")
+					t.Fatal("accepted a request ID that is already known")
 				}
 			},
 			"next": func(*rapid.T) {
-				for _, w := range q.Dispatch(load) {
-					begin(w)
+				for _, req := range q.Dispatch(load) {
+					begin(req)
 				}
 			},
 			"finish": func(t *rapid.T) {
-				some := rapid.Uint64Range(0, id+1).Draw(t, "id")
+				target := rapid.Uint64Range(0, id+1).Draw(t, "id")
 				if rapid.Bool().Draw(t, "prefilled") {
-					q.FinishPrefill(some)
+					q.FinishPrefill(target)
 				}
-				q.Finish(some, Usage{Known: rapid.Bool().Draw(t, "known"), Prompt: number.Draw(t, "prompt"), Cached: number.Draw(t, "cached"), Output: number.Draw(t, "output")})
-				delete(running, some)
+				q.Finish(target, Usage{Known: rapid.Bool().Draw(t, "known"), Prompt: number.Draw(t, "prompt"), Cached: number.Draw(t, "cached"), Output: number.Draw(t, "output")})
+				delete(running, target)
 			},
 			"cancel": func(t *rapid.T) {
-				some := rapid.Uint64Range(0, id+1).Draw(t, "id")
-				if q.Cancel(some) != waiting[some] {
-					t.Fatal("cancelled what was not waiting", some)
+				target := rapid.Uint64Range(0, id+1).Draw(t, "id")
+				if q.Cancel(target) != waiting[target] {
+					t.Fatal("result of Cancel does not match whether the request waited, ID", target)
 				}
-				delete(waiting, some)
+				delete(waiting, target)
 			},
 			"time": func(t *rapid.T) {
 				clock.now = clock.now.Add(time.Duration(rapid.IntRange(-2000, 2000).Draw(t, "milliseconds")) * time.Millisecond)
@@ -122,30 +122,30 @@
 			"": func(t *rapid.T) {
 				s := q.State()
 				if s.Running != len(running) || s.Waiting != len(waiting) || s.WaitingTokens < 0 {
-					t.Fatal("state", s, len(running), len(waiting))
+					t.Fatal("wrong state; running, waiting:", s, len(running), len(waiting))
 				}
 			},
 		})
-		for some := range running {
-			q.Finish(some, Usage{})
+		for target := range running {
+			q.Finish(target, Usage{})
 		}
-		for some := range waiting {
-			q.Cancel(some)
+		for target := range waiting {
+			q.Cancel(target)
 		}
-		if s := q.State(); s != (State{}) || len(q.prefixes) != 0 || q.longs != 0 || q.alone != 0 {
-			t.Fatal("not empty", s, q.prefixes, q.longs, q.alone)
+		if s := q.State(); s != (State{}) || len(q.prefixes) != 0 || q.longPrefills != 0 || q.runningSuspects != 0 {
+			t.Fatal("queue is not empty:", s, q.prefixes, q.longPrefills, q.runningSuspects)
 		}
 		for i := range q.classes {
 			if len(q.classes[i].flows) != 0 {
-				t.Fatal("flows stay", q.classes[i].flows)
+				t.Fatal("flows left over:", q.classes[i].flows)
 			}
 		}
 	})
 }
 
-// A class that is served first has work without an end. Lower work must not
-// wait for ever behind it, and must not take much from it.
-func TestLowerClassIsNotStarved(t *testing.T) {
+// With endless load at a higher priority, lower requests must neither wait forever
+// nor take much of the capacity.
+func TestLowerPriorityIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	q := New(Settings{MaxWaiting: 1000, PrefillAhead: quarter}, clock)
@@ -168,21 +168,22 @@
 		lower += min(next[0].Priority, 1)
 		q.Finish(next[0].ID, Usage{})
 	}
-	is.Equal(lower, 100/(starveAfter+1))
+	is.Equal(lower, 100/(maxPassed+1))
 }
 
-// A leader that hangs, or whose blocks are evicted at once, must not hold its
-// followers longer than MaxPrefixWait; and the agent must be told when to ask.
-func TestFollowersWaitIsBounded(t *testing.T) {
+// If the request that computes a shared prefix stalls, or its cache blocks are
+// evicted immediately, the requests that wait for it must start after
+// MaxPrefixWait, and NextCheck must return that time.
+func TestWaitForSharedPrefixIsBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	q := New(settings(), clock)
+	q := New(testSettings(), clock)
 	levels := []Level{{Key{1}, 4000}}
-	is.Equal(q.Offer(Request{ID: 1, Levels: levels, PromptTokens: 4000}, engine), Run{})
-	_, waits := q.Offer(Request{ID: 2, Levels: levels, PromptTokens: 4000}, engine).(Wait)
+	is.Equal(q.Offer(Request{ID: 1, Levels: levels, PromptTokens: 4000}, testLoad), Run{})
+	_, waits := q.Offer(Request{ID: 2, Levels: levels, PromptTokens: 4000}, testLoad).(Wait)
 	is.True(waits)
-	is.Equal(q.State().WaitingTokens, int64(4000)) // the prefix once
-	is.Equal(len(q.Dispatch(engine)), 0)
+	is.Equal(q.State().WaitingTokens, int64(4000)) // the prefix is counted once
+	is.Equal(len(q.Dispatch(testLoad)), 0)
 	var started time.Duration
 	for started < time.Minute {
 		at, ok := q.NextCheck()
@@ -190,22 +191,22 @@
 		is.True(at.After(clock.Now()))
 		started += at.Sub(clock.Now())
 		clock.Advance(at.Sub(clock.Now()))
-		if len(q.Dispatch(engine)) == 1 {
+		if len(q.Dispatch(testLoad)) == 1 {
 			break
 		}
 	}
-	is.Equal(started, settings().MaxPrefixWait)
+	is.Equal(started, testSettings().MaxPrefixWait)
 }
 
-// A server without slots, as one that has not reported yet, can serve nothing:
-// work is refused with a time, not kept.
+// A server without slots, such as one that has not reported yet, cannot serve
+// anything: requests are refused with a retry time and not queued.
 func TestNoSlotsAndOneSlot(t *testing.T) {
 	is := is.New(t)
-	q := New(settings(), clockwork.NewFakeClock())
-	is.Equal(q.Offer(Request{ID: 1}, Load{}), Refuse{Reason: ReasonBusy, RetryAfter: minAfter})
+	q := New(testSettings(), clockwork.NewFakeClock())
+	is.Equal(q.Offer(Request{ID: 1}, Load{}), Refuse{Reason: ReasonBusy, RetryAfter: minRetryAfter})
 	is.Equal(q.Offer(Request{ID: 1}, Load{Slots: 1}), Run{})
 	is.Equal(q.Offer(Request{ID: 2}, Load{Slots: 1}), Wait{Position: 1})
-	is.Equal(q.Offer(Request{ID: 3, Deadline: time.Unix(1, 0)}, engine).(Refuse).Reason, ReasonDeadline)
+	is.Equal(q.Offer(Request{ID: 3, Deadline: time.Unix(1, 0)}, testLoad).(Refuse).Reason, ReasonDeadline)
 }
 
 func BenchmarkOfferAndFinish(b *testing.B) {
@@ -216,16 +217,16 @@
 			id := uint64(0)
 			offer := func() {
 				id++
-				q.Offer(Request{ID: id, Workspace: string(rune('a' + id%8)), Levels: levels, PromptTokens: 2100, CachedTokens: 2000, OutputTokens: 50}, engine)
+				q.Offer(Request{ID: id, Workspace: string(rune('a' + id%8)), Levels: levels, PromptTokens: 2100, CachedTokens: 2000, OutputTokens: 50}, testLoad)
 			}
-			for range waiting + min(waiting, engine.Slots) {
+			for range waiting + min(waiting, testLoad.Slots) {
 				offer()
 			}
 			running := uint64(1)
 			b.ReportAllocs()
 			for b.Loop() {
 				offer()
-				q.Dispatch(engine)
+				q.Dispatch(testLoad)
 				q.FinishPrefill(running)
 				q.Finish(running, Usage{Known: true, Prompt: 2100, Cached: 2000, Output: 50})
 				running++
--- a/internal/decision/beechqueue/cost.go
+++ b/internal/decision/beechqueue/cost.go
@@ -6,52 +6,53 @@
 )
 
 const (
-	// maxTokens bounds every count that is told; more is a fault of the
-	// sender, and sums of such counts must not overflow.
+	// maxTokens bounds every token count. A larger count is an error of its sender,
+	// and sums of counts must not overflow.
 	maxTokens = 1 << 24
 
-	// maxLevels bounds a chain; deeper levels are passed over.
+	// maxLevels bounds the prefix chain; deeper levels are ignored.
 	maxLevels = 64
 
 	maxWeight = 1000
 
-	// hangSlack is how much longer than twice its own time a prefill may take
-	// before it counts as hanging.
-	hangSlack = 500 * time.Millisecond
+	// stallSlack is added to twice the predicted prefill time to get the time after
+	// which a prefill counts as stalled.
+	stallSlack = 500 * time.Millisecond
 
-	// runMemory is how many runs the mean time of a run goes back.
-	runMemory = 8
+	// runTimeSamples is the number of runs that the moving average of run times
+	// spans.
+	runTimeSamples = 8
 )
 
-// clean gives every field of work a value that can be reckoned with: counts
-// from 0 to maxTokens, levels that grow, no more cached than there is.
-func clean(w Request) Request {
-	w.Priority = min(max(w.Priority, 0), classCount-1)
-	w.PromptTokens = cleanTokens(w.PromptTokens)
-	w.OutputTokens = max(cleanTokens(w.OutputTokens), 1)
-	w.Levels = cleanLevels(w.Levels)
-	if n := len(w.Levels); n > 0 {
-		w.PromptTokens = max(w.PromptTokens, w.Levels[n-1].Tokens)
+// sanitize brings all fields of a request into valid ranges: counts from 0 to
+// maxTokens, strictly growing levels, and no more cached than prompt tokens.
+func sanitize(r Request) Request {
+	r.Priority = min(max(r.Priority, 0), classCount-1)
+	r.PromptTokens = clampTokens(r.PromptTokens)
+	r.OutputTokens = max(clampTokens(r.OutputTokens), 1)
+	r.Levels = sanitizeLevels(r.Levels)
+	if n := len(r.Levels); n > 0 {
+		r.PromptTokens = max(r.PromptTokens, r.Levels[n-1].Tokens)
 	}
-	w.CachedTokens = min(cleanTokens(w.CachedTokens), w.PromptTokens)
-	return w
+	r.CachedTokens = min(clampTokens(r.CachedTokens), r.PromptTokens)
+	return r
 }
 
-// cleanLevels cuts the chain at the first level that does not grow, that is
-// absurd, or that is told twice.
-func cleanLevels(levels []Level) []Level {
+// sanitizeLevels cuts the chain at the first level that does not grow, exceeds
+// maxTokens or repeats a key.
+func sanitizeLevels(levels []Level) []Level {
 	levels = levels[:min(len(levels), maxLevels)]
-	before := 0
+	previous := 0
 	for i, l := range levels {
-		if l.Tokens <= before || l.Tokens > maxTokens || repeated(levels[:i], l.Key) {
+		if l.Tokens <= previous || l.Tokens > maxTokens || containsKey(levels[:i], l.Key) {
 			return levels[:i]
 		}
-		before = l.Tokens
+		previous = l.Tokens
 	}
 	return levels
 }
 
-func repeated(levels []Level, k Key) bool {
+func containsKey(levels []Level, k Key) bool {
 	for _, l := range levels {
 		if l.Key == k {
 			return true
@@ -60,35 +61,35 @@
 	return false
 }
 
-func cleanTokens(n int) int { return min(max(n, 0), maxTokens) }
+func clampTokens(n int) int { return min(max(n, 0), maxTokens) }
 
-// cleanLoad lets figures that are not known be 0 and bounds absurd ones.
-func cleanLoad(l Load) Load {
+// sanitizeLoad replaces negative values by 0, which means unknown, and bounds
+// excessive ones.
+func sanitizeLoad(l Load) Load {
 	l.Slots = max(l.Slots, 0)
-	l.PrefillRate = cleanTokens(l.PrefillRate)
+	l.PrefillRate = clampTokens(l.PrefillRate)
 	l.TokenTime = min(max(l.TokenTime, 0), time.Minute)
 	return l
 }
 
-// uncached is the prompt that the engine has to compute.
+// uncached returns the number of prompt tokens that the engine has to compute.
 func (it *item) uncached() int { return it.PromptTokens - it.CachedTokens }
 
-// cost is the share of the server that the item is reckoned to take, in tokens
-// of prefill.
+// cost returns the estimated server time of an item, in tokens of prefill.
 func (q *Queue) cost(it *item) int64 {
 	return q.tokenCost(it.uncached(), it.OutputTokens)
 }
 
-// usageCost is the same of what the server said it took.
+// usageCost returns the cost of the usage that the server reported.
 func (q *Queue) usageCost(u Usage) int64 {
-	prompt := cleanTokens(u.Prompt)
-	cached := min(cleanTokens(u.Cached), prompt)
-	return q.tokenCost(prompt-cached, cleanTokens(u.Output))
+	prompt := clampTokens(u.Prompt)
+	cached := min(clampTokens(u.Cached), prompt)
+	return q.tokenCost(prompt-cached, clampTokens(u.Output))
 }
 
-// tokenCost weighs output against prefill by what they keep busy: an output
-// token holds one of the slots for TokenTime, in which the whole server could
-// prefill TokenTime times PrefillRate tokens.
+// tokenCost converts output tokens to tokens of prefill by the capacity that they
+// occupy: an output token occupies one slot for TokenTime, during which the whole
+// server could prefill TokenTime * PrefillRate tokens.
 func (q *Queue) tokenCost(uncached, output int) int64 {
 	perOutput := 1.0
 	if q.load.PrefillRate > 0 && q.load.TokenTime > 0 && q.load.Slots > 0 {
@@ -98,9 +99,9 @@
 	return int64(min(max(c, 1), math.MaxInt32))
 }
 
-// output is how many tokens the item is likely to give. Callers name their
-// maximum; taken at its word it would make every full server look blocked for
-// minutes, and work with a deadline would be refused without need.
-func (q *Queue) output(it *item) float64 {
-	return float64(it.OutputTokens) * q.habit(it.Workspace).output
+// expectedOutput returns how many tokens the item is likely to generate. Callers
+// state their maximum. Taken literally, it would make every full server look
+// blocked for minutes, and requests with a deadline would be refused unnecessarily.
+func (q *Queue) expectedOutput(it *item) float64 {
+	return float64(it.OutputTokens) * q.statsOf(it.Workspace).outputRatio
 }
--- a/internal/decision/beechqueue/doc.go
+++ b/internal/decision/beechqueue/doc.go
@@ -1,67 +1,71 @@
-// Package beechqueue decides, beside one backend server, which work runs now,
-// which waits and which is turned away. The process beside the server is the
-// only one that knows what runs there, so this is the authority: entry hosts
-// may be wrong about a server for the price of one round trip.
+// Package beechqueue decides for one backend server which requests run now,
+// which wait and which are refused. It runs in the agent, the process beside the
+// server. Only the agent knows what the server is running, so its decision is
+// final: a wrong choice of server by an entry host costs one round trip.
 //
-// # Load it answers
+// # Load conditions
 //
-// Bursts, a few workspaces or prefixes with most of the load, long prompts
-// among short ones, a server that slows down, and demand beyond capacity.
+// The queue is designed for bursts, for load that comes mostly from a few
+// workspaces or prefixes, for long prompts among short ones, for a server that
+// slows down, and for demand beyond capacity.
 //
-// Without it the server takes all that comes. A burst then makes every first
-// token late, one workspace's backlog delays all others, a long prompt stops
-// short answers from beginning, ten requests with the same new prefix compute
-// it ten times, and under saturation the server works on answers that come too
-// late for anyone: first tokens climb while useful work falls.
+// Without it, the server accepts every request. A burst then delays every first
+// token, one workspace's backlog delays all other workspaces, a long prompt keeps
+// short answers from beginning, and ten requests with the same new prefix compute
+// it ten times. Under saturation the server spends its time on answers that come
+// too late to be used: times to first token rise while useful work falls.
 //
-// # How it decides
+// # Algorithm
 //
-//   - Classes: a lower number is served first; of a class that waits, one start
-//     in 16 is let through, so that none starves (fair.go).
-//   - Workspaces of a class take turns by deficit round robin in token cost.
-//     The estimate is reserved at the start and corrected by the server's usage: a
-//     refund or a debt. Usage that is not known leaves the estimate (fair.go,
-//     cost.go).
-//   - One request at a time brings a shared prefix into the cache, the others
-//     that need it follow; bounded by MaxPrefixWait (prefix.go).
-//   - Long prefills and suspects run in limited number, and short prefills of at
-//     most PrefillAhead are under way at once; the rest waits here, where order,
-//     deadlines and priorities count (queue.go).
-//   - The first token is predicted at arrival. What would miss its deadline, or
-//     without one would wait beyond MaxWait, is refused at once (forecast.go,
-//     habit.go, slow.go). What was let in and is about to miss its time goes first.
-//   - The number that waits is bounded, and a workspace may fill only as much
-//     as is still free, times its weight.
-//   - A refusal says when to come back, and spreads those refused in time.
+//   - Priority classes: a class with a lower number is served first, but one start
+//     in 16 goes to a waiting lower class, so that none starves (fair.go).
+//   - Within a class, workspaces share the server by deficit round robin over token
+//     cost. The estimated cost is charged when a request starts and corrected by
+//     the usage that the server reports, as a refund or a debt. If the usage is
+//     unknown, the estimate is kept (fair.go, cost.go).
+//   - Only one request at a time computes a shared prefix; the others that need it
+//     wait until it is cached, for at most MaxPrefixWait (prefix.go).
+//   - The number of running long prefills and suspects is limited, and the short
+//     prefills in progress are limited to PrefillAhead. All other requests wait
+//     here, where order, deadlines and priorities apply (queue.go).
+//   - The time to first token is predicted on arrival. A request that would miss
+//     its deadline, or without a deadline would wait longer than MaxWait, is refused
+//     at once (forecast.go, workspace.go, slowdown.go). An accepted request that is
+//     about to miss its deadline or MaxWait is started first.
+//   - The number of waiting requests is bounded, and each workspace may queue at
+//     most as many as there are free places, times its weight.
+//   - A refusal carries a time to retry; these times are spread.
 //
-// # Thresholds
+// # Settings
 //
-// Each constant says why beside it. The operator sets the rest: MaxWaiting
-// bounds memory and is seldom met, since MaxWait and deadlines refuse earlier;
-// about 8 times the slots is enough. LongPrefill is best what the server
-// prefills in a second, MaxLongPrefills 1, MaxPrefixWait what the longest prompt
-// takes to prefill. PrefillAhead 250 ms makes priorities, deadlines and fairness
-// hold better where prompts fill the server; 0 leaves it at the slots, which is
-// better for the tail of large workspaces where nobody is refused.
+// The reasons for constants are given where they are defined. The other limits are
+// the operator's. MaxWaiting bounds memory and is rarely reached, since MaxWait and
+// deadlines refuse requests earlier; about 8 times the slots is enough. Recommended
+// are for LongPrefill what the server prefills in one second, for MaxLongPrefills
+// 1, and for MaxPrefixWait the time to prefill the longest prompt. A PrefillAhead
+// of 250 ms improves priorities, deadlines and fairness where prompts saturate the
+// server. With 0 only the slots limit prefills, which is better for the tail latency
+// of large workspaces if no request is refused.
 //
-// # Bad input
+// # Invalid input
 //
-// Counts below 0 count as 0 and are bounded above, levels end at the first that
-// does not grow, a weight below 1 counts as 1, an id that is already in the
-// queue is refused as invalid, calls for unknown work are passed over, and time
-// stands still while the clock steps back. A server without slots is busy.
+// Negative counts are treated as 0, and large counts are capped. A prefix chain ends
+// at the first level that does not grow. A weight below 1 counts as 1. A request whose
+// ID is already in the queue is refused as invalid, and calls for unknown requests are
+// ignored. While the clock steps back, the queue's time stands still. A server without
+// slots is busy.
 //
 // # Usage
 //
 //	q := beechqueue.New(settings, clockwork.NewRealClock())
-//	switch d := q.Offer(work, load).(type) {
+//	switch d := q.Offer(request, load).(type) {
 //	case beechqueue.Run: // send it to the server
 //	case beechqueue.Wait: // Dispatch returns it when it may run
-//	case beechqueue.Refuse: // answer now: not run, come back after d.RetryAfter
+//	case beechqueue.Refuse: // answer: not run, retry after d.RetryAfter
 //	}
-//	q.FinishPrefill(work.ID)       // at its first token
-//	q.Finish(work.ID, usage)     // at its end, however it ended
-//	for _, w := range q.Dispatch(load) { ... }    // after each of these and at NextCheck
-//	for _, r := range q.RemoveOverdue() { ... }     // answer these now, at NextCheck
-//	q.CacheLost()                // the engine came back empty
+//	q.FinishPrefill(request.ID)   // at its first token
+//	q.Finish(request.ID, usage)   // at its end, whatever its outcome
+//	for _, r := range q.Dispatch(load) { ... } // after each of these and at NextCheck
+//	for _, r := range q.RemoveOverdue() { ... } // at NextCheck; answer these as refused
+//	q.CacheLost()                 // after the engine lost its cache
 package beechqueue
--- a/internal/decision/beechqueue/fair.go
+++ b/internal/decision/beechqueue/fair.go
@@ -6,79 +6,81 @@
 )
 
 const (
-	// classCount bounds the priority classes; a higher number counts as the
-	// last. A manifest names a handful.
+	// classCount is the number of priority classes; higher priority numbers count
+	// as the last one. A manifest defines only a few priorities.
 	classCount = 8
 
-	// quantum is the token cost a workspace of weight 1 may start a round. It
-	// is about the cost of one short request: with much more, a workspace
-	// sends several in a row while others wait; with less, nothing changes,
-	// since rounds in which nobody can pay are skipped at once.
+	// quantum is the token cost that a workspace of weight 1 may start per round.
+	// It is about the cost of one short request. With a much larger quantum a
+	// workspace sends several requests in a row while others wait. A smaller one
+	// changes nothing, since rounds in which no workspace has enough credit are
+	// skipped at once.
 	quantum = 512
 
-	// starveAfter is how many starts of higher classes may pass a class that
-	// waits before one of it goes. Without it a steady higher class would
-	// keep lower work waiting without an end; one start in 16 costs the
-	// higher class about 6% in the worst case.
-	starveAfter = 15
+	// maxPassed is how many requests of higher classes may start before one of a
+	// waiting lower class does. Without it, steady load in a higher class would
+	// starve lower ones. One start in 16 costs the higher class about 6% in the
+	// worst case.
+	maxPassed = 15
 
-	// Work is urgent when its last chance to start is closer than urgentGaps
-	// of the times in which the server has a slot free, and in the last third
-	// of the time it may wait. With fewer gaps there may be no slot in time: in
-	// saturation, 30 seeds, 3 and 4 left two refusals told late, 6 none. Without the
-	// part, work with a short deadline would always go first, and small
-	// workspaces were refused more often.
-	urgentGaps = 6
-	urgentPart = 3
+	// An item is urgent when the time left until its latest start is below
+	// urgentGaps mean intervals between free slots, and below 1/urgentFraction of
+	// the wait that it was allowed. With fewer intervals a slot may not become free
+	// in time: under saturation, over 30 seeds, 3 and 4 left two refusals of
+	// waiting requests, 6 left none. Without the fraction, requests with short
+	// deadlines would always go first, and small workspaces were refused more
+	// often.
+	urgentGaps     = 6
+	urgentFraction = 3
 
-	// maxDebt is how far, in quanta, a workspace may owe. Without a bound a
-	// server that reports absurd usage once would shut a workspace out.
+	// maxDebt bounds a workspace's debt, in quanta. Without it, a server that once
+	// reports an excessive usage would lock the workspace out.
 	maxDebt = 1 << 10
 )
 
 type (
-	// class is one priority with deficit round robin among its workspaces.
+	// class is one priority class, with deficit round robin among its workspaces.
 	class struct {
 		flows  map[string]*flow
-		active []*flow // with waiting work, in ring order
-		cursor int     // index in active where the round goes on
+		active []*flow // with waiting items, in round-robin order
+		cursor int     // index in active at which the round continues
 		round  int64
-		passed int // starts of higher classes while this one waited
+		passed int // starts of higher classes while this one had waiting items
 	}
 
-	// flow is a workspace's waiting work in one class. Its deficit is the
-	// token cost it may start now; below 0 it is a debt.
+	// flow holds a workspace's waiting items in one class. Its deficit is the token
+	// cost that it may start now; a negative deficit is a debt.
 	flow struct {
 		workspace string
 		weight    int64
 		deficit   int64
-		left      int64 // round in which it had no more waiting work
+		idleSince int64 // round in which its last waiting item left
 		items     []*item
-		cost      int64 // of all items
-		tokens    int64 // uncached, of all items
-		charged   int   // running items that it paid for
+		cost      int64 // total of items
+		tokens    int64 // uncached, total of items
+		charged   int   // running items whose cost was deducted
 	}
 
-	// turn is the work that a class would start, and the rounds that must
-	// pass before its workspace can pay.
-	turn struct {
+	// selection is the item that a class would start next, and the rounds that must
+	// pass before its flow has enough credit.
+	selection struct {
 		flow   *flow
 		item   *item
 		rounds int64
 	}
 )
 
-// weight gives a workspace's share. A weight of zero would never be served; it
-// counts as 1, like a missing one.
+// weight returns a workspace's share. Zero counts as 1, like a missing weight,
+// because a workspace with weight zero would never be served.
 func (q *Queue) weight(workspace string) int64 {
 	return int64(min(max(q.settings.Weights[workspace], 1), maxWeight))
 }
 
-// hasRoom tells whether the item's workspace may have one more waiting. A
-// plain bound would let one workspace fill the queue, and the others would be
-// turned away at the door however fair the order within is. So each may fill
-// as much as is still free, times its weight: one alone gets half of the
-// queue, two get a third each, and there is always room for one more.
+// hasRoom reports whether the item's workspace may queue one more request. With a
+// single limit, one workspace could fill the queue and the others would be refused
+// on arrival, however fair the order within it. Instead, a workspace may queue its
+// weight times the number of free places: a single workspace gets half of the
+// queue, two get a third each, and there is always room for another one.
 func (q *Queue) hasRoom(it *item) bool {
 	waiting := 0
 	if f := q.classes[it.Priority].flows[it.Workspace]; f != nil {
@@ -88,7 +90,6 @@
 	return free > 0 && int64(waiting) < q.weight(it.Workspace)*int64(free)
 }
 
-// enqueue lets an item wait.
 func (q *Queue) enqueue(it *item) {
 	c := &q.classes[it.Priority]
 	f := c.flows[it.Workspace]
@@ -97,7 +98,7 @@
 		c.flows[it.Workspace] = f
 	}
 	if len(f.items) == 0 {
-		f.payDebt(c.round)
+		f.reduceDebt(c.round)
 		c.active = append(c.active, f)
 	}
 	it.flow = f
@@ -106,10 +107,10 @@
 	f.tokens += int64(it.uncached())
 	q.items[it.ID] = it
 	q.waiting++
-	q.want(it)
+	q.addPending(it)
 }
 
-// dequeue takes an item out of its flow.
+// dequeue removes an item from its flow.
 func (q *Queue) dequeue(it *item) {
 	f := it.flow
 	f.items = slices.DeleteFunc(f.items, func(o *item) bool { return o == it })
@@ -117,70 +118,71 @@
 	f.tokens -= int64(it.uncached())
 	q.waiting--
 	if len(f.items) == 0 {
-		q.classes[it.Priority].leave(f)
+		q.classes[it.Priority].deactivate(f)
 	}
 }
 
-// drop takes waiting work out that will never run.
-func (q *Queue) drop(it *item) {
+// remove removes a waiting item that will never run.
+func (q *Queue) remove(it *item) {
 	q.dequeue(it)
-	q.unwant(it)
+	q.removePending(it)
 	delete(q.items, it.ID)
-	q.forgetIdle()
+	q.dropIdleFlows()
 }
 
-// pick starts the work whose turn it is; nil if none may start.
-func (q *Queue) pick() *item {
-	if it := q.urgent(); it != nil {
-		return q.take(it.Priority, turn{flow: it.flow, item: it})
+// startNext starts the next item and returns it, or nil if none may start. Urgent
+// items come first, then classes that were passed too often, then classes by
+// priority.
+func (q *Queue) startNext() *item {
+	if it := q.mostUrgent(); it != nil {
+		return q.startSelected(it.Priority, selection{flow: it.flow, item: it})
 	}
 	for i := range q.classes {
 		c := &q.classes[i]
-		if c.passed < starveAfter {
+		if c.passed < maxPassed {
 			continue
 		}
-		if t, ok := c.turn(q); ok {
-			return q.take(i, t)
+		if t, ok := c.next(q); ok {
+			return q.startSelected(i, t)
 		}
 	}
 	for i := range q.classes {
-		if t, ok := q.classes[i].turn(q); ok {
-			return q.take(i, t)
+		if t, ok := q.classes[i].next(q); ok {
+			return q.startSelected(i, t)
 		}
 	}
 	return nil
 }
 
-// urgent gives the waiting work whose last chance to start is nearest, once
-// that is near. It was told that it would be
-// served, and work that came later has passed it since; without this it would
-// be refused long after it asked. Its workspace pays for it as for any other,
-// so that its next work waits longer or is refused when it asks.
-func (q *Queue) urgent() *item {
-	var first *item
-	var firstAt time.Time
-	gap := q.meanRun / time.Duration(max(q.load.Slots, 1))
+// mostUrgent returns the urgent item with the earliest latest start, or nil. It was
+// accepted, but later requests have overtaken it since; without this rule it would
+// be refused long after its arrival. Its workspace is charged as usual, so its next
+// requests wait longer or are refused on arrival.
+func (q *Queue) mostUrgent() *item {
+	var urgent *item
+	var earliest time.Time
+	slotInterval := q.meanRunTime / time.Duration(max(q.load.Slots, 1))
 	for _, it := range q.waitingItems() {
-		at, bounded := q.overdueAt(it)
-		if !bounded || (first != nil && !at.Before(firstAt)) {
+		at, bounded := q.latestStart(it)
+		if !bounded || (urgent != nil && !at.Before(earliest)) {
 			continue
 		}
-		left := at.Sub(q.now) - q.ownPrefill(it)
-		if left < min(urgentGaps*gap, at.Sub(it.arrived)/urgentPart) && q.mayStart(it) {
-			first, firstAt = it, at
+		left := at.Sub(q.now) - q.prefillDuration(it)
+		if left < min(urgentGaps*slotInterval, at.Sub(it.arrivedAt)/urgentFraction) && q.mayStart(it) {
+			urgent, earliest = it, at
 		}
 	}
-	return first
+	return urgent
 }
 
-// anyMayStart tells whether waiting work could start now.
+// anyMayStart reports whether any waiting item could start now.
 func (q *Queue) anyMayStart() bool {
 	if q.waiting == 0 {
 		return false
 	}
 	for i := range q.classes {
 		for _, f := range q.classes[i].active {
-			if f.first(q) != nil {
+			if f.firstStartable(q) != nil {
 				return true
 			}
 		}
@@ -188,30 +190,31 @@
 	return false
 }
 
-func (q *Queue) take(priority int, t turn) *item {
+// startSelected starts a selected item and charges its flow.
+func (q *Queue) startSelected(priority int, s selection) *item {
 	c := &q.classes[priority]
-	c.advance(t.rounds)
-	c.cursor = slices.Index(c.active, t.flow)
-	t.flow.deficit -= t.item.cost
-	q.learnTurn(t.item)
-	q.slow.learnWait(q.now.Sub(t.item.arrived), t.item.predicted)
-	t.flow.charged++
-	t.item.charged = true
+	c.addRounds(s.rounds)
+	c.cursor = slices.Index(c.active, s.flow)
+	s.flow.deficit -= s.item.cost
+	q.recordStart(s.item)
+	q.slowdown.recordWait(q.now.Sub(s.item.arrivedAt), s.item.predictedWait)
+	s.flow.charged++
+	s.item.charged = true
 	c.passed = 0
 	for i := priority + 1; i < classCount; i++ {
 		if len(q.classes[i].active) > 0 {
 			q.classes[i].passed++
 		}
 	}
-	q.dequeue(t.item)
-	q.start(t.item)
-	return t.item
+	q.dequeue(s.item)
+	q.start(s.item)
+	return s.item
 }
 
-// reconcile corrects what the flow paid by estimate to what the work took.
-// Usage that is not known leaves the estimate.
+// reconcile replaces the estimated cost charged to the flow by the cost of the
+// reported usage. If the usage is unknown, the estimate is kept.
 func (q *Queue) reconcile(it *item, u Usage) {
-	q.learnOutput(it, u)
+	q.recordOutput(it, u)
 	if !it.charged {
 		return
 	}
@@ -229,10 +232,10 @@
 	}
 }
 
-// forgetIdle drops flows that nothing depends on. With nothing waiting there
-// is no contention: what one workspace took then was taken from nobody, so
-// debts end too.
-func (q *Queue) forgetIdle() {
+// dropIdleFlows resets all flows once nothing waits, and deletes those without
+// running items. Without contention no workspace takes capacity from another, so
+// debts are cancelled as well.
+func (q *Queue) dropIdleFlows() {
 	if q.waiting > 0 {
 		return
 	}
@@ -248,30 +251,30 @@
 	}
 }
 
-// turn finds the flow that can pay for its first startable item in the fewest
-// rounds, from the cursor on.
-func (c *class) turn(q *Queue) (t turn, ok bool) {
+// next returns the flow whose first startable item needs the fewest rounds of
+// credit, beginning at the cursor.
+func (c *class) next(q *Queue) (best selection, ok bool) {
 	for i := range c.active {
 		f := c.active[(c.cursor+i)%len(c.active)]
-		it := f.first(q)
+		it := f.firstStartable(q)
 		if it == nil {
 			continue
 		}
 		rounds := f.roundsFor(it.cost)
-		if !ok || rounds < t.rounds {
-			t, ok = turn{flow: f, item: it, rounds: rounds}, true
+		if !ok || rounds < best.rounds {
+			best, ok = selection{flow: f, item: it, rounds: rounds}, true
 		}
 		if rounds == 0 {
 			break
 		}
 	}
-	return t, ok
+	return best, ok
 }
 
-// advance gives every active flow the credit of some rounds. A flow that is
-// held back saves no more than its next item costs, or it would send a burst
-// later.
-func (c *class) advance(rounds int64) {
+// addRounds credits every active flow with some rounds. A flow accumulates at most
+// one quantum beyond the cost of its first item; otherwise one that was held back
+// would send a burst later.
+func (c *class) addRounds(rounds int64) {
 	if rounds == 0 {
 		return
 	}
@@ -282,9 +285,9 @@
 	}
 }
 
-// leave takes a flow without waiting work out of the ring. Credit is not
-// saved up, a debt stays.
-func (c *class) leave(f *flow) {
+// deactivate removes a flow without waiting items from the round robin. Its credit
+// is lost, a debt remains.
+func (c *class) deactivate(f *flow) {
 	i := slices.Index(c.active, f)
 	c.active = slices.Delete(c.active, i, i+1)
 	if i < c.cursor {
@@ -293,17 +296,18 @@
 	if c.cursor >= len(c.active) {
 		c.cursor = 0
 	}
-	f.left = c.round
+	f.idleSince = c.round
 	f.deficit = min(f.deficit, 0)
 }
 
-// payDebt lowers a debt by the rounds that passed without the flow.
-func (f *flow) payDebt(round int64) {
-	f.deficit = min(0, f.deficit+(round-f.left)*quantum*f.weight)
+// reduceDebt reduces a debt by the credit of the rounds that passed while the flow
+// was inactive.
+func (f *flow) reduceDebt(round int64) {
+	f.deficit = min(0, f.deficit+(round-f.idleSince)*quantum*f.weight)
 }
 
-// first gives the flow's first item that may start.
-func (f *flow) first(q *Queue) *item {
+// firstStartable returns the flow's first item that may start, or nil.
+func (f *flow) firstStartable(q *Queue) *item {
 	for _, it := range f.items {
 		if q.mayStart(it) {
 			return it
@@ -312,6 +316,7 @@
 	return nil
 }
 
+// roundsFor returns the number of rounds until the flow can pay a cost.
 func (f *flow) roundsFor(cost int64) int64 {
 	missing := cost - f.deficit
 	if missing <= 0 {
@@ -321,7 +326,7 @@
 	return (missing + credit - 1) / credit
 }
 
-// waitingItems gives all waiting items, by class and workspace.
+// waitingItems returns all waiting items, ordered by class and workspace.
 func (q *Queue) waitingItems() []*item {
 	out := make([]*item, 0, q.waiting)
 	for i := range q.classes {
--- a/internal/decision/beechqueue/prefix.go
+++ b/internal/decision/beechqueue/prefix.go
@@ -1,23 +1,22 @@
 package beechqueue
 
-// minShared is the shared prompt, in tokens, below which nothing is held back:
-// to prefill it twice costs less than a turn of the queue.
+// minShared is the number of shared prompt tokens below which no request waits for
+// another: computing them twice costs less than waiting for a turn.
 const minShared = 256
 
-// prefix is a level that some work, waiting or in prefill, needs and the
-// engine does not hold.
+// prefix is a level of waiting or prefilling items that the engine has not cached.
 type prefix struct {
-	wanted     int // items that need it
-	tokens     int // of this level alone
-	prefilling int // running items that bring it into the cache
-	leader     int // uncached tokens of the smallest of those
+	needed          int // items that have it in their prompt
+	tokens          int // of this level only, without the levels before it
+	prefilling      int // running items that are computing it
+	smallestPrefill int // fewest uncached tokens among these items
 }
 
-// want counts the item's uncached prompt, each shared level once. Counting a
-// hot prefix for each of its waiting requests would make this server look far
-// busier than it is, and the router would send them where the prefix must be
-// computed again.
-func (q *Queue) want(it *item) {
+// addPending adds the item's uncached prompt to pendingTokens, each shared level
+// once. If a hot prefix were counted for each request that waits for it, this
+// server would look much busier than it is, and the router would send the requests
+// to servers that have to compute the prefix again.
+func (q *Queue) addPending(it *item) {
 	end := it.CachedTokens
 	for _, l := range it.Levels {
 		if l.Tokens <= it.CachedTokens {
@@ -27,16 +26,16 @@
 		if p == nil {
 			p = &prefix{tokens: l.Tokens - end}
 			q.prefixes[l.Key] = p
-			q.pending += int64(p.tokens)
+			q.pendingTokens += int64(p.tokens)
 		}
-		p.wanted++
+		p.needed++
 		end = l.Tokens
 	}
-	q.pending += int64(it.PromptTokens - end)
+	q.pendingTokens += int64(it.PromptTokens - end)
 }
 
-// unwant takes back what want counted.
-func (q *Queue) unwant(it *item) {
+// removePending reverses addPending.
+func (q *Queue) removePending(it *item) {
 	end := it.CachedTokens
 	for _, l := range it.Levels {
 		if l.Tokens <= it.CachedTokens {
@@ -44,53 +43,55 @@
 		}
 		end = l.Tokens
 		p := q.prefixes[l.Key]
-		p.wanted--
-		if p.wanted == 0 {
-			q.pending -= int64(p.tokens)
+		p.needed--
+		if p.needed == 0 {
+			q.pendingTokens -= int64(p.tokens)
 			delete(q.prefixes, l.Key)
 		}
 	}
-	q.pending -= int64(it.PromptTokens - end)
+	q.pendingTokens -= int64(it.PromptTokens - end)
 }
 
-// beginPrefill marks the item's uncached levels as on their way.
+// beginPrefill marks the item's uncached levels as being computed.
 func (q *Queue) beginPrefill(it *item) {
 	for _, l := range it.Levels {
 		if l.Tokens <= it.CachedTokens {
 			continue
 		}
 		p := q.prefixes[l.Key]
-		if p.prefilling == 0 || it.uncached() < p.leader {
-			p.leader = it.uncached()
+		if p.prefilling == 0 || it.uncached() < p.smallestPrefill {
+			p.smallestPrefill = it.uncached()
 		}
 		p.prefilling++
 	}
 }
 
-// endPrefill takes the item's prompt out of what is still to be computed.
+// endPrefill removes the item's prompt from the prefills in progress and from
+// pendingTokens.
 func (q *Queue) endPrefill(it *item) {
 	if it.prefilled {
 		return
 	}
 	it.prefilled = true
-	if it.long {
-		q.longs--
+	if it.longPrefill {
+		q.longPrefills--
 	}
 	for _, l := range it.Levels {
 		if l.Tokens > it.CachedTokens {
 			q.prefixes[l.Key].prefilling--
 		}
 	}
-	q.unwant(it)
-	q.countShorts()
+	q.removePending(it)
+	q.countShortPrefills()
 }
 
-// held tells whether the item should wait for a running one that computes the
-// same prefix. If both ran, the engine would compute it twice and both first
-// tokens would be late. It is not worth it where the running one has more than
-// twice the shared part to compute. The wait is bounded: a leader may hang, or
-// its blocks may be evicted at once.
-func (q *Queue) held(it *item) bool {
+// heldForPrefix reports whether the item should wait for a running item that
+// computes the same prefix. If both ran, the engine would compute the prefix twice
+// and both first tokens would be late. Waiting does not pay off if the running item
+// has to compute more than twice the shared part. The wait is bounded by
+// MaxPrefixWait, because the running item may stall or its cache blocks may be
+// evicted immediately.
+func (q *Queue) heldForPrefix(it *item) bool {
 	if q.settings.MaxPrefixWait <= 0 {
 		return false
 	}
@@ -103,7 +104,7 @@
 			return false
 		}
 		p := q.prefixes[it.Levels[i].Key]
-		if p == nil || p.prefilling == 0 || 2*shared < p.leader {
+		if p == nil || p.prefilling == 0 || 2*shared < p.smallestPrefill {
 			continue
 		}
 		if it.heldSince.IsZero() {
@@ -114,8 +115,8 @@
 	return false
 }
 
-// shareWithWaiting tells waiting work that levels are cached now.
-func (q *Queue) shareWithWaiting(levels []Level) {
+// markCached updates the waiting items after these levels were cached.
+func (q *Queue) markCached(levels []Level) {
 	if len(levels) == 0 || q.waiting == 0 {
 		return
 	}
@@ -128,7 +129,7 @@
 	}
 }
 
-// raiseCached lowers the item's cost by what another's prefill brought in.
+// raiseCached raises the item's cached tokens to the longest prefix in cached.
 func (q *Queue) raiseCached(it *item, cached map[Key]struct{}) {
 	tokens := it.CachedTokens
 	for _, l := range it.Levels {
@@ -140,17 +141,18 @@
 	q.setCached(it, tokens)
 }
 
-// setCached corrects what waiting work is reckoned to find in the cache.
+// setCached sets the cached tokens of a waiting item and updates all sums that
+// depend on them.
 func (q *Queue) setCached(it *item, tokens int) {
 	if tokens == it.CachedTokens {
 		return
 	}
-	q.unwant(it)
+	q.removePending(it)
 	it.flow.cost -= it.cost
 	it.flow.tokens -= int64(it.uncached())
 	it.CachedTokens = tokens
 	it.cost = q.cost(it)
 	it.flow.cost += it.cost
 	it.flow.tokens += int64(it.uncached())
-	q.want(it)
+	q.addPending(it)
 }
--- a/internal/decision/beechqueue/queue.go
+++ b/internal/decision/beechqueue/queue.go
@@ -9,54 +9,54 @@
 )
 
 type (
-	// Queue decides what runs on one backend server. It is safe for
+	// Queue decides which requests run on one backend server. It is safe for
 	// concurrent use.
 	Queue struct {
-		mu       sync.Mutex
-		settings Settings
-		clock    clockwork.Clock
-		now      time.Time // never steps back
-		load     Load      // the last that was told
-		classes  [classCount]class
-		items    map[uint64]*item // waiting and running
-		running  []*item
-		waiting  int
-		longs    int // running long prefills
-		shorts   int // uncached tokens of the other prefills under way
-		alone    int // running suspects
-		prefixes map[Key]*prefix
-		pending  int64         // uncached tokens waited for, each prefix once
-		spread   time.Duration // work of refused callers that may come back
-		habits   *lru.Cache[string, *habit]
-		meanRun  time.Duration // of lately finished work
-		slow     slowness
+		mu                 sync.Mutex
+		settings           Settings
+		clock              clockwork.Clock
+		now                time.Time // never moves backwards
+		load               Load      // as last reported
+		classes            [classCount]class
+		items              map[uint64]*item // waiting and running, by request ID
+		running            []*item
+		waiting            int
+		longPrefills       int // in progress
+		shortPrefillTokens int // uncached tokens of the short prefills in progress
+		runningSuspects    int
+		prefixes           map[Key]*prefix
+		pendingTokens      int64         // uncached tokens not prefilled yet, each prefix once
+		retryBacklog       time.Duration // server time that refused requests need if retried
+		workspaceStats     *lru.Cache[string, *stats]
+		meanRunTime        time.Duration // moving average over finished requests
+		slowdown           slowdown
 	}
 
-	// item is work that waits or runs.
+	// item is a waiting or running request.
 	item struct {
 		Request
-		flow      *flow
-		cost      int64
-		arrived   time.Time
-		predicted time.Duration // wait, at arrival
-		heldSince time.Time     // zero until it is first held back for a prefix
-		started   time.Time     // zero while it waits
-		long      bool          // counted in longs
-		charged   bool          // paid for by its flow
-		prefilled bool
+		flow          *flow
+		cost          int64
+		arrivedAt     time.Time
+		predictedWait time.Duration // until the start, predicted on arrival
+		heldSince     time.Time     // when it first waited for a shared prefix; zero if never
+		startedAt     time.Time     // zero while waiting
+		longPrefill   bool          // counted in Queue.longPrefills
+		charged       bool          // its cost was deducted from its flow's deficit
+		prefilled     bool
 	}
 )
 
 // New returns an empty queue.
 func New(s Settings, c clockwork.Clock) *Queue {
-	habits, _ := lru.New[string, *habit](maxHabits) // fails for a size below 1 only
+	workspaceStats, _ := lru.New[string, *stats](maxWorkspaces) // fails only for a size below 1
 	q := &Queue{
-		settings: s,
-		clock:    c,
-		now:      c.Now(),
-		items:    make(map[uint64]*item),
-		prefixes: make(map[Key]*prefix),
-		habits:   habits,
+		settings:       s,
+		clock:          c,
+		now:            c.Now(),
+		items:          make(map[uint64]*item),
+		prefixes:       make(map[Key]*prefix),
+		workspaceStats: workspaceStats,
 	}
 	for i := range q.classes {
 		q.classes[i].flows = make(map[string]*flow)
@@ -64,8 +64,8 @@
 	return q
 }
 
-// Configure puts other settings in force for what is offered from here on.
-// Work that waits keeps its place, also beyond a smaller bound.
+// Configure replaces the settings. Requests that already wait keep their places,
+// even if there are now more of them than MaxWaiting.
 func (q *Queue) Configure(s Settings) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -77,51 +77,51 @@
 	}
 }
 
-// Offer asks whether work may run now, must wait or is refused. Run counts as
-// running until Finish. After Wait, the caller uses Dispatch.
-func (q *Queue) Offer(w Request, l Load) Decision {
+// Offer decides whether a request runs now, waits or is refused. After Run it
+// counts as running until Finish. After Wait, Dispatch returns it later.
+func (q *Queue) Offer(r Request, l Load) Decision {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tick(l)
-	if _, known := q.items[w.ID]; known {
+	q.observe(l)
+	if _, known := q.items[r.ID]; known {
 		return Refuse{Reason: ReasonInvalid}
 	}
-	it := &item{Request: clean(w), arrived: q.now}
+	it := &item{Request: sanitize(r), arrivedAt: q.now}
 	it.cost = q.cost(it)
 	if l.Slots <= 0 {
 		return q.refuse(it, ReasonBusy, 0)
 	}
-	first := q.firstToken(it)
-	sure := q.sure(it, first)
-	if late := q.late(it, sure); late > 0 {
-		return q.refuse(it, ReasonDeadline, late)
+	first := q.predictFirstToken(it)
+	conservative := q.withMargin(it, first)
+	if lateness := q.lateness(it, conservative); lateness > 0 {
+		return q.refuse(it, ReasonDeadline, lateness)
 	}
 	if q.mayStart(it) && !q.anyMayStart() {
 		q.items[it.ID] = it
-		q.want(it)
+		q.addPending(it)
 		q.start(it)
 		return Run{}
 	}
 	if !q.hasRoom(it) {
 		return q.refuse(it, ReasonBusy, q.slotWait(q.waiting/2))
 	}
-	if long := sure - q.settings.MaxWait; q.settings.MaxWait > 0 && it.Deadline.IsZero() && long > 0 {
-		return q.refuse(it, ReasonBusy, long)
+	if excess := conservative - q.settings.MaxWait; q.settings.MaxWait > 0 && it.Deadline.IsZero() && excess > 0 {
+		return q.refuse(it, ReasonBusy, excess)
 	}
 	q.enqueue(it)
 	return Wait{Position: q.waiting, FirstToken: first}
 }
 
-// Dispatch gives the work that may start now, in order; it counts as running from
-// here on. Call it after Offer said Wait, after FinishPrefill, Finish, Cancel and
-// RemoveOverdue, and at NextCheck.
+// Dispatch starts the waiting requests that may run now and returns them in order;
+// they count as running until Finish. Call it after Offer returned Wait, after
+// FinishPrefill, Finish, Cancel and RemoveOverdue, and at the time from NextCheck.
 func (q *Queue) Dispatch(l Load) []Request {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tick(l)
+	q.observe(l)
 	var out []Request
 	for len(q.running) < l.Slots {
-		it := q.pick()
+		it := q.startNext()
 		if it == nil {
 			break
 		}
@@ -130,42 +130,43 @@
 	return out
 }
 
-// FinishPrefill tells that the first token of running work came: its prefix is
-// cached now and work that shares it may start.
+// FinishPrefill records that a running request produced its first token. Its prefix
+// is now cached, so requests that share it may start.
 func (q *Queue) FinishPrefill(id uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	it := q.items[id]
-	if it == nil || it.started.IsZero() || it.prefilled {
+	if it == nil || it.startedAt.IsZero() || it.prefilled {
 		return
 	}
-	q.tick(q.load)
-	q.slow.learnPrefill(q.now.Sub(it.started), q.prefillTime(it.uncached()))
+	q.observe(q.load)
+	q.slowdown.recordPrefill(q.now.Sub(it.startedAt), q.prefillTime(it.uncached()))
 	q.endPrefill(it)
-	q.shareWithWaiting(it.Levels)
+	q.markCached(it.Levels)
 }
 
-// Finish tells that running work has ended and what it took. Work that is not
-// running is passed over, so that a second Finish does no harm.
+// Finish records the end of a running request and its usage. Calls for a request
+// that is not running are ignored, so a second Finish is harmless.
 func (q *Queue) Finish(id uint64, u Usage) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	it := q.items[id]
-	if it == nil || it.started.IsZero() {
+	if it == nil || it.startedAt.IsZero() {
 		return
 	}
-	q.tick(q.load)
+	q.observe(q.load)
 	if it.prefilled {
-		q.slow.learnRun(q.now.Sub(it.started), q.serviceOf(it, u))
+		q.slowdown.recordRun(q.now.Sub(it.startedAt), q.serviceTimeOfUsage(it, u))
 	}
 	q.endPrefill(it)
 	q.stop(it)
 	q.reconcile(it, u)
-	q.forgetIdle()
+	q.dropIdleFlows()
 }
 
-// CacheLost tells that the engine came back empty: waiting work is reckoned as
-// not cached from here on. What ran ends by Finish as always.
+// CacheLost records that the engine restarted with an empty cache: no prompt tokens
+// of waiting requests count as cached any more. Running requests still end by
+// Finish.
 func (q *Queue) CacheLost() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -174,33 +175,33 @@
 	}
 }
 
-// Cancel takes back waiting work; true says that it never ran and never will.
-// It is false for running work, which ends by Finish.
+// Cancel removes a waiting request. It returns true if the request never ran and
+// never will, and false for a running request, which ends by Finish.
 func (q *Queue) Cancel(id uint64) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	it := q.items[id]
-	if it == nil || !it.started.IsZero() {
+	if it == nil || !it.startedAt.IsZero() {
 		return false
 	}
-	q.drop(it)
+	q.remove(it)
 	return true
 }
 
-// RemoveOverdue takes out the waiting work that cannot meet its deadline any more,
-// or has no deadline and has waited for MaxWait. It never ran and is to be
-// answered at once.
+// RemoveOverdue removes the waiting requests that can no longer meet their
+// deadline, and those without a deadline that have waited for MaxWait. They never
+// ran, and their callers should be answered immediately.
 func (q *Queue) RemoveOverdue() []Refused {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tick(q.load)
+	q.observe(q.load)
 	var out []Refused
 	for _, it := range q.waitingItems() {
-		at, bounded := q.overdueAt(it)
+		at, bounded := q.latestStart(it)
 		if !bounded || !q.now.After(at) {
 			continue
 		}
-		q.drop(it)
+		q.remove(it)
 		reason := ReasonDeadline
 		if it.Deadline.IsZero() {
 			reason = ReasonBusy
@@ -210,65 +211,65 @@
 	return out
 }
 
-// NextCheck says when Dispatch and RemoveOverdue should be called again even if nothing is
-// offered, prefilled or finished before; false if there is no such time.
+// NextCheck returns when Dispatch and RemoveOverdue must be called even if no
+// request is offered, prefilled or finished before. It returns false if there is no
+// such time.
 func (q *Queue) NextCheck() (time.Time, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tick(q.load)
-	var wake time.Time
+	q.observe(q.load)
+	var next time.Time
 	for _, it := range q.waitingItems() {
-		if at, bounded := q.overdueAt(it); bounded {
-			wake = earlier(wake, at.Add(time.Nanosecond))
+		if at, bounded := q.latestStart(it); bounded {
+			next = earlier(next, at.Add(time.Nanosecond))
 		}
 		released := it.heldSince.Add(q.settings.MaxPrefixWait)
 		if !it.heldSince.IsZero() && released.After(q.now) {
-			wake = earlier(wake, released)
+			next = earlier(next, released)
 		}
 	}
 	if q.waiting > 0 && q.settings.PrefillAhead > 0 {
-		wake = q.nextHang(wake)
+		next = q.nextStall(next)
 	}
-	return wake, !wake.IsZero()
+	return next, !next.IsZero()
 }
 
-// State tells what the queue holds now.
+// State returns a snapshot of the queue.
 func (q *Queue) State() State {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return State{Running: len(q.running), Waiting: q.waiting, WaitingTokens: q.pending}
+	return State{Running: len(q.running), Waiting: q.waiting, WaitingTokens: q.pendingTokens}
 }
 
-// tick takes over the load and the time. A clock that steps back would make
-// waiting work look as if it had not arrived yet, and its wait negative; time
-// stands still instead until the clock has caught up.
-func (q *Queue) tick(l Load) {
-	q.load = cleanLoad(l)
+// observe takes over the reported load and the current time. If the clock steps
+// back, the queue's time stands still until the clock catches up; otherwise
+// requests would seem to arrive in the future and have negative waits.
+func (q *Queue) observe(l Load) {
+	q.load = sanitizeLoad(l)
 	now := q.clock.Now()
 	if !now.After(q.now) {
 		return
 	}
-	q.spread = max(0, q.spread-now.Sub(q.now))
+	q.retryBacklog = max(0, q.retryBacklog-now.Sub(q.now))
 	q.now = now
-	q.countShorts()
+	q.countShortPrefills()
 }
 
-// start makes an item run.
 func (q *Queue) start(it *item) {
-	it.started = q.now
-	it.long = q.isLong(it)
-	if it.long {
-		q.longs++
+	it.startedAt = q.now
+	it.longPrefill = q.isLong(it)
+	if it.longPrefill {
+		q.longPrefills++
 	}
 	if it.Suspect {
-		q.alone++
+		q.runningSuspects++
 	}
 	q.running = append(q.running, it)
 	q.beginPrefill(it)
-	q.countShorts()
+	q.countShortPrefills()
 }
 
-// stop takes an item out of the running ones.
+// stop removes a running item and updates the mean run time.
 func (q *Queue) stop(it *item) {
 	for i, r := range q.running {
 		if r == it {
@@ -280,73 +281,75 @@
 		}
 	}
 	if it.Suspect {
-		q.alone--
+		q.runningSuspects--
 	}
 	delete(q.items, it.ID)
-	took := q.now.Sub(it.started)
-	if q.meanRun == 0 {
-		q.meanRun = took
+	took := q.now.Sub(it.startedAt)
+	if q.meanRunTime == 0 {
+		q.meanRunTime = took
 	}
-	q.meanRun += (took - q.meanRun) / runMemory
+	q.meanRunTime += (took - q.meanRunTime) / runTimeSamples
 }
 
-// mayStart tells whether nothing holds the item back but its turn. Two
-// suspects at once would leave it open which of them crashed the server.
+// mayStart reports whether the item may start once its turn comes. Two suspects
+// never run together, because it would be unknown which of them crashed the server.
 func (q *Queue) mayStart(it *item) bool {
 	if len(q.running) >= q.load.Slots {
 		return false
 	}
-	if it.Suspect && q.alone > 0 {
+	if it.Suspect && q.runningSuspects > 0 {
 		return false
 	}
-	if q.held(it) {
+	if q.heldForPrefix(it) {
 		return false
 	}
-	if q.isLong(it) && q.longs >= max(1, q.settings.MaxLongPrefills) {
+	if q.isLong(it) && q.longPrefills >= max(1, q.settings.MaxLongPrefills) {
 		return false
 	}
-	return !q.prefillIsFull()
+	return !q.prefillSaturated()
 }
 
-// prefillIsFull tells whether the server has enough to prefill. What it has
-// beyond that makes no answer sooner, and among what has been started there
-// are no turns any more: whoever comes next waits for all of it. Long prefills
-// are held back too then, or each short one that ends would let a long one pass
-// all that wait.
-func (q *Queue) prefillIsFull() bool {
+// prefillSaturated reports whether the prefills in progress reach PrefillAhead.
+// Starting more would not produce any first token sooner, and as fairness and
+// priorities no longer apply to started requests, a later request would have to
+// wait for all of them. Long prefills are held back as well; otherwise each short
+// prefill that ends would let a long one overtake every waiting request.
+func (q *Queue) prefillSaturated() bool {
 	ahead := q.prefillAhead()
-	return ahead > 0 && q.load.PrefillRate > 0 && q.prefillTime(q.shorts) >= ahead
+	return ahead > 0 && q.load.PrefillRate > 0 && q.prefillTime(q.shortPrefillTokens) >= ahead
 }
 
-// countShorts counts the uncached tokens of running short prefills. One that
-// takes twice as long as predicted hangs, and must not stop the others.
-func (q *Queue) countShorts() {
-	q.shorts = 0
+// countShortPrefills recounts the uncached tokens of short prefills in progress. A
+// prefill that takes more than twice its predicted time counts as stalled and is
+// left out, so that it cannot block other requests.
+func (q *Queue) countShortPrefills() {
+	q.shortPrefillTokens = 0
 	for _, it := range q.running {
-		if !it.prefilled && !it.long && q.now.Before(q.hangsAt(it)) {
-			q.shorts += it.uncached()
+		if !it.prefilled && !it.longPrefill && q.now.Before(q.stalledAt(it)) {
+			q.shortPrefillTokens += it.uncached()
 		}
 	}
 }
 
-func (q *Queue) hangsAt(it *item) time.Time {
-	return it.started.Add(2*q.ownPrefill(it) + hangSlack)
+// stalledAt returns the time from which the item's prefill counts as stalled.
+func (q *Queue) stalledAt(it *item) time.Time {
+	return it.startedAt.Add(2*q.prefillDuration(it) + stallSlack)
 }
 
-// nextHang gives the time at which the next running prefill counts as hanging,
-// if that is before another one.
-func (q *Queue) nextHang(wake time.Time) time.Time {
+// nextStall returns the time at which the next prefill counts as stalled, or next
+// if that is earlier.
+func (q *Queue) nextStall(next time.Time) time.Time {
 	for _, it := range q.running {
-		at := q.hangsAt(it)
-		if !it.prefilled && !it.long && at.After(q.now) {
-			wake = earlier(wake, at)
+		at := q.stalledAt(it)
+		if !it.prefilled && !it.longPrefill && at.After(q.now) {
+			next = earlier(next, at)
 		}
 	}
-	return wake
+	return next
 }
 
-// isLong tells whether the item's prefill would keep short work from its first
-// token for long.
+// isLong reports whether the item's prefill is long enough to delay the first
+// tokens of short requests considerably.
 func (q *Queue) isLong(it *item) bool {
 	long := q.settings.LongPrefill
 	if long <= 0 {
@@ -355,17 +358,19 @@
 	return long > 0 && it.uncached() >= long
 }
 
-// overdueAt gives the last time at which waiting work is worth a start.
-func (q *Queue) overdueAt(it *item) (at time.Time, bounded bool) {
+// latestStart returns the latest time at which starting a waiting item is still
+// useful; bounded is false if there is none.
+func (q *Queue) latestStart(it *item) (at time.Time, bounded bool) {
 	if !it.Deadline.IsZero() {
 		return it.Deadline.Add(-q.prefillTime(it.uncached())), true
 	}
 	if q.settings.MaxWait > 0 {
-		return it.arrived.Add(q.settings.MaxWait), true
+		return it.arrivedAt.Add(q.settings.MaxWait), true
 	}
 	return time.Time{}, false
 }
 
+// earlier returns the earlier time; a zero a counts as unset.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/internal/decision/beechqueue/types.go
+++ b/internal/decision/beechqueue/types.go
@@ -3,31 +3,31 @@
 import "time"
 
 type (
-	// Key is a prefix's chained hash.
+	// Key is the chained hash of a prompt prefix.
 	Key = [16]byte
 
-	// Level is one step of the prompt's prefix chain, the shortest first.
-	// Tokens counts from the prompt's start through this level.
+	// Level is one prefix in the chain of a prompt's prefixes, which is ordered
+	// from the shortest to the longest. Tokens counts from the start of the prompt.
 	Level struct {
 		Key    Key
 		Tokens int
 	}
 
-	// Request is a request that asks to run on this agent's server.
+	// Request is a request for the backend server that this queue belongs to.
 	Request struct {
-		ID           uint64 // unique in the agent
+		ID           uint64 // unique within the agent
 		Workspace    string
 		Priority     int // 0 is served first
 		Levels       []Level
 		PromptTokens int
-		CachedTokens int // of the prompt, known to be cached by this engine
-		OutputTokens int
-		Deadline     time.Time // zero is none
-		Suspect      bool      // suspect: never beside another suspect
+		CachedTokens int       // prompt tokens known to be in the engine's cache
+		OutputTokens int       // estimate or the caller's maximum
+		Deadline     time.Time // for the first token; zero means none
+		Suspect      bool      // may crash the server; at most one suspect runs at a time
 	}
 
-	// Usage is what the server said a request took. Known is false where it
-	// said nothing; then the estimate stands.
+	// Usage is the token usage that the server reported for a request. Known is
+	// false if it reported none; the estimate is then kept.
 	Usage struct {
 		Known  bool
 		Prompt int
@@ -35,58 +35,61 @@
 		Output int
 	}
 
-	// Load is what the queue needs to know of the server now.
+	// Load is the server's current capacity.
 	Load struct {
-		Slots       int // requests the server runs at once
-		PrefillRate int // prompt tokens a second
-		TokenTime   time.Duration
+		Slots       int           // requests that the server runs concurrently
+		PrefillRate int           // prompt tokens per second
+		TokenTime   time.Duration // per output token of one request
 	}
 
-	// Reason says why work was refused.
+	// Reason is the reason for refusing a request.
 	Reason string
 
-	// Decision is the answer to Offer: Run, Wait or Refuse.
+	// Decision is the result of Offer: Run, Wait or Refuse.
 	Decision interface{ decision() }
 
-	// Run lets the work start at once.
+	// Run means that the request may start immediately.
 	Run struct{}
 
-	// Wait queues the work; Dispatch returns it when it may run.
+	// Wait means that the request was queued. Dispatch returns it once it may
+	// start.
 	Wait struct {
 		Position   int
 		FirstToken time.Duration // predicted
 	}
 
-	// Refuse turns the work away, not run. RetryAfter says when to come back.
+	// Refuse means that the request is not run. RetryAfter is when the caller
+	// should retry.
 	Refuse struct {
 		Reason     Reason
 		RetryAfter time.Duration
 	}
 
-	// Refused is work that was let wait and cannot be served any more.
+	// Refused is a queued request that can no longer be served in time.
 	Refused struct {
 		ID     uint64
 		Refuse Refuse
 	}
 
-	// Settings bound the queue. Weights holds each workspace's share; one
-	// that is missing or below 1 has 1. MaxWaiting 0 lets nothing wait.
-	// LongPrefill 0 is what the server prefills in a second. MaxPrefixWait 0 holds nothing
-	// back for a shared prefix. PrefillAhead 0 gives the server as many prefills
-	// as it has slots. MaxWait 0 bounds only work with a deadline.
+	// Settings configures a queue. MaxWaiting 0 disables queueing. LongPrefill 0
+	// stands for the tokens that the server prefills in one second. MaxPrefixWait 0
+	// disables waiting for a shared prefix. PrefillAhead 0 limits concurrent
+	// prefills only by the server's slots. MaxWait 0 leaves the wait of requests
+	// without a deadline unbounded. Weights maps workspaces to their shares; a
+	// missing weight or one below 1 counts as 1.
 	Settings struct {
 		MaxWaiting      int
-		MaxWait         time.Duration // to the first token, without a deadline
+		MaxWait         time.Duration // until the first token, for requests without a deadline
 		MaxLongPrefills int
-		LongPrefill     int // tokens
-		MaxPrefixWait   time.Duration
-		PrefillAhead    time.Duration // of short prefills under way at once
+		LongPrefill     int           // uncached tokens from which a prefill is long
+		MaxPrefixWait   time.Duration // for another request that computes the same prefix
+		PrefillAhead    time.Duration // total duration of the short prefills in progress
 		Weights         map[string]int
 	}
 
-	// State is what the queue holds now. WaitingTokens counts the uncached
-	// prompt tokens that are not prefilled yet, waiting or running; a prefix
-	// that several requests wait for is counted once.
+	// State is a snapshot of the queue. WaitingTokens is the number of uncached
+	// prompt tokens of waiting and running requests that are not prefilled yet; a
+	// prefix shared by several requests is counted once.
 	State struct {
 		Running       int
 		Waiting       int
@@ -94,7 +97,7 @@
 	}
 )
 
-// Reasons of Refuse.
+// Reasons for refusing a request.
 const (
 	ReasonBusy     Reason = "busy"
 	ReasonDeadline Reason = "deadline"
