--- a/internal/decision/beechroute/bench_test.go
+++ b/internal/decision/beechroute/bench_test.go
@@ -62,8 +62,8 @@
 	for i := range 20_000 {
 		q := testRequest(i%2000, i)
 		best := r.Choose(q).Ranked[0]
-		r.Dispatched(best.Server, q, best.Uncached)
-		r.Finished(best.Server)
+		r.RecordDispatch(best.Server, q, best.Uncached)
+		r.RecordFinish(best.Server)
 	}
 }
 
@@ -103,9 +103,9 @@
 			for i := range b.N {
 				q := requests[i%len(requests)]
 				best := r.Choose(q).Ranked[0]
-				r.Dispatched(best.Server, q, best.Uncached)
-				r.Learn(Reply{Server: best.Server, Incarnation: 1, Levels: q.Levels})
-				r.Finished(best.Server)
+				r.RecordDispatch(best.Server, q, best.Uncached)
+				r.RecordReply(Reply{Server: best.Server, Incarnation: 1, Levels: q.Levels})
+				r.RecordFinish(best.Server)
 			}
 		})
 	}
--- a/internal/decision/beechroute/choose.go
+++ b/internal/decision/beechroute/choose.go
@@ -175,7 +175,7 @@
 	uncached := max(0, f.request.PromptTokens-r.cached(f, s))
 	prefill := float64(uncached) / float64(s.load.PrefillRate)
 	wait := s.wait(f.now, r.output)
-	if s.Zone != r.settings.Zone && !r.settings.lacks(MechanismZones) {
+	if s.Zone != r.settings.Zone && !r.settings.lacks(MechanismZoneDistance) {
 		wait += r.settings.ZoneDistance
 	}
 	first := wait + seconds(prefill)
--- a/internal/decision/beechroute/doc.go
+++ b/internal/decision/beechroute/doc.go
@@ -44,11 +44,11 @@
 //	router.SetServers(servers)
 //	choice := router.Choose(request)
 //	best := choice.Ranked[0]
-//	router.Dispatched(best.Server, request, best.Uncached)
+//	router.RecordDispatch(best.Server, request, best.Uncached)
 //
-// Each Dispatched is followed by one Finished, after Refused where the server turned
-// the request away. Learn takes in a reply; Report and Changed take in an agent's
-// heartbeat: its load, and what has come into its engine's cache and gone. Hot and
-// Restore carry prefixes in demand to entry hosts that restart; servers are set
-// before Restore.
+// Each RecordDispatch is followed by one RecordFinish, after RecordRefusal where the server turned
+// the request away. RecordReply takes in a reply; UpdateLoad and ApplyCacheChanges take in an agent's
+// heartbeat: its load, and what has come into its engine's cache and gone. HotPrefixes and
+// RestorePrefixes carry prefixes in demand to entry hosts that restart; servers are set
+// before RestorePrefixes.
 package beechroute
--- a/internal/decision/beechroute/hot.go
+++ b/internal/decision/beechroute/hot.go
@@ -11,9 +11,9 @@
 	maxHot  = 256
 )
 
-// Hot is the prefixes in demand, those with the most tokens asked for a second
+// HotPrefixes is the prefixes in demand, those with the most tokens asked for a second
 // first, for entry hosts that restart.
-func (r *Router) Hot() []HotPrefix {
+func (r *Router) HotPrefixes() []HotPrefix {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.clock.Now()
@@ -32,9 +32,9 @@
 	return hot[:min(len(hot), maxHot)]
 }
 
-// Restore takes in prefixes that another entry host knew to be in demand. What is
+// RestorePrefixes takes in prefixes that another entry host knew to be in demand. What is
 // known here already is kept.
-func (r *Router) Restore(hot []HotPrefix) {
+func (r *Router) RestorePrefixes(hot []HotPrefix) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.clock.Now()
--- a/internal/decision/beechroute/memory_test.go
+++ b/internal/decision/beechroute/memory_test.go
@@ -18,8 +18,8 @@
 		b.ReportMetric(float64(filled-before)/servers, "B/server")
 		for i := range prefixes {
 			for holder := range 2 {
-				changes := Changes{List: []Change{{Key: testRequest(i, 0).Levels[1].Key, Tokens: 5800, Held: true}}}
-				r.Changed(testAddress((i+holder)%servers), 1, changes)
+				changes := CacheChanges{List: []CacheChange{{Key: testRequest(i, 0).Levels[1].Key, Tokens: 5800, Held: true}}}
+				r.ApplyCacheChanges(testAddress((i+holder)%servers), 1, changes)
 			}
 		}
 		b.ReportMetric(float64(liveHeap()-filled)/prefixes, "B/prefix")
@@ -31,14 +31,14 @@
 func BenchmarkChanged(b *testing.B) {
 	const servers = 400
 	r := testRouter(servers, clockwork.NewRealClock(), weights{})
-	changes := Changes{List: make([]Change, 4)}
+	changes := CacheChanges{List: make([]CacheChange, 4)}
 	i := 0
 	for b.Loop() {
 		i++
 		for k := range changes.List {
-			changes.List[k] = Change{Key: testRequest(i*len(changes.List)+k, 0).Levels[1].Key, Tokens: 5800, Held: true}
+			changes.List[k] = CacheChange{Key: testRequest(i*len(changes.List)+k, 0).Levels[1].Key, Tokens: 5800, Held: true}
 		}
-		r.Changed(testAddress(i%servers), 1, changes)
+		r.ApplyCacheChanges(testAddress(i%servers), 1, changes)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(i*len(changes.List)), "ns/change")
 }
--- a/internal/decision/beechroute/router.go
+++ b/internal/decision/beechroute/router.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (s Settings) lacks(m Mechanism) bool { return s.Without&m != 0 }
+func (s Settings) lacks(m Mechanism) bool { return s.Disabled&m != 0 }
 
 // SetServers replaces the servers that may be chosen. What is known of one that
 // stays with the same incarnation is kept. The hash rings of a large fleet take
@@ -117,9 +117,9 @@
 	return rings
 }
 
-// Dispatched notes that a request was sent to a server, with the uncached tokens
+// RecordDispatch notes that a request was sent to a server, with the uncached tokens
 // that Choose predicted for it.
-func (r *Router) Dispatched(address netip.AddrPort, q Request, uncached int) {
+func (r *Router) RecordDispatch(address netip.AddrPort, q Request, uncached int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[address]
@@ -129,7 +129,7 @@
 	now := r.clock.Now()
 	uncached = max(0, uncached)
 	s.inFlight++
-	if !r.settings.lacks(MechanismOwn) {
+	if !r.settings.lacks(MechanismOwnDispatches) {
 		s.work.add(float64(uncached), now, r.settings.ReportLag)
 	}
 	if q.OutputTokens > 0 {
@@ -140,9 +140,9 @@
 	}
 }
 
-// Learn takes in what a reply said of its prompt's cached part. A reply of an
+// RecordReply takes in what a reply said of its prompt's cached part. A reply of an
 // incarnation that is not the server's present one is dropped.
-func (r *Router) Learn(p Reply) {
+func (r *Router) RecordReply(p Reply) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[p.Server]
@@ -155,12 +155,12 @@
 	}
 }
 
-// Changed takes in what a server's agent says has come into the engine's cache or
+// ApplyCacheChanges takes in what a server's agent says has come into the engine's cache or
 // queue, or gone from the cache, for this entry host's requests and others'.
 // Without it each entry host would have to find out by itself where a prefix
 // went, and would make a copy of its own. False says that the server is not known in
 // that incarnation, now or any more, and that nothing was taken in.
-func (r *Router) Changed(address netip.AddrPort, incarnation uint64, changes Changes) bool {
+func (r *Router) ApplyCacheChanges(address netip.AddrPort, incarnation uint64, changes CacheChanges) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[address]
@@ -168,7 +168,7 @@
 		return false
 	}
 	s.announces = true
-	if changes.All {
+	if changes.Complete {
 		s.epoch++
 	}
 	now := r.clock.Now()
@@ -184,8 +184,8 @@
 	return true
 }
 
-// Report takes in a server's load.
-func (r *Router) Report(address netip.AddrPort, l Load) {
+// UpdateLoad takes in a server's load.
+func (r *Router) UpdateLoad(address netip.AddrPort, l Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if s := r.servers[address]; s != nil {
@@ -193,9 +193,9 @@
 	}
 }
 
-// Finished notes that a request sent to a server has ended there, whatever its
-// outcome, also a refusal. Each Dispatched has one Finished.
-func (r *Router) Finished(address netip.AddrPort) {
+// RecordFinish notes that a request sent to a server has ended there, whatever its
+// outcome, also a refusal. Each RecordDispatch has one RecordFinish.
+func (r *Router) RecordFinish(address netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if s := r.servers[address]; s != nil {
@@ -203,9 +203,9 @@
 	}
 }
 
-// Refused notes that a server turned a request away, not run, and when it may be
-// asked again. Finished follows it.
-func (r *Router) Refused(address netip.AddrPort, after time.Duration) {
+// RecordRefusal notes that a server turned a request away, not run, and when it may be
+// asked again. RecordFinish follows it.
+func (r *Router) RecordRefusal(address netip.AddrPort, after time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[address]
@@ -215,9 +215,9 @@
 	s.notBefore = r.clock.Now().Add(max(0, after))
 }
 
-// Forget drops what is known of a server's cache if its incarnation is that one
+// ForgetCache drops what is known of a server's cache if its incarnation is that one
 // or an older one.
-func (r *Router) Forget(address netip.AddrPort, incarnation uint64) {
+func (r *Router) ForgetCache(address netip.AddrPort, incarnation uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[address]
--- a/internal/decision/beechroute/router_test.go
+++ b/internal/decision/beechroute/router_test.go
@@ -17,24 +17,24 @@
 
 func send(r *Router, q Request) Candidate {
 	best := r.Choose(q).Ranked[0]
-	r.Dispatched(best.Server, q, best.Uncached)
+	r.RecordDispatch(best.Server, q, best.Uncached)
 	return best
 }
 
 func learn(r *Router, server netip.AddrPort, incarnation uint64, q Request) {
-	r.Learn(Reply{Server: server, Incarnation: incarnation, Levels: q.Levels, PromptTokens: q.PromptTokens})
+	r.RecordReply(Reply{Server: server, Incarnation: incarnation, Levels: q.Levels, PromptTokens: q.PromptTokens})
 }
 
 // announceAll lets every agent say that its engine is empty.
 func announceAll(r *Router, n int) {
 	for i := range n {
-		r.Changed(testAddress(i), 1, Changes{All: true})
+		r.ApplyCacheChanges(testAddress(i), 1, CacheChanges{Complete: true})
 	}
 }
 
 func reportAll(r *Router, n int, l Load) {
 	for i := range n {
-		r.Report(testAddress(i), l)
+		r.UpdateLoad(testAddress(i), l)
 	}
 }
 
@@ -56,16 +56,16 @@
 	}
 	r.SetServers(servers)
 	learn(r, holder, 1, q) // a late reply of the dead one
-	is.True(!r.Changed(holder, 1, Changes{List: []Change{{Key: q.Levels[1].Key, Tokens: 5800, Held: true}}}))
+	is.True(!r.ApplyCacheChanges(holder, 1, CacheChanges{List: []CacheChange{{Key: q.Levels[1].Key, Tokens: 5800, Held: true}}}))
 	for _, c := range r.Choose(q).Ranked {
 		is.Equal(c.Uncached, q.PromptTokens)
 	}
 
 	learn(r, holder, 2, q)
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 0)
-	r.Forget(holder, 1) // of an older one: nothing to forget
+	r.ForgetCache(holder, 1) // of an older one: nothing to forget
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 0)
-	r.Forget(holder, 2)
+	r.ForgetCache(holder, 2)
 	is.Equal(r.Choose(q).Ranked[0].Uncached, q.PromptTokens)
 }
 
@@ -77,17 +77,17 @@
 	r := testRouter(20, clockwork.NewFakeClock(), weights{})
 	q := testRequest(1, 1)
 	announceAll(r, 20)
-	history := Change{Key: q.Levels[1].Key, Tokens: 5800, Held: true}
-	is.True(r.Changed(testAddress(9), 1, Changes{All: true, List: []Change{{Key: q.Levels[0].Key, Tokens: 1000, Held: true}, history}}))
+	history := CacheChange{Key: q.Levels[1].Key, Tokens: 5800, Held: true}
+	is.True(r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{Complete: true, List: []CacheChange{{Key: q.Levels[0].Key, Tokens: 1000, Held: true}, history}}))
 	best := r.Choose(q).Ranked[0]
 	is.Equal(best.Server, testAddress(9))
 	is.Equal(best.Uncached, 200)
 
 	history.Held = false
-	r.Changed(testAddress(9), 1, Changes{List: []Change{history}})
+	r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{List: []CacheChange{history}})
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 5000) // the instruction is left
 
-	r.Changed(testAddress(9), 1, Changes{All: true})
+	r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{Complete: true})
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 6000)
 }
 
@@ -140,7 +140,7 @@
 	reportAll(r, 3, idle)
 	announceAll(r, 3)
 	health[testAddress(0)] = 0.1
-	r.Report(testAddress(1), Load{Slots: 32, PrefillRate: 800, WaitingTokens: 50_000})
+	r.UpdateLoad(testAddress(1), Load{Slots: 32, PrefillRate: 800, WaitingTokens: 50_000})
 	for i := range 20 {
 		is.Equal(r.Choose(testRequest(i, i)).Ranked[0].Server, testAddress(2))
 	}
@@ -163,13 +163,13 @@
 	spilled := 0
 	for i := range 20 {
 		q := testRequest(i, i)
-		r.Report(testAddress(0), idle)
+		r.UpdateLoad(testAddress(0), idle)
 		choice := r.Choose(q)
 		if !slices.ContainsFunc(choice.Ranked, func(c Candidate) bool { return c.Server == testAddress(0) }) {
 			continue // not among the homes
 		}
 		is.Equal(choice.Ranked[0].Server, testAddress(0))
-		r.Report(testAddress(0), Load{Slots: 32, PrefillRate: 8000, WaitingTokens: 8000})
+		r.UpdateLoad(testAddress(0), Load{Slots: 32, PrefillRate: 8000, WaitingTokens: 8000})
 		is.True(r.Choose(q).Ranked[0].Server != testAddress(0))
 		spilled++
 	}
@@ -184,7 +184,7 @@
 	r := testRouter(2, clock, weights{})
 	q := testRequest(1, 1)
 	first := send(r, q)
-	r.Refused(first.Server, 30*time.Second)
+	r.RecordRefusal(first.Server, 30*time.Second)
 	is.True(r.Choose(q).Ranked[0].Server != first.Server)
 	clock.Advance(31 * time.Second)
 	is.Equal(r.Choose(q).Ranked[0].Server, first.Server)
@@ -201,14 +201,14 @@
 		holder = send(before, testRequest(3, i)).Server
 	}
 	after := testRouter(20, clock, weights{})
-	after.Restore(before.Hot())
+	after.RestorePrefixes(before.HotPrefixes())
 	best := after.Choose(testRequest(3, 99)).Ranked[0]
 	is.Equal(best.Server, holder)
 	is.Equal(best.Uncached, 200)
-	is.True(len(before.Hot()) < 10) // questions asked once are not hot
+	is.True(len(before.HotPrefixes()) < 10) // questions asked once are not hot
 
 	clock.Advance(10 * time.Minute)
-	is.Equal(len(before.Hot()), 0)
+	is.Equal(len(before.HotPrefixes()), 0)
 }
 
 // A server leaves. Only the histories at home there move.
@@ -239,9 +239,9 @@
 	is.Equal(len(empty.Choose(testRequest(1, 1)).Ranked), 0)
 	empty.SetServers(nil)
 	is.Equal(len(empty.Choose(testRequest(1, 1)).Ranked), 0)
-	empty.Dispatched(testAddress(1), testRequest(1, 1), 5)
-	empty.Finished(testAddress(1))
-	empty.Restore([]HotPrefix{{Rate: -1, Tokens: -1, Holders: []netip.AddrPort{{}}}})
+	empty.RecordDispatch(testAddress(1), testRequest(1, 1), 5)
+	empty.RecordFinish(testAddress(1))
+	empty.RestorePrefixes([]HotPrefix{{Rate: -1, Tokens: -1, Holders: []netip.AddrPort{{}}}})
 
 	r := testRouter(1, clock, weights{})
 	is.Equal(len(r.Choose(Request{Model: "unknown"}).Ranked), 0)
@@ -259,11 +259,11 @@
 	}
 	for _, q := range requests {
 		for _, l := range loads {
-			r.Report(testAddress(0), l)
-			r.Dispatched(testAddress(0), q, math.MinInt)
+			r.UpdateLoad(testAddress(0), l)
+			r.RecordDispatch(testAddress(0), q, math.MinInt)
 			learn(r, testAddress(0), 1, q)
-			r.Refused(testAddress(0), -time.Hour)
-			r.Finished(testAddress(0))
+			r.RecordRefusal(testAddress(0), -time.Hour)
+			r.RecordFinish(testAddress(0))
 			best := r.Choose(q).Ranked[0]
 			is.True(best.FirstToken >= 0)
 			is.True(best.Uncached >= 0)
@@ -275,9 +275,9 @@
 	r = testRouter(2, backwards, weights{})
 	send(r, testRequest(1, 1))
 	backwards.Advance(-time.Hour)
-	r.Report(testAddress(0), idle)
+	r.UpdateLoad(testAddress(0), idle)
 	is.True(send(r, testRequest(1, 2)).FirstToken < time.Minute)
-	is.True(len(r.Hot()) >= 0)
+	is.True(len(r.HotPrefixes()) >= 0)
 }
 
 // The table must not grow with the number of prompts, nor a prefix's holders with the
@@ -288,7 +288,7 @@
 	r.SetServers(testServers(500))
 	for i := range 20_000 {
 		q := testRequest(i, i)
-		r.Dispatched(testAddress(i%500), q, 10)
+		r.RecordDispatch(testAddress(i%500), q, 10)
 	}
 	is.Equal(len(r.prefixes.get(testRequest(0, 0).Levels[0].Key).holders), maxHolders)
 	is.True(r.prefixes.bytes <= 1<<20)
@@ -296,7 +296,7 @@
 	is.Equal(r.prefixes.bytes, countBytes(r))
 	for i := range 1000 { // many holders each
 		for s := range 40 {
-			r.Dispatched(testAddress(s), testRequest(i, i), 10)
+			r.RecordDispatch(testAddress(s), testRequest(i, i), 10)
 		}
 	}
 	is.True(r.prefixes.bytes <= 1<<20)
@@ -322,11 +322,11 @@
 				q := testRequest(i%20, i*8+g)
 				best := send(r, q)
 				learn(r, best.Server, 1, q)
-				r.Finished(best.Server)
-				r.Report(best.Server, idle)
+				r.RecordFinish(best.Server)
+				r.UpdateLoad(best.Server, idle)
 				if i%100 == 0 {
 					r.SetServers(testServers(40 + g))
-					r.Restore(r.Hot())
+					r.RestorePrefixes(r.HotPrefixes())
 				}
 			}
 		})
--- a/internal/decision/beechroute/types.go
+++ b/internal/decision/beechroute/types.go
@@ -71,19 +71,19 @@
 		FirstToken   time.Duration
 	}
 
-	// Change is a prefix that has come into a server's cache or queue, or that
+	// CacheChange is a prefix that has come into a server's cache or queue, or that
 	// its engine has evicted.
-	Change struct {
+	CacheChange struct {
 		Key    Key
 		Tokens int
 		Held   bool
 	}
 
-	// Changes is what an agent says of its cache. All says that the list is
+	// CacheChanges is what an agent says of its cache. Complete says that the list is
 	// everything held, so that anything else is to be forgotten.
-	Changes struct {
-		All  bool
-		List []Change
+	CacheChanges struct {
+		Complete bool
+		List     []CacheChange
 	}
 
 	// HotPrefix is a prefix in demand with those that hold it, for entry
@@ -107,26 +107,26 @@
 	// Monterroso's 0 to 2. The rest has defaults for zero: ZoneDistance is what a
 	// request to another availability zone takes longer, there and back;
 	// ReportLag is how old a load report is when it arrives; MaxBytes bounds
-	// the table of prefixes. Without switches mechanisms off, for measurement.
+	// the table of prefixes. Disabled switches mechanisms off, for measurement.
 	Settings struct {
 		Zone         string
 		WasteWeight  float64
 		ZoneDistance time.Duration
 		ReportLag    time.Duration
 		MaxBytes     int
-		Without      Mechanism
+		Disabled     Mechanism
 	}
 
 	// Mechanism is a set of the router's mechanisms.
 	Mechanism uint
 )
 
-// Mechanisms that Settings.Without can switch off.
+// Mechanisms that Settings.Disabled can switch off.
 const (
 	MechanismHolders       Mechanism = 1 << iota // known holders as candidates
 	MechanismHomes                               // homes by consistent hashing
-	MechanismOwn                                 // own dispatches added to the load report
+	MechanismOwnDispatches                       // own dispatches added to the load report
 	MechanismAnnouncements                       // what agents say of their caches
-	MechanismWaste                               // recomputation weighs more than its time
-	MechanismZones                               // distance to other availability zones
+	MechanismRecomputeCost                       // recomputation weighs more than its time
+	MechanismZoneDistance                        // distance to other availability zones
 )
--- a/internal/decision/beechroute/weight.go
+++ b/internal/decision/beechroute/weight.go
@@ -16,7 +16,7 @@
 
 // prefillWeight is the cost of a second of prefill beyond that second.
 func (r *Router) prefillWeight() float64 {
-	if r.settings.lacks(MechanismWaste) {
+	if r.settings.lacks(MechanismRecomputeCost) {
 		return 0
 	}
 	return recomputeWeight + r.settings.WasteWeight
--- a/internal/process/beechentry/caches.go
+++ b/internal/process/beechentry/caches.go
@@ -56,13 +56,13 @@
 	if !e.fleet.noteChanges(agent, got) {
 		return
 	}
-	changes := beechroute.Changes{All: got.All, List: make([]beechroute.Change, 0, len(got.List))}
+	changes := beechroute.CacheChanges{Complete: got.All, List: make([]beechroute.CacheChange, 0, len(got.List))}
 	for _, c := range got.List {
-		change := beechroute.Change{Tokens: c.Tokens, Held: c.Held}
+		change := beechroute.CacheChange{Tokens: c.Tokens, Held: c.Held}
 		copy(change.Key[:], c.Key)
 		changes.List = append(changes.List, change)
 	}
-	if !e.fleet.router.Changed(agent, got.Incarnation, changes) {
+	if !e.fleet.router.ApplyCacheChanges(agent, got.Incarnation, changes) {
 		e.fleet.forgetChanges(agent)
 	}
 }
--- a/internal/process/beechentry/dispatch.go
+++ b/internal/process/beechentry/dispatch.go
@@ -211,7 +211,7 @@
 	if client == nil {
 		return refusedByDown()
 	}
-	defer e.fleet.router.Finished(candidate.Server)
+	defer e.fleet.router.RecordFinish(candidate.Server)
 	stream, result := e.open(ctx, j, client, candidate)
 	if result != nil {
 		return result
@@ -229,7 +229,7 @@
 	j.request.DeadlineMillis = j.remaining(time.Now())
 	j.request.Resume = string(j.text)
 	j.request.ResumeSequence = j.sequence
-	e.fleet.router.Dispatched(candidate.Server, j.routeRequest(), candidate.Uncached)
+	e.fleet.router.RecordDispatch(candidate.Server, j.routeRequest(), candidate.Uncached)
 	stream, err := client.Open(ctx, j.request, j.body)
 	if err != nil {
 		return nil, e.openFailure(ctx, err)
--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -158,7 +158,7 @@
 	l.incarnation = p.Incarnation
 	f.mu.Unlock()
 	if restarted {
-		f.router.Forget(p.Address, old)
+		f.router.ForgetCache(p.Address, old)
 	}
 	f.members.Met(p.Address, p.Incarnation)
 	f.entry.log.Info("agent linked", beechlog.Peer(p.Address), zap.Uint64("incarnation", p.Incarnation))
@@ -213,7 +213,7 @@
 // report takes in an agent's word on its load, and that its engine's cache may
 // have changed.
 func (f *fleet) report(agent netip.AddrPort, load beechwire.Load) {
-	f.router.Report(agent, routeLoad(load))
+	f.router.UpdateLoad(agent, routeLoad(load))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l := f.links[agent]; l != nil {
--- a/internal/process/beechentry/learn.go
+++ b/internal/process/beechentry/learn.go
@@ -35,7 +35,7 @@
 		return
 	}
 	e.estimator.Correct(j.request.PromptTokens, end.Usage.Prompt)
-	e.fleet.router.Learn(beechroute.Reply{
+	e.fleet.router.RecordReply(beechroute.Reply{
 		Server:       server,
 		Incarnation:  e.fleet.incarnation(server),
 		Model:        j.target(),
@@ -48,7 +48,7 @@
 
 func (e *Entry) refusedBy(server netip.AddrPort, r beechwire.Refused) attemptResult {
 	e.fleet.report(server, r.Load)
-	e.fleet.router.Refused(server, time.Duration(r.AfterMillis)*time.Millisecond)
+	e.fleet.router.RecordRefusal(server, time.Duration(r.AfterMillis)*time.Millisecond)
 	switch {
 	case r.Reason == beechwire.ReasonGone:
 		return expired{}
--- a/internal/process/beechentry/restart.go
+++ b/internal/process/beechentry/restart.go
@@ -133,7 +133,7 @@
 		return false
 	}
 	e.fleet.restoreMembers(got.Members)
-	e.fleet.router.Restore(hotPrefixes(got.Hot))
+	e.fleet.router.RestorePrefixes(hotPrefixes(got.Hot))
 	e.log.Info("state restored", beechlog.Step("restore"), beechlog.Peer(agent),
 		zap.Int("members", len(got.Members)), zap.Int("hot", len(got.Hot)))
 	return true
@@ -154,7 +154,7 @@
 	if len(now.members) == 0 {
 		return
 	}
-	state := &beechwire.Snapshot{Members: now.members, Hot: wireHot(e.fleet.router.Hot())}
+	state := &beechwire.Snapshot{Members: now.members, Hot: wireHot(e.fleet.router.HotPrefixes())}
 	if last.covers(now) {
 		state.Members = nil
 		now.at = last.at
--- a/internal/process/beechreplay/compare_test.go
+++ b/internal/process/beechreplay/compare_test.go
@@ -29,12 +29,12 @@
 		{name: "all mechanisms", kind: ours},
 		{name: "no learned holders", kind: ours, without: beechroute.MechanismHolders},
 		{name: "no homes", kind: ours, without: beechroute.MechanismHomes},
-		{name: "no own dispatches", kind: ours, without: beechroute.MechanismOwn},
+		{name: "no own dispatches", kind: ours, without: beechroute.MechanismOwnDispatches},
 		{name: "no announcements", kind: ours, without: beechroute.MechanismAnnouncements},
 		{name: "announced every 400 ms", kind: ours, tellEvery: 400 * time.Millisecond},
 		{name: "a tenth of announcements lost", kind: ours, lost: 0.1},
-		{name: "no waste weight", kind: ours, without: beechroute.MechanismWaste},
-		{name: "no zone distance", kind: ours, without: beechroute.MechanismZones},
+		{name: "no waste weight", kind: ours, without: beechroute.MechanismRecomputeCost},
+		{name: "no zone distance", kind: ours, without: beechroute.MechanismZoneDistance},
 	}
 )
 
--- a/internal/process/beechreplay/policy_test.go
+++ b/internal/process/beechreplay/policy_test.go
@@ -62,7 +62,7 @@
 
 func newEntry(r *replay, zone int, random *rand.Rand) *entry {
 	n := &entry{r: r, zone: zone, random: random, known: make([]int, r.deployment.engines)}
-	settings := beechroute.Settings{Zone: zoneName(zone), WasteWeight: r.deployment.wasteWeight, Without: r.policy.without}
+	settings := beechroute.Settings{Zone: zoneName(zone), WasteWeight: r.deployment.wasteWeight, Disabled: r.policy.without}
 	if r.policy.weighted {
 		settings.WasteWeight = r.policy.weight
 	}
@@ -147,7 +147,7 @@
 func (n *entry) route(q *request) int {
 	asked := beechroute.Request{Model: model, Levels: q.levels, PromptTokens: q.prompt, OutputTokens: q.output}
 	best := n.router.Choose(asked).Ranked[0]
-	n.router.Dispatched(best.Server, asked, best.Uncached)
+	n.router.RecordDispatch(best.Server, asked, best.Uncached)
 	return engineAt(best.Server)
 }
 
@@ -176,8 +176,8 @@
 		return
 	}
 	server := address(j.engine)
-	n.router.Finished(server)
-	n.router.Learn(beechroute.Reply{
+	n.router.RecordFinish(server)
+	n.router.RecordReply(beechroute.Reply{
 		Server: server, Incarnation: 1, Model: model, Levels: j.request.levels,
 		PromptTokens: j.request.prompt, CachedTokens: j.cached, FirstToken: j.first,
 	})
@@ -186,14 +186,14 @@
 func (n *entry) hear(heartbeats []heartbeat) {
 	for i, h := range heartbeats {
 		if n.r.policy.kind == ours && !(n.random.Float64() < n.r.policy.lost) {
-			n.router.Changed(address(i), 1, beechroute.Changes{List: h.changes})
+			n.router.ApplyCacheChanges(address(i), 1, beechroute.CacheChanges{List: h.changes})
 		}
 		if h.load == nil {
 			continue
 		}
 		n.known[i] = h.load.Running + h.load.Waiting
 		if n.r.policy.kind == ours {
-			n.router.Report(address(i), *h.load)
+			n.router.UpdateLoad(address(i), *h.load)
 		}
 	}
 }
--- a/internal/process/beechreplay/replay_test.go
+++ b/internal/process/beechreplay/replay_test.go
@@ -33,8 +33,8 @@
 		missing int                    // their tokens that were not expected to be cached
 		running []*job                 // those that the queue let run
 		busy    *job
-		until   time.Duration       // when the prefill under way ends
-		changes []beechroute.Change // since the last heartbeat
+		until   time.Duration            // when the prefill under way ends
+		changes []beechroute.CacheChange // since the last heartbeat
 	}
 
 	job struct {
@@ -48,7 +48,7 @@
 
 	heartbeat struct {
 		load    *beechroute.Load // nil in between
-		changes []beechroute.Change
+		changes []beechroute.CacheChange
 	}
 
 	event struct {
@@ -214,7 +214,7 @@
 	e.queue.FinishPrefill(j.request.id)
 	for _, key := range e.cache.store(j.request) {
 		if e.awaited[key] == 0 {
-			e.changes = append(e.changes, beechroute.Change{Key: key})
+			e.changes = append(e.changes, beechroute.CacheChange{Key: key})
 		}
 	}
 	j.first = r.now - j.request.at
@@ -239,7 +239,7 @@
 func (e *engine) announce(q *request, cached int) {
 	for _, l := range q.levels[:historyAt+1] {
 		if l.Tokens > cached {
-			e.changes = append(e.changes, beechroute.Change{Key: l.Key, Tokens: l.Tokens, Held: true})
+			e.changes = append(e.changes, beechroute.CacheChange{Key: l.Key, Tokens: l.Tokens, Held: true})
 		}
 	}
 }
