--- a/internal/decision/beechroute/bench_test.go
+++ b/internal/decision/beechroute/bench_test.go
@@ -13,9 +13,9 @@
 
 const testModel = "advisor@7"
 
-type weights map[netip.AddrPort]float64
+type fixedHealth map[netip.AddrPort]float64
 
-func (w weights) Weight(a netip.AddrPort) float64 {
+func (w fixedHealth) Weight(a netip.AddrPort) float64 {
 	if weight, ok := w[a]; ok {
 		return weight
 	}
@@ -40,7 +40,8 @@
 	return r
 }
 
-// testRequest has a common instruction, a history and a question.
+// testRequest returns a request with a common instruction, a history and a
+// question.
 func testRequest(history, question int) Request {
 	key := func(level byte, n int) Key {
 		var k Key
@@ -58,7 +59,7 @@
 	}
 }
 
-func warm(r *Router) {
+func warmUp(r *Router) {
 	for i := range 20_000 {
 		q := testRequest(i%2000, i)
 		best := r.Choose(q).Ranked[0]
@@ -67,8 +68,8 @@
 	}
 }
 
-// testRequests is a stream of questions that were not asked before.
-func testRequests() []Request {
+// uncachedRequests returns requests with questions that were not asked before.
+func uncachedRequests() []Request {
 	requests := make([]Request, 50_000)
 	for i := range requests {
 		requests[i] = testRequest(i%2000, -1-i)
@@ -76,14 +77,15 @@
 	return requests
 }
 
-// BenchmarkChoose shows that a decision costs the same at any size of the fleet.
+// BenchmarkChoose shows that the time of a decision does not depend on the size of
+// the fleet.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{30, 12_000} {
-		r := testRouter(n, clockwork.NewRealClock(), weights{})
-		warm(r)
+		r := testRouter(n, clockwork.NewRealClock(), fixedHealth{})
+		warmUp(r)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			requests := testRequests()
+			requests := uncachedRequests()
 			for i := range b.N {
 				r.Choose(requests[i%len(requests)])
 			}
@@ -91,15 +93,15 @@
 	}
 }
 
-// BenchmarkDecision is a request's whole way through the router: chosen,
-// dispatched, learned from.
+// BenchmarkDecision measures all calls for one request: choice, dispatch, reply and
+// end.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{30, 12_000} {
-		r := testRouter(n, clockwork.NewRealClock(), weights{})
-		warm(r)
+		r := testRouter(n, clockwork.NewRealClock(), fixedHealth{})
+		warmUp(r)
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
-			requests := testRequests()
+			requests := uncachedRequests()
 			for i := range b.N {
 				q := requests[i%len(requests)]
 				best := r.Choose(q).Ranked[0]
@@ -111,9 +113,10 @@
 	}
 }
 
-// BenchmarkSetServers is what one server that joins a large fleet costs.
+// BenchmarkSetServers measures the cost of one server that joins or leaves a large
+// fleet.
 func BenchmarkSetServers(b *testing.B) {
-	r := testRouter(12_000, clockwork.NewRealClock(), weights{})
+	r := testRouter(12_000, clockwork.NewRealClock(), fixedHealth{})
 	few, all := testServers(11_999), testServers(12_000)
 	for i := range b.N {
 		if i%2 == 0 {
@@ -124,12 +127,12 @@
 	}
 }
 
-// A fleet of 12,000 must not make a decision allocate more than one of 30.
+// A decision must allocate only its result, in a fleet of 12,000 as in one of 30.
 func TestDecisionAllocatesItsAnswerOnly(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{30, 12_000} {
-		r := testRouter(n, clockwork.NewFakeClock(), weights{})
-		warm(r)
+		r := testRouter(n, clockwork.NewFakeClock(), fixedHealth{})
+		warmUp(r)
 		q := testRequest(7, -1)
 		is.Equal(testing.AllocsPerRun(100, func() { r.Choose(q) }), 1.0)
 	}
--- a/internal/decision/beechroute/choose.go
+++ b/internal/decision/beechroute/choose.go
@@ -7,50 +7,50 @@
 )
 
 const (
-	// A handful of holders and homes is enough: with two choices queues even
-	// out, and each candidate costs a tenth of a microsecond.
+	// A few holders and homes are enough: two choices already balance the queues,
+	// and each candidate costs 0.1 us.
 	maxCandidates    = 8
 	holderCandidates = 5
 	homeCandidates   = 3
 
-	maxFound = 6 // levels of a prompt that are looked at
+	maxKnownLevels = 6 // known levels of a prompt that are considered
 
-	// Where fewer candidates than this are left, probes look for others.
+	// With fewer than minCandidates, up to fallbackProbes other servers are tried.
 	minCandidates  = 3
 	fallbackProbes = 64
 
-	// homeTrust is the share of the history's tokens that the first home is
-	// credited with if its agent announces nothing. Entry hosts that know
-	// nothing of one another's choices then agree on the home, which may well
+	// homeCachedShare is the fraction of the history's tokens that the first home
+	// is assumed to have cached if its agent announces nothing. Entry hosts that do
+	// not know of one another's choices then agree on the home, which is likely to
 	// hold what another one sent there.
-	homeTrust = 0.75
+	homeCachedShare = 0.75
 
 	// minWeight keeps the cost of a server in slow start finite.
 	minWeight = 0.01
 )
 
 type (
-	// found is a level of the request that is known here.
-	found struct {
+	// knownLevel is a level of the request whose prefix is in the table.
+	knownLevel struct {
 		prefix *prefix
 		tokens int
 	}
 
-	// search is one decision under way. It lives on the stack.
-	search struct {
-		request    *Request
-		now        time.Time
-		found      [maxFound]found // deepest first
-		levels     int
-		candidates [maxCandidates]*server
-		weights    [maxCandidates]float64
-		count      int
-		home       *server
+	// decision is the state of one routing decision. It is kept on the stack.
+	decision struct {
+		request        *Request
+		now            time.Time
+		known          [maxKnownLevels]knownLevel // longest prefix first
+		knownCount     int
+		candidates     [maxCandidates]*server
+		weights        [maxCandidates]float64
+		candidateCount int
+		home           *server
 	}
 )
 
-// Choose ranks servers for a request by predicted cost. It is empty where no
-// server that may be used serves the model.
+// Choose ranks servers for a request by predicted cost. The choice is empty if no
+// usable server serves the model.
 func (r *Router) Choose(q Request) Choice {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -58,28 +58,30 @@
 	if g == nil {
 		return Choice{}
 	}
-	f := search{request: &q, now: r.clock.Now()}
-	r.find(&f)
-	r.addHolders(&f)
-	r.addHomes(&f, g)
-	if f.count < minCandidates {
-		r.addAny(&f, g)
+	d := decision{request: &q, now: r.clock.Now()}
+	r.findKnownLevels(&d)
+	r.addHolders(&d)
+	r.addHomes(&d, g)
+	if d.candidateCount < minCandidates {
+		r.addFallbacks(&d, g)
 	}
-	return r.rank(&f)
+	return r.rank(&d)
 }
 
-// homeLevel is the index of the level whose key has the homes: the history, one
-// below the common instruction. The last level is the caller's own question, so it
-// is taken only where there is no other; -1 is none.
+// homeLevel returns the index of the level whose key determines the homes, or -1 if
+// there is none. It is the history, the level after the common instruction. The
+// last level is the caller's own question and is used only if there is no other
+// level.
 func homeLevel(levels []Level) int { return min(1, max(0, len(levels)-2), len(levels)-1) }
 
-// find looks up the request's levels. Whoever uses a level uses all above it, so
-// the known ones come first and the deepest is found by bisection.
-func (r *Router) find(f *search) {
-	if r.settings.lacks(MechanismHolders) {
+// findKnownLevels looks up the request's levels in the table. A request that uses a
+// level also uses all shorter ones, so the known levels come first and the longest
+// of them is found by binary search.
+func (r *Router) findKnownLevels(d *decision) {
+	if r.settings.disables(MechanismHolders) {
 		return
 	}
-	levels := f.request.Levels
+	levels := d.request.Levels
 	known, unknown := 0, len(levels)
 	for known < unknown {
 		middle := (known + unknown) / 2
@@ -90,116 +92,122 @@
 		}
 	}
 	for i := known - 1; i >= 0; i-- {
-		if f.levels == maxFound-2 && i > 1 {
+		if d.knownCount == maxKnownLevels-2 && i > 1 {
 			i = 1
 		}
 		p := r.prefixes.get(levels[i].Key)
-		if p != nil && f.levels < maxFound {
-			f.found[f.levels] = found{prefix: p, tokens: max(0, levels[i].Tokens)}
-			f.levels++
+		if p != nil && d.knownCount < maxKnownLevels {
+			d.known[d.knownCount] = knownLevel{prefix: p, tokens: max(0, levels[i].Tokens)}
+			d.knownCount++
 		}
 	}
 }
 
-func (r *Router) add(f *search, s *server) {
-	if f.count == maxCandidates || s.gone || !s.serves(f.request.Model) {
+// addCandidate adds a server unless it is unusable, does not serve the model, or is
+// to be avoided.
+func (r *Router) addCandidate(d *decision, s *server) {
+	if d.candidateCount == maxCandidates || s.removed || !s.serves(d.request.Model) {
 		return
 	}
-	if slices.Contains(f.candidates[:f.count], s) || slices.Contains(f.request.Avoid, s.Address) {
+	if slices.Contains(d.candidates[:d.candidateCount], s) || slices.Contains(d.request.Avoid, s.Address) {
 		return
 	}
 	weight := r.health.Weight(s.Address)
 	if !(weight > 0) { // 0, negative or not a number
 		return
 	}
-	f.weights[f.count] = max(minWeight, min(1, weight))
-	f.candidates[f.count] = s
-	f.count++
+	d.weights[d.candidateCount] = max(minWeight, min(1, weight))
+	d.candidates[d.candidateCount] = s
+	d.candidateCount++
 }
 
-// addHolders adds holders of the deepest known levels, from a random one on, so
-// that the many holders of a common level share its requests.
-func (r *Router) addHolders(f *search) {
-	for _, l := range f.found[:f.levels] {
+// addHolders adds holders of the longest known levels. It begins at a random holder
+// of each level, so that the requests for a common level are shared by its many
+// holders.
+func (r *Router) addHolders(d *decision) {
+	for _, l := range d.known[:d.knownCount] {
 		holders := l.prefix.holders
 		if len(holders) == 0 {
 			continue
 		}
 		start := r.random.IntN(len(holders))
 		for i := range holders {
-			if f.count >= holderCandidates {
+			if d.candidateCount >= holderCandidates {
 				return
 			}
-			r.add(f, holders[(start+i)%len(holders)].server)
+			r.addCandidate(d, holders[(start+i)%len(holders)].server)
 		}
 	}
 }
 
-func (r *Router) addHomes(f *search, g *ring) {
-	i := homeLevel(f.request.Levels)
-	if r.settings.lacks(MechanismHomes) || i < 0 {
+// addHomes adds the homes of the request's history.
+func (r *Router) addHomes(d *decision, g *ring) {
+	i := homeLevel(d.request.Levels)
+	if r.settings.disables(MechanismHomes) || i < 0 {
 		return
 	}
-	key := f.request.Levels[i].Key
-	f.home = g.home(key, 0)
+	key := d.request.Levels[i].Key
+	d.home = g.home(key, 0)
 	for rank := range homeCandidates {
-		r.add(f, g.home(key, rank))
+		r.addCandidate(d, g.home(key, rank))
 	}
 }
 
-// addAny looks for servers from a random place on, where those that the prompt
-// points to may not be used.
-func (r *Router) addAny(f *search, g *ring) {
+// addFallbacks adds servers from a random position of the ring, for requests whose
+// holders and homes may not be used.
+func (r *Router) addFallbacks(d *decision, g *ring) {
 	start := r.random.IntN(len(g.servers))
 	for i := range min(fallbackProbes, len(g.servers)) {
-		if f.count >= minCandidates {
+		if d.candidateCount >= minCandidates {
 			return
 		}
-		r.add(f, g.servers[(start+i)%len(g.servers)])
+		r.addCandidate(d, g.servers[(start+i)%len(g.servers)])
 	}
 }
 
-func (r *Router) rank(f *search) Choice {
-	ranked := make([]Candidate, f.count)
-	for i, s := range f.candidates[:f.count] {
-		ranked[i] = r.predict(f, s, f.weights[i])
+// rank sorts the candidates by predicted cost.
+func (r *Router) rank(d *decision) Choice {
+	ranked := make([]Candidate, d.candidateCount)
+	for i, s := range d.candidates[:d.candidateCount] {
+		ranked[i] = r.predict(d, s, d.weights[i])
 	}
 	slices.SortStableFunc(ranked, func(a, b Candidate) int { return cmp.Compare(a.Cost, b.Cost) })
 	return Choice{Ranked: ranked}
 }
 
-// predict is the cost of the request on a server, in seconds: time to first token,
-// and what recomputation takes from others. A server in slow
-// start counts as slower than it is.
-func (r *Router) predict(f *search, s *server, weight float64) Candidate {
-	uncached := max(0, f.request.PromptTokens-r.cached(f, s))
+// predict returns the predicted cost of the request on a server, in seconds: the
+// time to first token and the time that recomputation takes from other requests.
+// The lower the weight of a server in slow start, the higher is its cost.
+func (r *Router) predict(d *decision, s *server, weight float64) Candidate {
+	uncached := max(0, d.request.PromptTokens-r.cachedTokens(d, s))
 	prefill := float64(uncached) / float64(s.load.PrefillRate)
-	wait := s.wait(f.now, r.output)
-	if s.Zone != r.settings.Zone && !r.settings.lacks(MechanismZoneDistance) {
+	wait := s.wait(d.now, r.meanOutput)
+	if s.Zone != r.settings.Zone && !r.settings.disables(MechanismZoneDistance) {
 		wait += r.settings.ZoneDistance
 	}
 	first := wait + seconds(prefill)
 	cost := first.Seconds()/weight + r.prefillWeight()*prefill
-	if s == f.home && !s.announces && weight == 1 {
-		cost -= (1 + r.prefillWeight()) * r.homeCredit(f, s)
+	if s == d.home && !s.announcesCache && weight == 1 {
+		cost -= (1 + r.prefillWeight()) * r.homeCredit(d, s)
 	}
 	return Candidate{Server: s.Address, FirstToken: first, Uncached: uncached, Cost: cost}
 }
 
-// cached is the number of prompt tokens that the server is known to have cached.
-func (r *Router) cached(f *search, s *server) int {
-	for _, l := range f.found[:f.levels] {
-		if h := l.prefix.holder(s); h != nil && h.alive(f.now) {
+// cachedTokens returns how many prompt tokens the server is expected to have
+// cached.
+func (r *Router) cachedTokens(d *decision, s *server) int {
+	for _, l := range d.known[:d.knownCount] {
+		if h := l.prefix.holder(s); h != nil && h.expectedCached(d.now) {
 			return l.tokens
 		}
 	}
 	return 0
 }
 
-// homeCredit is the prefill time, in seconds, that a home whose agent announces
-// nothing is credited with.
-func (r *Router) homeCredit(f *search, s *server) float64 {
-	level := f.request.Levels[homeLevel(f.request.Levels)]
-	missing := max(0, min(level.Tokens, f.request.PromptTokens)-r.cached(f, s))
-	return homeTrust * float64(missing) / float64(s.load.PrefillRate)
+// homeCredit returns the prefill time, in seconds, that the first home is assumed
+// to save if its agent announces nothing.
+func (r *Router) homeCredit(d *decision, s *server) float64 {
+	level := d.request.Levels[homeLevel(d.request.Levels)]
+	missing := max(0, min(level.Tokens, d.request.PromptTokens)-r.cachedTokens(d, s))
+	return homeCachedShare * float64(missing) / float64(s.load.PrefillRate)
 }
--- a/internal/decision/beechroute/hot.go
+++ b/internal/decision/beechroute/hot.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	hotRate = 0.2 // requests a second that make a prefix worth telling others
-	maxHot  = 256
+	minHotRate     = 0.2 // requests per second from which a prefix counts as hot
+	maxHotPrefixes = 256
 )
 
-// HotPrefixes is the prefixes in demand, those with the most tokens asked for a second
-// first, for entry hosts that restart.
+// HotPrefixes returns the prefixes in demand for entry hosts that restart, ordered
+// by the tokens requested per second, highest first.
 func (r *Router) HotPrefixes() []HotPrefix {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -21,19 +21,19 @@
 	for _, key := range r.prefixes.entries.Keys() {
 		p := r.prefixes.get(key)
 		rate := p.rate(now)
-		if rate < hotRate {
+		if rate < minHotRate {
 			continue
 		}
-		hot = append(hot, HotPrefix{Key: key, Tokens: p.tokens, Rate: rate, Holders: p.addresses()})
+		hot = append(hot, HotPrefix{Key: key, Tokens: p.tokens, Rate: rate, Holders: p.holderAddresses()})
 	}
 	slices.SortFunc(hot, func(a, b HotPrefix) int {
 		return cmp.Compare(b.Rate*float64(b.Tokens), a.Rate*float64(a.Tokens))
 	})
-	return hot[:min(len(hot), maxHot)]
+	return hot[:min(len(hot), maxHotPrefixes)]
 }
 
-// RestorePrefixes takes in prefixes that another entry host knew to be in demand. What is
-// known here already is kept.
+// RestorePrefixes adds hot prefixes of another entry host. Prefixes that are
+// already known are left unchanged.
 func (r *Router) RestorePrefixes(hot []HotPrefix) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -43,18 +43,18 @@
 			continue
 		}
 		level := Level{Key: h.Key, Tokens: h.Tokens}
-		p := r.prefixes.use(level)
-		p.count = max(0, h.Rate) * rateWindow.Seconds()
-		p.counted = now
+		p := r.prefixes.touch(level)
+		p.requests = max(0, h.Rate) * rateWindow.Seconds()
+		p.countedAt = now
 		for _, address := range h.Holders {
 			if s := r.servers[address]; s != nil {
-				r.prefixes.hold(level, s, now)
+				r.prefixes.addHolder(level, s, now)
 			}
 		}
 	}
 }
 
-func (p *prefix) addresses() []netip.AddrPort {
+func (p *prefix) holderAddresses() []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, h := range p.holders {
 		if h.valid() {
--- a/internal/decision/beechroute/memory_test.go
+++ b/internal/decision/beechroute/memory_test.go
@@ -7,13 +7,12 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkMemory reports what a server takes in a router, and a prefix that
-// two servers hold.
+// BenchmarkMemory reports the memory per server, and per prefix with two holders.
 func BenchmarkMemory(b *testing.B) {
 	const servers, prefixes = 12_000, 10_000
 	for b.Loop() {
 		before := liveHeap()
-		r := testRouter(servers, clockwork.NewRealClock(), weights{})
+		r := testRouter(servers, clockwork.NewRealClock(), fixedHealth{})
 		filled := liveHeap()
 		b.ReportMetric(float64(filled-before)/servers, "B/server")
 		for i := range prefixes {
@@ -27,10 +26,11 @@
 	}
 }
 
-// BenchmarkChanged takes in one announced change of a server's cache.
-func BenchmarkChanged(b *testing.B) {
+// BenchmarkApplyCacheChanges measures the cost of one announced change of a
+// server's cache.
+func BenchmarkApplyCacheChanges(b *testing.B) {
 	const servers = 400
-	r := testRouter(servers, clockwork.NewRealClock(), weights{})
+	r := testRouter(servers, clockwork.NewRealClock(), fixedHealth{})
 	changes := CacheChanges{List: make([]CacheChange, 4)}
 	i := 0
 	for b.Loop() {
--- a/internal/decision/beechroute/prefix.go
+++ b/internal/decision/beechroute/prefix.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	defaultBytes = 8 << 20
-	prefixBytes  = 288 // with its place in the table, without holders
-	holderBytes  = 40
+	defaultMaxBytes = 8 << 20
+	prefixBytes     = 288 // including its table entry, without holders
+	holderBytes     = 40
 
-	// maxHolders bounds a prefix's holders. More are not worth knowing: a
-	// request compares only a few.
+	// maxHolders bounds the holders of a prefix. More are not useful, because a
+	// request compares only a few of them.
 	maxHolders = 32
 
-	// unannouncedLife is how long a prefix is taken to stay cached at a server
-	// whose agent does not tell evictions. Engines evict within seconds.
-	unannouncedLife = 15 * time.Second
+	// unannouncedLifetime is how long a prefix is assumed to stay cached on a
+	// server whose agent does not announce evictions. Engines evict prefixes within
+	// seconds.
+	unannouncedLifetime = 15 * time.Second
 
-	// rateWindow is the time over which demand is averaged: long against the
-	// gaps between two requests for a hot prefix, short against a season.
+	// rateWindow is the time constant of the request rate: long compared with the
+	// time between two requests for a hot prefix, short compared with changes of
+	// demand.
 	rateWindow = 10 * time.Second
 )
 
 type (
-	// holder is a server that was sent a prefix, or said to hold it.
+	// holder is a server that was sent a prefix or announced that it holds it.
 	holder struct {
-		server *server
-		epoch  uint64 // the server's when it was noted
-		used   time.Time
+		server     *server
+		cacheEpoch uint64 // of the server when it became a holder
+		lastUsed   time.Time
 	}
 
 	prefix struct {
-		tokens  int
-		holders []holder
-		count   float64 // requests, decayed over rateWindow
-		counted time.Time
+		tokens    int
+		holders   []holder
+		requests  float64 // decayed over rateWindow, as of countedAt
+		countedAt time.Time
 	}
 
-	// table is the prefixes used last, the oldest dropped first. A prefix of many
-	// holders counts as much as several of one, so that the bound holds in bytes.
+	// table is an LRU cache of prefixes. It is bounded by bytes rather than
+	// entries, so that a prefix with many holders counts for more than one with
+	// few.
 	table struct {
 		entries  *simplelru.LRU[Key, *prefix]
 		bytes    int
@@ -52,22 +55,23 @@
 
 func newTable(maxBytes int) *table {
 	if maxBytes <= 0 {
-		maxBytes = defaultBytes
+		maxBytes = defaultMaxBytes
 	}
 	t := &table{maxBytes: maxBytes}
-	t.entries, _ = simplelru.NewLRU(max(1, maxBytes/prefixBytes), t.dropped)
+	t.entries, _ = simplelru.NewLRU(max(1, maxBytes/prefixBytes), t.onEvict)
 	return t
 }
 
-func (t *table) dropped(_ Key, p *prefix) { t.bytes -= p.bytes() }
+func (t *table) onEvict(_ Key, p *prefix) { t.bytes -= p.bytes() }
 
 func (t *table) get(key Key) *prefix {
 	p, _ := t.entries.Peek(key)
 	return p
 }
 
-// use finds or adds a prefix and makes it the youngest.
-func (t *table) use(l Level) *prefix {
+// touch returns the prefix of a level, added if missing, and marks it as most
+// recently used.
+func (t *table) touch(l Level) *prefix {
 	if p, ok := t.entries.Get(l.Key); ok {
 		p.tokens = max(0, l.Tokens)
 		return p
@@ -78,11 +82,12 @@
 	return p
 }
 
-// hold notes that a server holds a prefix, and makes room.
-func (t *table) hold(l Level, s *server, now time.Time) *prefix {
-	p := t.use(l)
+// addHolder adds a holder to a prefix and evicts the least recently used prefixes
+// if the table is too large.
+func (t *table) addHolder(l Level, s *server, now time.Time) *prefix {
+	p := t.touch(l)
 	before := p.bytes()
-	p.hold(s, now)
+	p.addHolder(s, now)
 	t.bytes += p.bytes() - before
 	for t.bytes > t.maxBytes && t.entries.Len() > 1 {
 		t.entries.RemoveOldest()
@@ -92,22 +97,22 @@
 
 func (p *prefix) bytes() int { return prefixBytes + cap(p.holders)*holderBytes }
 
-// demandOne counts one request.
-func (p *prefix) demandOne(now time.Time) {
-	p.count = p.demand(now) + 1
-	p.counted = now
+func (p *prefix) countRequest(now time.Time) {
+	p.requests = p.recentRequests(now) + 1
+	p.countedAt = now
 }
 
-// demand is the requests of the last window, decayed.
-func (p *prefix) demand(now time.Time) float64 {
-	passed := max(0, now.Sub(p.counted))
+// recentRequests returns the number of requests, decayed over rateWindow.
+func (p *prefix) recentRequests(now time.Time) float64 {
+	passed := max(0, now.Sub(p.countedAt))
 	if passed > 8*rateWindow {
 		return 0
 	}
-	return p.count * math.Exp(-float64(passed)/float64(rateWindow))
+	return p.requests * math.Exp(-float64(passed)/float64(rateWindow))
 }
 
-func (p *prefix) rate(now time.Time) float64 { return p.demand(now) / rateWindow.Seconds() }
+// rate returns the requests per second.
+func (p *prefix) rate(now time.Time) float64 { return p.recentRequests(now) / rateWindow.Seconds() }
 
 func (p *prefix) holder(s *server) *holder {
 	for i := range p.holders {
@@ -118,29 +123,29 @@
 	return nil
 }
 
-// hold notes that a server holds the prefix, or will once it has run what it was
-// sent. The first place that is free, dead or oldest takes a new holder.
-func (p *prefix) hold(s *server, now time.Time) {
+// addHolder records that a server holds the prefix, or will hold it once it has run
+// the request that it was sent. If there are maxHolders, the new one replaces the
+// least recently used.
+func (p *prefix) addHolder(s *server, now time.Time) {
 	if h := p.holder(s); h != nil {
-		h.used = now
-		h.epoch = s.epoch
+		h.lastUsed = now
+		h.cacheEpoch = s.cacheEpoch
 		return
 	}
-	fresh := holder{server: s, epoch: s.epoch, used: now}
-	p.sweep()
+	fresh := holder{server: s, cacheEpoch: s.cacheEpoch, lastUsed: now}
+	p.dropInvalidHolders()
 	if len(p.holders) < maxHolders {
 		p.holders = append(p.holders, fresh)
 		return
 	}
-	*p.oldest() = fresh
+	*p.oldestHolder() = fresh
 }
 
-func (p *prefix) release(s *server) {
+func (p *prefix) removeHolder(s *server) {
 	p.holders = slices.DeleteFunc(p.holders, func(h holder) bool { return h.server == s })
 }
 
-// sweep drops holders that are no longer valid.
-func (p *prefix) sweep() {
+func (p *prefix) dropInvalidHolders() {
 	kept := p.holders[:0]
 	for _, h := range p.holders {
 		if h.valid() {
@@ -151,20 +156,21 @@
 	p.holders = kept
 }
 
-func (p *prefix) oldest() *holder {
+func (p *prefix) oldestHolder() *holder {
 	oldest := &p.holders[0]
 	for i := range p.holders {
-		if p.holders[i].used.Before(oldest.used) {
+		if p.holders[i].lastUsed.Before(oldest.lastUsed) {
 			oldest = &p.holders[i]
 		}
 	}
 	return oldest
 }
 
-// alive tells whether the prefix is still expected in the holder's cache.
-func (h *holder) alive(now time.Time) bool {
-	return h.valid() && (h.server.announces || now.Sub(h.used) < unannouncedLife)
+// expectedCached reports whether the holder is still expected to have the prefix
+// cached.
+func (h *holder) expectedCached(now time.Time) bool {
+	return h.valid() && (h.server.announcesCache || now.Sub(h.lastUsed) < unannouncedLifetime)
 }
 
-// valid is false once the server is gone or its cache was to be forgotten.
-func (h *holder) valid() bool { return !h.server.gone && h.epoch == h.server.epoch }
+// valid returns false once the server was removed or its cache was forgotten.
+func (h *holder) valid() bool { return !h.server.removed && h.cacheEpoch == h.server.cacheEpoch }
--- a/internal/decision/beechroute/router.go
+++ b/internal/decision/beechroute/router.go
@@ -14,29 +14,29 @@
 	defaultZoneDistance = 2 * time.Millisecond
 	defaultReportLag    = 100 * time.Millisecond
 
-	meanStep = 0.02 // share of one observation that a running mean takes in
+	outputMeanStep = 0.02 // weight of one sample in the moving average of output tokens
 
-	typicalOutput = 100 // tokens, until requests have told
+	initialMeanOutput = 100 // tokens, before any request was dispatched
 )
 
-// Router chooses servers for an entry host's requests. It is safe for concurrent
-// use.
+// Router chooses servers for the requests of an entry host. It is safe for
+// concurrent use.
 type Router struct {
 	settings Settings
 	clock    clockwork.Clock
 	random   *rand.Rand
 	health   Health
 
-	setting  sync.Mutex // held by SetServers, before mutex
-	mutex    sync.Mutex
-	servers  map[netip.AddrPort]*server
-	rings    map[string]*ring
-	prefixes *table
-	output   float64 // mean output tokens of a request
+	updating   sync.Mutex // serializes SetServers; locked before mutex
+	mutex      sync.Mutex
+	servers    map[netip.AddrPort]*server
+	rings      map[string]*ring
+	prefixes   *table
+	meanOutput float64 // output tokens per request
 }
 
-// New is a router that knows no server yet. Random is used under the router's own
-// lock and must not be shared.
+// New returns a router without servers. It uses random under its own lock, so
+// random must not be shared.
 func New(s Settings, clock clockwork.Clock, random *rand.Rand, health Health) *Router {
 	if s.ZoneDistance <= 0 {
 		s.ZoneDistance = defaultZoneDistance
@@ -46,49 +46,51 @@
 	}
 	s.WasteWeight = max(0, s.WasteWeight)
 	return &Router{
-		settings: s,
-		clock:    clock,
-		random:   random,
-		health:   health,
-		servers:  map[netip.AddrPort]*server{},
-		rings:    map[string]*ring{},
-		prefixes: newTable(s.MaxBytes),
-		output:   typicalOutput,
+		settings:   s,
+		clock:      clock,
+		random:     random,
+		health:     health,
+		servers:    map[netip.AddrPort]*server{},
+		rings:      map[string]*ring{},
+		prefixes:   newTable(s.MaxBytes),
+		meanOutput: initialMeanOutput,
 	}
 }
 
-func (s Settings) lacks(m Mechanism) bool { return s.Disabled&m != 0 }
+func (s Settings) disables(m Mechanism) bool { return s.Disabled&m != 0 }
 
-// SetServers replaces the servers that may be chosen. What is known of one that
-// stays with the same incarnation is kept. The hash rings of a large fleet take
-// some ten milliseconds to build, so that is done without holding up choices.
+// SetServers replaces the set of servers. The state of a server is kept if its
+// incarnation is unchanged. Building the hash rings of a large fleet takes about
+// 10 ms, so it is done without blocking Choose.
 func (r *Router) SetServers(servers []Server) {
-	r.setting.Lock()
-	defer r.setting.Unlock()
-	next := make(map[netip.AddrPort]*server, len(servers))
+	r.updating.Lock()
+	defer r.updating.Unlock()
+	states := make(map[netip.AddrPort]*server, len(servers))
 	latest := make(map[netip.AddrPort]Server, len(servers))
 	for _, s := range servers {
 		s.Models = slices.Clone(s.Models)
 		latest[s.Address] = s
-		next[s.Address] = r.keep(s)
+		states[s.Address] = r.serverState(s)
 	}
-	rings := r.ringsOf(latest, next)
+	rings := r.buildRings(latest, states)
 
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for address, s := range next {
+	for address, s := range states {
 		s.Server = latest[address]
 	}
 	for address, s := range r.servers {
-		if next[address] != s {
-			s.gone = true
+		if states[address] != s {
+			s.removed = true
 		}
 	}
-	r.servers = next
+	r.servers = states
 	r.rings = rings
 }
 
-func (r *Router) keep(s Server) *server {
+// serverState returns the existing state of a server, or a new one if the server is
+// new or has a new incarnation.
+func (r *Router) serverState(s Server) *server {
 	old := r.servers[s.Address]
 	if old == nil || old.Incarnation != s.Incarnation {
 		return newServer(s)
@@ -96,12 +98,13 @@
 	return old
 }
 
-// ringsOf makes the rings anew for models whose servers have changed.
-func (r *Router) ringsOf(latest map[netip.AddrPort]Server, next map[netip.AddrPort]*server) map[string]*ring {
+// buildRings returns the ring of each model. Rings with unchanged servers are
+// reused.
+func (r *Router) buildRings(latest map[netip.AddrPort]Server, states map[netip.AddrPort]*server) map[string]*ring {
 	members := map[string][]*server{}
 	for address, s := range latest {
 		for _, model := range s.Models {
-			members[model] = append(members[model], next[address])
+			members[model] = append(members[model], states[address])
 		}
 	}
 	rings := make(map[string]*ring, len(members))
@@ -117,8 +120,8 @@
 	return rings
 }
 
-// RecordDispatch notes that a request was sent to a server, with the uncached tokens
-// that Choose predicted for it.
+// RecordDispatch records that a request was sent to a server, with the uncached
+// tokens that Choose predicted.
 func (r *Router) RecordDispatch(address netip.AddrPort, q Request, uncached int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -129,19 +132,19 @@
 	now := r.clock.Now()
 	uncached = max(0, uncached)
 	s.inFlight++
-	if !r.settings.lacks(MechanismOwnDispatches) {
-		s.work.add(float64(uncached), now, r.settings.ReportLag)
+	if !r.settings.disables(MechanismOwnDispatches) {
+		s.prefillBacklog.add(float64(uncached), now, r.settings.ReportLag)
 	}
 	if q.OutputTokens > 0 {
-		r.output += meanStep * (float64(q.OutputTokens) - r.output)
+		r.meanOutput += outputMeanStep * (float64(q.OutputTokens) - r.meanOutput)
 	}
 	for _, l := range slices.Backward(q.Levels) {
-		r.prefixes.hold(l, s, now).demandOne(now)
+		r.prefixes.addHolder(l, s, now).countRequest(now)
 	}
 }
 
-// RecordReply takes in what a reply said of its prompt's cached part. A reply of an
-// incarnation that is not the server's present one is dropped.
+// RecordReply records that the server of a reply holds the request's prefixes. A
+// reply of an earlier incarnation of the server is ignored.
 func (r *Router) RecordReply(p Reply) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -151,50 +154,50 @@
 	}
 	now := r.clock.Now()
 	for _, l := range slices.Backward(p.Levels) {
-		r.prefixes.hold(l, s, now)
+		r.prefixes.addHolder(l, s, now)
 	}
 }
 
-// ApplyCacheChanges takes in what a server's agent says has come into the engine's cache or
-// queue, or gone from the cache, for this entry host's requests and others'.
-// Without it each entry host would have to find out by itself where a prefix
-// went, and would make a copy of its own. False says that the server is not known in
-// that incarnation, now or any more, and that nothing was taken in.
+// ApplyCacheChanges applies an agent's announcement of prefixes that its engine has
+// cached, queued or evicted, for the requests of all entry hosts. Without
+// announcements each entry host would have to discover by itself where a prefix is
+// cached, and would create a copy of its own. It returns false, without applying
+// anything, if the server is not known in that incarnation.
 func (r *Router) ApplyCacheChanges(address netip.AddrPort, incarnation uint64, changes CacheChanges) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	s := r.servers[address]
-	if s == nil || s.Incarnation != incarnation || r.settings.lacks(MechanismAnnouncements) {
+	if s == nil || s.Incarnation != incarnation || r.settings.disables(MechanismAnnouncements) {
 		return false
 	}
-	s.announces = true
+	s.announcesCache = true
 	if changes.Complete {
-		s.epoch++
+		s.cacheEpoch++
 	}
 	now := r.clock.Now()
 	for _, c := range changes.List {
 		if c.Held {
-			r.prefixes.hold(Level{Key: c.Key, Tokens: c.Tokens}, s, now)
+			r.prefixes.addHolder(Level{Key: c.Key, Tokens: c.Tokens}, s, now)
 			continue
 		}
 		if p := r.prefixes.get(c.Key); p != nil {
-			p.release(s)
+			p.removeHolder(s)
 		}
 	}
 	return true
 }
 
-// UpdateLoad takes in a server's load.
+// UpdateLoad replaces a server's reported load.
 func (r *Router) UpdateLoad(address netip.AddrPort, l Load) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if s := r.servers[address]; s != nil {
-		s.report(l, r.clock.Now(), r.settings.ReportLag)
+		s.updateLoad(l, r.clock.Now(), r.settings.ReportLag)
 	}
 }
 
-// RecordFinish notes that a request sent to a server has ended there, whatever its
-// outcome, also a refusal. Each RecordDispatch has one RecordFinish.
+// RecordFinish records the end of a dispatched request, whatever its outcome,
+// including a refusal. Call it once per RecordDispatch.
 func (r *Router) RecordFinish(address netip.AddrPort) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -203,8 +206,8 @@
 	}
 }
 
-// RecordRefusal notes that a server turned a request away, not run, and when it may be
-// asked again. RecordFinish follows it.
+// RecordRefusal records that a server refused a request without running it, and
+// after which time it may be tried again. RecordFinish must follow.
 func (r *Router) RecordRefusal(address netip.AddrPort, after time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -212,11 +215,11 @@
 	if s == nil {
 		return
 	}
-	s.notBefore = r.clock.Now().Add(max(0, after))
+	s.retryAt = r.clock.Now().Add(max(0, after))
 }
 
-// ForgetCache drops what is known of a server's cache if its incarnation is that one
-// or an older one.
+// ForgetCache discards what is known of a server's cache, unless the server has a
+// newer incarnation than the given one.
 func (r *Router) ForgetCache(address netip.AddrPort, incarnation uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -224,5 +227,5 @@
 	if s == nil || s.Incarnation > incarnation {
 		return
 	}
-	s.epoch++
+	s.cacheEpoch++
 }
--- a/internal/decision/beechroute/router_test.go
+++ b/internal/decision/beechroute/router_test.go
@@ -13,20 +13,20 @@
 	"github.com/matryer/is"
 )
 
-var idle = Load{Slots: 32, PrefillRate: 8000, TokenTime: 15 * time.Millisecond}
+var idleLoad = Load{Slots: 32, PrefillRate: 8000, TokenTime: 15 * time.Millisecond}
 
-func send(r *Router, q Request) Candidate {
+func dispatch(r *Router, q Request) Candidate {
 	best := r.Choose(q).Ranked[0]
 	r.RecordDispatch(best.Server, q, best.Uncached)
 	return best
 }
 
-func learn(r *Router, server netip.AddrPort, incarnation uint64, q Request) {
+func recordReply(r *Router, server netip.AddrPort, incarnation uint64, q Request) {
 	r.RecordReply(Reply{Server: server, Incarnation: incarnation, Levels: q.Levels, PromptTokens: q.PromptTokens})
 }
 
-// announceAll lets every agent say that its engine is empty.
-func announceAll(r *Router, n int) {
+// announceEmptyCaches makes every agent announce that its engine's cache is empty.
+func announceEmptyCaches(r *Router, n int) {
 	for i := range n {
 		r.ApplyCacheChanges(testAddress(i), 1, CacheChanges{Complete: true})
 	}
@@ -38,14 +38,15 @@
 	}
 }
 
-// An engine crashes and comes back empty at the same address. A request routed there
-// for what it held would wait for a whole prefill that was predicted not to happen.
-func TestDeadIncarnationHoldsNothing(t *testing.T) {
+// An engine crashes and returns with an empty cache at the same address. A request
+// routed there for what the old incarnation held would wait for a prefill that was
+// not predicted.
+func TestOldIncarnationHoldsNothing(t *testing.T) {
 	is := is.New(t)
-	r := testRouter(4, clockwork.NewFakeClock(), weights{})
+	r := testRouter(4, clockwork.NewFakeClock(), fixedHealth{})
 	q := testRequest(1, 1)
-	holder := send(r, q).Server
-	learn(r, holder, 1, q)
+	holder := dispatch(r, q).Server
+	recordReply(r, holder, 1, q)
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 0)
 
 	servers := testServers(4)
@@ -55,28 +56,28 @@
 		}
 	}
 	r.SetServers(servers)
-	learn(r, holder, 1, q) // a late reply of the dead one
+	recordReply(r, holder, 1, q) // a late reply of the old incarnation
 	is.True(!r.ApplyCacheChanges(holder, 1, CacheChanges{List: []CacheChange{{Key: q.Levels[1].Key, Tokens: 5800, Held: true}}}))
 	for _, c := range r.Choose(q).Ranked {
 		is.Equal(c.Uncached, q.PromptTokens)
 	}
 
-	learn(r, holder, 2, q)
+	recordReply(r, holder, 2, q)
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 0)
-	r.ForgetCache(holder, 1) // of an older one: nothing to forget
+	r.ForgetCache(holder, 1) // an older incarnation: no effect
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 0)
 	r.ForgetCache(holder, 2)
 	is.Equal(r.Choose(q).Ranked[0].Uncached, q.PromptTokens)
 }
 
-// An agent tells what its engine holds for other entry hosts, what it has evicted,
-// and, after a pause, everything anew. An entry host that missed it would prefill
-// the same history at another server.
+// Agents announce what their engines cache for other entry hosts, what they evict,
+// and, after a gap, the complete content. An entry host that ignored an
+// announcement would prefill the same history on another server.
 func TestAnnouncedHolderIsChosen(t *testing.T) {
 	is := is.New(t)
-	r := testRouter(20, clockwork.NewFakeClock(), weights{})
+	r := testRouter(20, clockwork.NewFakeClock(), fixedHealth{})
 	q := testRequest(1, 1)
-	announceAll(r, 20)
+	announceEmptyCaches(r, 20)
 	history := CacheChange{Key: q.Levels[1].Key, Tokens: 5800, Held: true}
 	is.True(r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{Complete: true, List: []CacheChange{{Key: q.Levels[0].Key, Tokens: 1000, Held: true}, history}}))
 	best := r.Choose(q).Ranked[0]
@@ -85,41 +86,42 @@
 
 	history.Held = false
 	r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{List: []CacheChange{history}})
-	is.Equal(r.Choose(q).Ranked[0].Uncached, 5000) // the instruction is left
+	is.Equal(r.Choose(q).Ranked[0].Uncached, 5000) // the instruction is still cached
 
 	r.ApplyCacheChanges(testAddress(9), 1, CacheChanges{Complete: true})
 	is.Equal(r.Choose(q).Ranked[0].Uncached, 6000)
 }
 
-// Load reports lag. All that arrives between two of them would go to the one server
-// that looked idle, and its callers would wait while other servers idle.
+// Load reports lag. All requests between two reports could go to the one server
+// that looked idle, and would wait there while other servers idle.
 func TestBurstBetweenReportsIsSpread(t *testing.T) {
 	is := is.New(t)
 	const servers = 10
-	r := testRouter(servers, clockwork.NewFakeClock(), weights{})
-	reportAll(r, servers, idle)
+	r := testRouter(servers, clockwork.NewFakeClock(), fixedHealth{})
+	reportAll(r, servers, idleLoad)
 	sent := map[netip.AddrPort]int{}
 	for i := range 10 * servers {
-		sent[send(r, testRequest(i, i)).Server]++
+		sent[dispatch(r, testRequest(i, i)).Server]++
 	}
 	is.Equal(len(sent), servers)
 	for _, n := range sent {
-		is.True(n <= 15) // fair is 10
+		is.True(n <= 15) // 10 if spread evenly
 	}
 }
 
-// The season's catalogue comes out and everybody asks about it at once. One engine
-// cannot carry it, and a copy on each would recompute it everywhere. Copies grow with
-// the queue before the holders, and the callers of other histories keep short waits.
+// Many callers ask for the same new prefix at once. One engine cannot serve them
+// all, and a copy on every server would recompute it everywhere. Copies must grow
+// with the queues of the holders, while requests for other histories keep short
+// waits.
 func TestHotPrefixGetsCopiesAsDemandGrows(t *testing.T) {
 	is := is.New(t)
 	const servers = 20
-	r := testRouter(servers, clockwork.NewFakeClock(), weights{})
-	reportAll(r, servers, idle)
+	r := testRouter(servers, clockwork.NewFakeClock(), fixedHealth{})
+	reportAll(r, servers, idleLoad)
 	copies := map[netip.AddrPort]bool{}
 	var after []int
 	for i := range 2000 {
-		copies[send(r, testRequest(0, i)).Server] = true
+		copies[dispatch(r, testRequest(0, i)).Server] = true
 		if i == 49 || i == 999 || i == 1999 {
 			after = append(after, len(copies))
 		}
@@ -131,14 +133,14 @@
 	is.True(r.Choose(testRequest(77, 1)).Ranked[0].FirstToken < 2*time.Second)
 }
 
-// A server is slow or in slow start. Requests that do not depend on its cache go to
-// others; a server that may not be used at all gets none.
-func TestSlowServerIsPassedOver(t *testing.T) {
+// A server is slow or in slow start. Requests that do not depend on its cache must
+// go to other servers, and an unusable server must get none.
+func TestSlowServerIsAvoided(t *testing.T) {
 	is := is.New(t)
-	health := weights{}
+	health := fixedHealth{}
 	r := testRouter(3, clockwork.NewFakeClock(), health)
-	reportAll(r, 3, idle)
-	announceAll(r, 3)
+	reportAll(r, 3, idleLoad)
+	announceEmptyCaches(r, 3)
 	health[testAddress(0)] = 0.1
 	r.UpdateLoad(testAddress(1), Load{Slots: 32, PrefillRate: 800, WaitingTokens: 50_000})
 	for i := range 20 {
@@ -154,19 +156,20 @@
 	}
 }
 
-// The entry host's own zone is full. Work spills to other zones and comes back.
-func TestWorkSpillsToOtherZones(t *testing.T) {
+// When the servers in the entry host's own zone are full, requests must go to other
+// zones, and return when they are not.
+func TestRequestsSpillToOtherZones(t *testing.T) {
 	is := is.New(t)
-	r := testRouter(4, clockwork.NewFakeClock(), weights{}) // one server a zone
-	reportAll(r, 4, idle)
-	announceAll(r, 4)
+	r := testRouter(4, clockwork.NewFakeClock(), fixedHealth{}) // one server per zone
+	reportAll(r, 4, idleLoad)
+	announceEmptyCaches(r, 4)
 	spilled := 0
 	for i := range 20 {
 		q := testRequest(i, i)
-		r.UpdateLoad(testAddress(0), idle)
+		r.UpdateLoad(testAddress(0), idleLoad)
 		choice := r.Choose(q)
 		if !slices.ContainsFunc(choice.Ranked, func(c Candidate) bool { return c.Server == testAddress(0) }) {
-			continue // not among the homes
+			continue // not one of the homes
 		}
 		is.Equal(choice.Ranked[0].Server, testAddress(0))
 		r.UpdateLoad(testAddress(0), Load{Slots: 32, PrefillRate: 8000, WaitingTokens: 8000})
@@ -176,46 +179,46 @@
 	is.True(spilled > 5)
 }
 
-// A server refuses and says when to come back. Asking it before then would only be
-// refused again.
-func TestRefusalHoldsServerBack(t *testing.T) {
+// A server refuses a request and states when to retry. Before that it would only
+// refuse again.
+func TestRefusingServerIsAvoidedUntilRetryTime(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	r := testRouter(2, clock, weights{})
+	r := testRouter(2, clock, fixedHealth{})
 	q := testRequest(1, 1)
-	first := send(r, q)
+	first := dispatch(r, q)
 	r.RecordRefusal(first.Server, 30*time.Second)
 	is.True(r.Choose(q).Ranked[0].Server != first.Server)
 	clock.Advance(31 * time.Second)
 	is.Equal(r.Choose(q).Ranked[0].Server, first.Server)
 }
 
-// Entry hosts restart in herds. What another one knew to be in demand is taken over,
-// so that the first second does not recompute it.
+// Many entry hosts restart at once. They must use the hot prefixes known to another
+// entry host, so that these are not recomputed in the first second.
 func TestRestoredHotPrefixesAreUsed(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	before := testRouter(20, clock, weights{})
+	before := testRouter(20, clock, fixedHealth{})
 	var holder netip.AddrPort
 	for i := range 50 {
-		holder = send(before, testRequest(3, i)).Server
+		holder = dispatch(before, testRequest(3, i)).Server
 	}
-	after := testRouter(20, clock, weights{})
+	after := testRouter(20, clock, fixedHealth{})
 	after.RestorePrefixes(before.HotPrefixes())
 	best := after.Choose(testRequest(3, 99)).Ranked[0]
 	is.Equal(best.Server, holder)
 	is.Equal(best.Uncached, 200)
-	is.True(len(before.HotPrefixes()) < 10) // questions asked once are not hot
+	is.True(len(before.HotPrefixes()) < 10) // questions that were asked once are not hot
 
 	clock.Advance(10 * time.Minute)
 	is.Equal(len(before.HotPrefixes()), 0)
 }
 
-// A server leaves. Only the histories at home there move.
-func TestLeavingServerMovesOnlyItsShare(t *testing.T) {
+// When a server leaves, only the histories whose first home it was may move.
+func TestRemovedServerMovesOnlyItsShareOfKeys(t *testing.T) {
 	is := is.New(t)
-	all := testRouter(100, clockwork.NewFakeClock(), weights{}).rings[testModel]
-	fewer := testRouter(99, clockwork.NewFakeClock(), weights{}).rings[testModel]
+	all := testRouter(100, clockwork.NewFakeClock(), fixedHealth{}).rings[testModel]
+	fewer := testRouter(99, clockwork.NewFakeClock(), fixedHealth{}).rings[testModel]
 	moved := 0
 	for i := range 10_000 {
 		key := testRequest(i, 0).Levels[1].Key
@@ -227,15 +230,15 @@
 		is.Equal(from.Address, to.Address)
 	}
 	is.True(moved > 50)
-	is.True(moved < 200) // its share is 100
+	is.True(moved < 200) // the expected share is 100
 }
 
-// Numbers that no caller, clock or agent should send still get an answer, with no
-// panic and no infinite cost that would rule a server out for good.
-func TestBadInput(t *testing.T) {
+// Any values from callers, clocks and agents must give an answer, without a panic
+// or an infinite cost that would exclude a server permanently.
+func TestInvalidInput(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	empty := New(Settings{WasteWeight: -1, MaxBytes: -1}, clock, rand.New(rand.NewPCG(1, 1)), weights{})
+	empty := New(Settings{WasteWeight: -1, MaxBytes: -1}, clock, rand.New(rand.NewPCG(1, 1)), fixedHealth{})
 	is.Equal(len(empty.Choose(testRequest(1, 1)).Ranked), 0)
 	empty.SetServers(nil)
 	is.Equal(len(empty.Choose(testRequest(1, 1)).Ranked), 0)
@@ -243,7 +246,7 @@
 	empty.RecordFinish(testAddress(1))
 	empty.RestorePrefixes([]HotPrefix{{Rate: -1, Tokens: -1, Holders: []netip.AddrPort{{}}}})
 
-	r := testRouter(1, clock, weights{})
+	r := testRouter(1, clock, fixedHealth{})
 	is.Equal(len(r.Choose(Request{Model: "unknown"}).Ranked), 0)
 	is.Equal(len(r.Choose(Request{Model: testModel, Avoid: []netip.AddrPort{testAddress(0)}}).Ranked), 0)
 	requests := []Request{
@@ -261,7 +264,7 @@
 		for _, l := range loads {
 			r.UpdateLoad(testAddress(0), l)
 			r.RecordDispatch(testAddress(0), q, math.MinInt)
-			learn(r, testAddress(0), 1, q)
+			recordReply(r, testAddress(0), 1, q)
 			r.RecordRefusal(testAddress(0), -time.Hour)
 			r.RecordFinish(testAddress(0))
 			best := r.Choose(q).Ranked[0]
@@ -272,19 +275,19 @@
 	}
 
 	backwards := clockwork.NewFakeClockAt(time.Unix(10, 0))
-	r = testRouter(2, backwards, weights{})
-	send(r, testRequest(1, 1))
+	r = testRouter(2, backwards, fixedHealth{})
+	dispatch(r, testRequest(1, 1))
 	backwards.Advance(-time.Hour)
-	r.UpdateLoad(testAddress(0), idle)
-	is.True(send(r, testRequest(1, 2)).FirstToken < time.Minute)
+	r.UpdateLoad(testAddress(0), idleLoad)
+	is.True(dispatch(r, testRequest(1, 2)).FirstToken < time.Minute)
 	is.True(len(r.HotPrefixes()) >= 0)
 }
 
-// The table must not grow with the number of prompts, nor a prefix's holders with the
-// fleet.
+// The table must not grow with the number of prompts, nor the holders of a prefix
+// with the fleet.
 func TestStateIsBounded(t *testing.T) {
 	is := is.New(t)
-	r := New(Settings{MaxBytes: 1 << 20}, clockwork.NewFakeClock(), rand.New(rand.NewPCG(1, 1)), weights{})
+	r := New(Settings{MaxBytes: 1 << 20}, clockwork.NewFakeClock(), rand.New(rand.NewPCG(1, 1)), fixedHealth{})
 	r.SetServers(testServers(500))
 	for i := range 20_000 {
 		q := testRequest(i, i)
@@ -311,19 +314,19 @@
 	return bytes
 }
 
-// Requests, replies, reports and joining servers come at any moment from many
-// goroutines; the race detector watches.
+// Requests, replies, reports and changes of the server list may come concurrently.
+// Run with the race detector.
 func TestConcurrentUse(_ *testing.T) {
-	r := testRouter(50, clockwork.NewRealClock(), weights{})
+	r := testRouter(50, clockwork.NewRealClock(), fixedHealth{})
 	var group sync.WaitGroup
 	for g := range 8 {
 		group.Go(func() {
 			for i := range 500 {
 				q := testRequest(i%20, i*8+g)
-				best := send(r, q)
-				learn(r, best.Server, 1, q)
+				best := dispatch(r, q)
+				recordReply(r, best.Server, 1, q)
 				r.RecordFinish(best.Server)
-				r.UpdateLoad(best.Server, idle)
+				r.UpdateLoad(best.Server, idleLoad)
 				if i%100 == 0 {
 					r.SetServers(testServers(40 + g))
 					r.RestorePrefixes(r.HotPrefixes())
--- a/internal/decision/beechroute/server.go
+++ b/internal/decision/beechroute/server.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// Until its first report a server is taken for an idle one of middling
-	// size, so that a server that has just joined gets work.
+	// A server counts as idle and of medium size until its first report, so that
+	// new servers get requests.
 	defaultPrefillRate = 8000
 	defaultSlots       = 16
 
-	lagBuckets = 4
+	recentBuckets = 4
 
-	// maxWait is the longest prediction. Absurd counts end here and do not
-	// overflow.
+	// maxWait is the longest predicted wait. It prevents overflows by excessive
+	// counts.
 	maxWait = 24 * time.Hour
 )
 
 type (
-	// server is what is known of one incarnation of a backend server. Another
-	// incarnation is another server, so whatever points to the old one, its
-	// cache above all, is dead with it.
+	// server is the state of one incarnation of a backend server. A new incarnation
+	// gets a new state, so whatever refers to the old one, such as the holders of a
+	// prefix, becomes invalid.
 	server struct {
 		Server
-		gone     bool
-		epoch    uint64 // how often its cache was to be forgotten
-		load     Load
-		work     backlog
-		inFlight int // own requests that have not ended
-		known    int // requests running or waiting, by the last report
-
-		// announces is set once its agent tells what the engine evicts. Of other
-		// servers what was not used for a while is taken for evicted.
-		announces bool
-
-		notBefore time.Time // a refusal said to come back then
+		removed          bool
+		cacheEpoch       uint64 // incremented when its cache is to be forgotten
+		load             Load
+		prefillBacklog   backlog
+		inFlight         int // own dispatched requests that have not ended
+		reportedRequests int // running and waiting requests in the last report
+
+		// announcesCache is set once the agent announces evictions. For other
+		// servers, prefixes that were not used for a while count as evicted.
+		announcesCache bool
+
+		retryAt time.Time // after a refusal; zero if there was none
 	}
 
-	// backlog is the prefill tokens ahead of a new request. Own dispatches that
-	// a report cannot have seen yet, since it lags, are kept and added to it;
-	// otherwise all that arrives between two reports would go to the server
-	// that looked idle in the first. It shows as first tokens that are late on
-	// one server at a time, while the others idle.
+	// backlog is the number of prefill tokens ahead of a new request. Own
+	// dispatches that a lagging report cannot include yet are remembered and added
+	// to it. Otherwise all requests between two reports would go to the server that
+	// looked idle in the first one, and first tokens would be late on one server at
+	// a time while the others idle.
 	backlog struct {
 		tokens float64
-		recent [lagBuckets]float64 // own dispatches by time
+		recent [recentBuckets]float64 // own dispatched tokens, by time modulo recentBuckets
 		bucket int64
 	}
 )
@@ -54,7 +54,9 @@
 	return &server{Server: s, load: Load{PrefillRate: defaultPrefillRate, Slots: defaultSlots}}
 }
 
-func (s *server) report(l Load, now time.Time, lag time.Duration) {
+// updateLoad takes over a load report. Rates and slots that are missing in it keep
+// their previous values.
+func (s *server) updateLoad(l Load, now time.Time, lag time.Duration) {
 	if l.PrefillRate <= 0 {
 		l.PrefillRate = s.load.PrefillRate
 	}
@@ -62,52 +64,55 @@
 		l.Slots = s.load.Slots
 	}
 	s.load = l
-	s.known = max(0, l.Running) + max(0, l.Waiting)
-	s.work.reset(float64(max(0, l.WaitingTokens)), now, lag)
+	s.reportedRequests = max(0, l.Running) + max(0, l.Waiting)
+	s.prefillBacklog.reset(float64(max(0, l.WaitingTokens)), now, lag)
 }
 
-// wait is the predicted time until a new request's prefill starts.
+// wait predicts the time until the prefill of a new request starts. output is the
+// mean number of output tokens per request.
 func (s *server) wait(now time.Time, output float64) time.Duration {
-	wait := seconds(s.work.tokens / float64(s.load.PrefillRate))
-	if ahead := max(s.known, s.inFlight) - s.load.Slots; ahead >= 0 {
+	wait := seconds(s.prefillBacklog.tokens / float64(s.load.PrefillRate))
+	if ahead := max(s.reportedRequests, s.inFlight) - s.load.Slots; ahead >= 0 {
 		residence := output * s.load.TokenTime.Seconds()
 		wait = max(wait, seconds(residence*float64(ahead+1)/float64(s.load.Slots)))
 	}
-	return min(maxWait, max(wait, s.notBefore.Sub(now)))
+	return min(maxWait, max(wait, s.retryAt.Sub(now)))
 }
 
 func (s *server) serves(model string) bool { return slices.Contains(s.Models, model) }
 
+// add adds an own dispatch.
 func (b *backlog) add(tokens float64, now time.Time, lag time.Duration) {
-	b.turn(now, lag)
+	b.advance(now, lag)
 	b.tokens += tokens
-	b.recent[b.bucket%lagBuckets] += tokens
+	b.recent[b.bucket%recentBuckets] += tokens
 }
 
-// reset takes in a report and adds what was dispatched within its lag.
+// reset takes over the tokens of a report and adds the dispatches within its lag.
 func (b *backlog) reset(tokens float64, now time.Time, lag time.Duration) {
-	b.turn(now, lag)
+	b.advance(now, lag)
 	b.tokens = tokens
 	for _, t := range b.recent {
 		b.tokens += t
 	}
 }
 
-// turn empties the buckets that have passed out of the lag. A clock that steps
-// back empties them all.
-func (b *backlog) turn(now time.Time, lag time.Duration) {
-	width := max(1, int64(lag)/lagBuckets)
+// advance clears the buckets that are older than the lag. If the clock stepped
+// back, it clears all of them.
+func (b *backlog) advance(now time.Time, lag time.Duration) {
+	width := max(1, int64(lag)/recentBuckets)
 	bucket := max(0, now.UnixNano()) / width
-	if passed := bucket - b.bucket; passed < 0 || passed >= lagBuckets {
+	if passed := bucket - b.bucket; passed < 0 || passed >= recentBuckets {
 		clear(b.recent[:])
 	} else {
 		for i := b.bucket + 1; i <= bucket; i++ {
-			b.recent[i%lagBuckets] = 0
+			b.recent[i%recentBuckets] = 0
 		}
 	}
 	b.bucket = bucket
 }
 
+// seconds converts to a duration between 0 and maxWait.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(maxWait.Seconds(), max(0, s)) * float64(time.Second))
 }
--- a/internal/decision/beechroute/types.go
+++ b/internal/decision/beechroute/types.go
@@ -6,19 +6,19 @@
 )
 
 type (
-	// Key is a prefix's chained hash.
+	// Key is the chained hash of a prompt prefix.
 	Key = [16]byte
 
-	// Level is one step of a prompt's prefix chain, the shortest first.
-	// Tokens counts from the prompt's start through this level.
+	// Level is one prefix in the chain of a prompt's prefixes, which is ordered
+	// from the shortest to the longest. Tokens counts from the start of the prompt.
 	Level struct {
 		Key    Key
 		Tokens int
 	}
 
-	// Server is a backend server as the entry host knows it. Address is its
-	// agent's link address and names it everywhere. Models holds
-	// "model@weights" for what it serves now.
+	// Server is a backend server as the entry host knows it. Address is the link
+	// address of its agent and identifies the server everywhere. Models lists the
+	// models that it serves now, as "model@weights".
 	Server struct {
 		Address     netip.AddrPort
 		Zone        string
@@ -26,18 +26,18 @@
 		Models      []string
 	}
 
-	// Load is an agent's last word on its server.
+	// Load is the load of a server as last reported by its agent.
 	Load struct {
 		Running       int
 		Waiting       int
 		WaitingTokens int64
 		Slots         int
-		PrefillRate   int // prompt tokens a second
+		PrefillRate   int // prompt tokens per second
 		TokenTime     time.Duration
 	}
 
-	// Request is what the choice depends on. Avoid names servers already
-	// tried. Model is "model@weights".
+	// Request holds what the choice of a server depends on. Model is
+	// "model@weights". Avoid lists servers that were already tried.
 	Request struct {
 		Model        string
 		Levels       []Level
@@ -46,21 +46,21 @@
 		Avoid        []netip.AddrPort
 	}
 
-	// Candidate is a server with what is predicted for the request on it.
+	// Candidate is a server with the predictions for a request on it.
 	Candidate struct {
 		Server     netip.AddrPort
-		FirstToken time.Duration
-		Uncached   int
-		Cost       float64
+		FirstToken time.Duration // time to first token
+		Uncached   int           // prompt tokens to prefill
+		Cost       float64       // seconds
 	}
 
-	// Choice ranks the candidates, best first; it is empty where no server
+	// Choice ranks the candidates, best first. It is empty if no usable server
 	// serves the model.
 	Choice struct {
 		Ranked []Candidate
 	}
 
-	// Reply is what was learned from a request that a server answered.
+	// Reply is a server's answer to a request, as far as it concerns routing.
 	Reply struct {
 		Server       netip.AddrPort
 		Incarnation  uint64
@@ -71,43 +71,44 @@
 		FirstToken   time.Duration
 	}
 
-	// CacheChange is a prefix that has come into a server's cache or queue, or that
-	// its engine has evicted.
+	// CacheChange is a prefix that a server has cached or queued for prefill, or
+	// that its engine has evicted.
 	CacheChange struct {
 		Key    Key
 		Tokens int
-		Held   bool
+		Held   bool // false if evicted
 	}
 
-	// CacheChanges is what an agent says of its cache. Complete says that the list is
-	// everything held, so that anything else is to be forgotten.
+	// CacheChanges is an agent's announcement about its engine's cache. If Complete
+	// is set, List is the whole content of the cache, and prefixes that are not
+	// listed are forgotten.
 	CacheChanges struct {
 		Complete bool
 		List     []CacheChange
 	}
 
-	// HotPrefix is a prefix in demand with those that hold it, for entry
-	// hosts that restart.
+	// HotPrefix is a prefix in demand with the servers that hold it. It is passed
+	// to entry hosts that restart.
 	HotPrefix struct {
 		Key     Key
 		Tokens  int
-		Rate    float64 // requests a second
+		Rate    float64 // requests per second
 		Holders []netip.AddrPort
 	}
 
-	// Health tells how far a server may be used: 0 not at all, 1 fully, in
-	// between during slow start.
+	// Health returns how much of a server's capacity may be used: 0 for none, 1 for
+	// all, and values in between during slow start.
 	Health interface {
 		Weight(server netip.AddrPort) float64
 	}
 
-	// Settings are the deployment's. WasteWeight is the worth of recomputed
-	// prefill time against time to first token, beyond what recomputation takes
-	// from other requests in any case: Granite Loop's is about 8, Solís
-	// Monterroso's 0 to 2. The rest has defaults for zero: ZoneDistance is what a
-	// request to another availability zone takes longer, there and back;
-	// ReportLag is how old a load report is when it arrives; MaxBytes bounds
-	// the table of prefixes. Disabled switches mechanisms off, for measurement.
+	// Settings are the settings of a deployment. WasteWeight weights the time spent
+	// on recomputed prefill against time to first token, beyond what recomputation
+	// takes from other requests in any case: Granite Loop uses about 8, Solís
+	// Monterroso 0 to 2. For the other fields zero selects a default. ZoneDistance
+	// is the extra round-trip time to another availability zone. ReportLag is the
+	// age of a load report on arrival. MaxBytes bounds the table of prefixes.
+	// Disabled switches mechanisms off for measurements.
 	Settings struct {
 		Zone         string
 		WasteWeight  float64
@@ -117,16 +118,16 @@
 		Disabled     Mechanism
 	}
 
-	// Mechanism is a set of the router's mechanisms.
+	// Mechanism is a set of mechanisms of the router.
 	Mechanism uint
 )
 
 // Mechanisms that Settings.Disabled can switch off.
 const (
-	MechanismHolders       Mechanism = 1 << iota // known holders as candidates
-	MechanismHomes                               // homes by consistent hashing
-	MechanismOwnDispatches                       // own dispatches added to the load report
-	MechanismAnnouncements                       // what agents say of their caches
-	MechanismRecomputeCost                       // recomputation weighs more than its time
-	MechanismZoneDistance                        // distance to other availability zones
+	MechanismHolders       Mechanism = 1 << iota // known holders of a prefix as candidates
+	MechanismHomes                               // homes by consistent hashing as candidates
+	MechanismOwnDispatches                       // own recent dispatches added to the reported load
+	MechanismAnnouncements                       // agents' announcements of their caches
+	MechanismRecomputeCost                       // recomputation costs more than its time
+	MechanismZoneDistance                        // extra cost of other availability zones
 )
