--- a/internal/decision/beechload/assign.go
+++ b/internal/decision/beechload/assign.go
@@ -14,18 +14,18 @@
 	// Pool is a group of like backend servers. Models holds "model@weights",
 	// the versions wanted; where they don't all fit, the first go first.
 	Pool struct {
-		Name   string
-		Models []string
-		Hold   int // models that one server holds; 0 is all
-		Room   int // models that fit in a server's memory at once; 0 is enough
+		Name            string
+		Models          []string
+		ModelsPerServer int // models that one server holds; 0 is all
+		MaxModels       int // models that fit in a server's memory at once; 0 is enough
 	}
 
-	// Member is a backend server as its agent reports it. Held and Loading
+	// Member is a backend server as its agent reports it. Loaded and Loading
 	// are "model@weights"; Loading is empty where nothing is being loaded.
 	Member struct {
 		Server  netip.AddrPort
 		Pool    string
-		Held    []string
+		Loaded  []string
 		Loading string
 		Leaving bool
 	}
@@ -82,15 +82,15 @@
 	for i, s := range servers {
 		out[i].Server = s
 	}
-	if p.Hold <= 0 || p.Hold >= len(models) {
+	if p.ModelsPerServer <= 0 || p.ModelsPerServer >= len(models) {
 		for i := range out {
 			out[i].Models = slices.Sorted(slices.Values(models))
 		}
 		return out
 	}
-	copies := quotas(len(models), len(servers)*p.Hold, len(servers))
+	copies := quotas(len(models), len(servers)*p.ModelsPerServer, len(servers))
 	for _, c := range rank(models, servers) {
-		if copies[c.model] > 0 && len(out[c.server].Models) < p.Hold {
+		if copies[c.model] > 0 && len(out[c.server].Models) < p.ModelsPerServer {
 			out[c.server].Models = append(out[c.server].Models, models[c.model])
 			copies[c.model]--
 		}
@@ -161,7 +161,7 @@
 func fill(p Pool, models []string, copies []int, out []Assignment) {
 	for j, m := range models {
 		for i := range out {
-			if copies[j] > 0 && len(out[i].Models) < p.Hold && !slices.Contains(out[i].Models, m) {
+			if copies[j] > 0 && len(out[i].Models) < p.ModelsPerServer && !slices.Contains(out[i].Models, m) {
 				out[i].Models = append(out[i].Models, m)
 				copies[j]--
 			}
@@ -176,7 +176,7 @@
 // server that lacks it hands one of its models to a server with room.
 func swap(p Pool, m string, out []Assignment) {
 	for i := range out {
-		if len(out[i].Models) < p.Hold {
+		if len(out[i].Models) < p.ModelsPerServer {
 			continue
 		}
 		if slices.Contains(out[i].Models, m) {
@@ -184,7 +184,7 @@
 		}
 		for k, moved := range out[i].Models {
 			to := slices.IndexFunc(out, func(a Assignment) bool {
-				return len(a.Models) < p.Hold && !slices.Contains(a.Models, moved)
+				return len(a.Models) < p.ModelsPerServer && !slices.Contains(a.Models, moved)
 			})
 			if to >= 0 {
 				out[to].Models = append(out[to].Models, moved)
--- a/internal/decision/beechload/doc.go
+++ b/internal/decision/beechload/doc.go
@@ -40,17 +40,17 @@
 // configured gets no assignment and no order, a leaving one neither; a pool listed
 // twice counts as first listed, a model at two versions as last listed; fewer places than models
 // leave out the last models; a number of loads below one counts as one. What does not
-// fit in Room is not loaded.
+// fit in MaxModels is not loaded.
 //
 // # Usage
 //
 //	steps := beechload.Plan(pools, members, maxLoads) // when either has changed
-//	step, ok := beechload.Next(steps, server)
+//	step, ok := beechload.NextStep(steps, server)
 //	switch s := step.(type) {
 //	case beechload.Load:   // with a lease for a load slot and a fencing number
 //	case beechload.Unload: // once nothing runs on it
 //	}
 //
-// Where pools set Hold or Room, all members of the pool must be given: with only
+// Where pools set ModelsPerServer or MaxModels, all members of the pool must be given: with only
 // one, the plan knows no other server that serves. Without them one is enough.
 package beechload
--- a/internal/decision/beechload/plan.go
+++ b/internal/decision/beechload/plan.go
@@ -103,8 +103,8 @@
 	return cmp.Or(cmp.Compare(a.any, b.any), cmp.Compare(a.holders, b.holders), a.load.Server.Compare(b.load.Server))
 }
 
-// Next gives the first step of a plan that is for the server.
-func Next(plan []Step, server netip.AddrPort) (Step, bool) {
+// NextStep gives the first step of a plan that is for the server.
+func NextStep(plan []Step, server netip.AddrPort) (Step, bool) {
 	for _, s := range plan {
 		switch s := s.(type) {
 		case Load:
@@ -138,7 +138,7 @@
 			v.targets[copyOf{m.Pool, model}]++
 		}
 		names := make(map[string]bool)
-		for _, model := range m.Held {
+		for _, model := range m.Loaded {
 			v.holders[copyOf{m.Pool, model}]++
 			names[name(model)] = true
 		}
@@ -175,7 +175,7 @@
 func (v *view) missing(m Member) []candidate {
 	var out []candidate
 	for _, model := range v.assigned[m.Server] {
-		if slices.Contains(m.Held, model) {
+		if slices.Contains(m.Loaded, model) {
 			continue
 		}
 		out = append(out, candidate{
@@ -192,7 +192,7 @@
 // there any more.
 func (v *view) drops(m Member) []Step {
 	var out []Step
-	for _, model := range m.Held {
+	for _, model := range m.Loaded {
 		if !slices.Contains(v.assigned[m.Server], model) && v.mayDrop(m, model) {
 			out = append(out, Unload{Server: m.Server, Model: model})
 		}
@@ -209,7 +209,7 @@
 	if current == "" {
 		return true // not wanted at any version
 	}
-	if slices.Contains(v.assigned[m.Server], current) && !slices.Contains(m.Held, current) {
+	if slices.Contains(v.assigned[m.Server], current) && !slices.Contains(m.Loaded, current) {
 		return false
 	}
 	others := v.holders[copyOf{m.Pool, current}]
@@ -235,15 +235,15 @@
 
 // isFull tells whether the server has no room for one more model.
 func (v *view) isFull(m Member) bool {
-	room := v.pool(m.Pool).Room
-	return room > 0 && len(m.Held) >= room
+	room := v.pool(m.Pool).MaxModels
+	return room > 0 && len(m.Loaded) >= room
 }
 
 // exchanges gives the loads of a full server, each with the model that goes
 // first to make room. It takes a load slot, so that no more servers are without
 // it at once than may load.
 func (v *view) exchanges(m Member, missing []candidate) []candidate {
-	for _, model := range m.Held {
+	for _, model := range m.Loaded {
 		if slices.Contains(v.assigned[m.Server], model) {
 			continue
 		}
--- a/internal/decision/beechload/plan_test.go
+++ b/internal/decision/beechload/plan_test.go
@@ -32,7 +32,7 @@
 func fleet(n int, held ...string) []Member {
 	var out []Member
 	for i := range n {
-		out = append(out, Member{Server: address(i), Pool: "p", Held: slices.Clone(held)})
+		out = append(out, Member{Server: address(i), Pool: "p", Loaded: slices.Clone(held)})
 	}
 	return out
 }
@@ -60,13 +60,13 @@
 		for i := range p.members {
 			m := &p.members[i]
 			p.work(m)
-			if s, ok := Next(plan, m.Server); ok && m.Loading == "" {
+			if s, ok := NextStep(plan, m.Server); ok && m.Loading == "" {
 				p.order(m, s)
 			}
 			if m.Loading != "" {
 				busy++
 			}
-			p.room = max(p.room, len(m.Held))
+			p.room = max(p.room, len(m.Loaded))
 		}
 		p.most = max(p.most, busy)
 		p.least = min(p.least, p.serving(name(pools[0].Models[0])))
@@ -80,7 +80,7 @@
 	}
 	p.left[m.Server]--
 	if p.left[m.Server] == 0 {
-		m.Held = append(m.Held, m.Loading)
+		m.Loaded = append(m.Loaded, m.Loading)
 		m.Loading = ""
 	}
 }
@@ -91,14 +91,14 @@
 		m.Loading = s.Model
 		p.left[m.Server] = loadTicks
 	case Unload:
-		m.Held = slices.DeleteFunc(m.Held, func(o string) bool { return o == s.Model })
+		m.Loaded = slices.DeleteFunc(m.Loaded, func(o string) bool { return o == s.Model })
 	}
 }
 
 func (p *play) serving(model string) int {
 	n := 0
 	for _, m := range p.members {
-		if slices.ContainsFunc(m.Held, func(o string) bool { return name(o) == model }) {
+		if slices.ContainsFunc(m.Loaded, func(o string) bool { return name(o) == model }) {
 			n++
 		}
 	}
@@ -122,10 +122,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p := play{members: fleet(c.servers, "m@1")}
-			p.run(t, []Pool{{Name: "p", Models: []string{"m@2"}, Room: c.room}}, 3)
+			p.run(t, []Pool{{Name: "p", Models: []string{"m@2"}, MaxModels: c.room}}, 3)
 			t.Logf("done in %d ticks, serving at least %d, loading at most %d, models held at most %d", p.ticks, p.least, p.most, p.room)
 			for _, m := range p.members {
-				is.Equal(m.Held, []string{"m@2"})
+				is.Equal(m.Loaded, []string{"m@2"})
 			}
 			is.Equal(p.least, c.least)
 			is.True(p.most <= 3)
@@ -138,7 +138,7 @@
 // held, and few others, should be loaded again somewhere.
 func TestFewCopiesMove(t *testing.T) {
 	is := is.New(t)
-	pool := []Pool{{Name: "p", Models: []string{"a@1", "b@1", "c@1", "d@1", "e@1", "f@1"}, Hold: 2}}
+	pool := []Pool{{Name: "p", Models: []string{"a@1", "b@1", "c@1", "d@1", "e@1", "f@1"}, ModelsPerServer: 2}}
 	moved, loads := 0, 0
 	for gone := range 20 {
 		before := Assign(pool, fleet(20))
@@ -160,7 +160,7 @@
 	is.True(moved <= 20*3)
 	p := play{members: fleet(20)}
 	p.run(t, pool, 3)
-	p.run(t, []Pool{{Name: "p", Models: []string{"a@2", "b@1", "c@1", "d@1", "e@1", "f@1"}, Hold: 2}}, 3)
+	p.run(t, []Pool{{Name: "p", Models: []string{"a@2", "b@1", "c@1", "d@1", "e@1", "f@1"}, ModelsPerServer: 2}}, 3)
 	is.Equal(p.serving("a"), 7) // 40 places for 6 models
 	is.True(p.least >= 7)
 }
@@ -189,7 +189,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		models := rapid.SliceOfN(rapid.SampledFrom([]string{"a@1", "a@2", "b@1", "c@1", "d", "", "@"}), 0, 8)
 		pools := []Pool{
-			{Name: "p", Models: models.Draw(t, "models"), Hold: rapid.IntRange(-1, 4).Draw(t, "hold"), Room: rapid.IntRange(-1, 3).Draw(t, "room")},
+			{Name: "p", Models: models.Draw(t, "models"), ModelsPerServer: rapid.IntRange(-1, 4).Draw(t, "hold"), MaxModels: rapid.IntRange(-1, 3).Draw(t, "room")},
 			{Name: "p", Models: []string{"x"}},
 			{Name: "q", Models: []string{"y"}},
 		}
@@ -197,7 +197,7 @@
 		for range rapid.IntRange(0, 12).Draw(t, "members") {
 			m := Member{
 				Server: address(rapid.IntRange(0, 9).Draw(t, "server")), Pool: rapid.SampledFrom([]string{"p", "q", "stranger"}).Draw(t, "pool"),
-				Held: models.Draw(t, "held"), Leaving: rapid.Bool().Draw(t, "leaving"),
+				Loaded: models.Draw(t, "held"), Leaving: rapid.Bool().Draw(t, "leaving"),
 			}
 			if rapid.IntRange(0, 9).Draw(t, "none") == 0 {
 				m.Server = netip.AddrPort{}
@@ -210,7 +210,7 @@
 			if slices.ContainsFunc(a.Models, func(m string) bool { return m == "y" }) {
 				continue
 			}
-			if pools[0].Hold > 0 && len(a.Models) > pools[0].Hold || len(slices.Compact(slices.Clone(a.Models))) != len(a.Models) {
+			if pools[0].ModelsPerServer > 0 && len(a.Models) > pools[0].ModelsPerServer || len(slices.Compact(slices.Clone(a.Models))) != len(a.Models) {
 				t.Fatal("holds too many", a)
 			}
 			places++
@@ -219,8 +219,8 @@
 			}
 		}
 		want := wanted(pools[0])
-		if pools[0].Hold > 0 {
-			places *= pools[0].Hold
+		if pools[0].ModelsPerServer > 0 {
+			places *= pools[0].ModelsPerServer
 		} else {
 			places *= len(want)
 		}
@@ -260,7 +260,7 @@
 			for i := range 36 {
 				models = append(models, fmt.Sprint("m", i, "@1"))
 			}
-			pools := []Pool{{Name: "p", Models: models, Hold: 2}}
+			pools := []Pool{{Name: "p", Models: models, ModelsPerServer: 2}}
 			members := fleet(n, "m0@1")
 			for b.Loop() {
 				Plan(pools, members, 3)
--- a/internal/process/beechagent/models.go
+++ b/internal/process/beechagent/models.go
@@ -77,9 +77,9 @@
 	}
 	plan := beechload.Plan(
 		[]beechload.Pool{{Name: pool.Name, Models: wantedModels(configuration, pool)}},
-		[]beechload.Member{{Server: a.settings.Listen, Pool: pool.Name, Held: report.Models, Loading: first(report.Loading)}},
+		[]beechload.Member{{Server: a.settings.Listen, Pool: pool.Name, Loaded: report.Models, Loading: first(report.Loading)}},
 		max(1, configuration.Manifest.Targets.MaxLoads))
-	step, found := beechload.Next(plan, a.settings.Listen)
+	step, found := beechload.NextStep(plan, a.settings.Listen)
 	if !found {
 		a.view.retire(nil)
 		return nil
