--- a/internal/request/beechrollout/backlog.go
+++ b/internal/request/beechrollout/backlog.go
@@ -2,55 +2,56 @@
 
 import "time"
 
-// PrefillBacklog estimates what an engine still has to read of the long prompts that
-// gates have announced. The zero value has nothing to read. It is not safe for
-// concurrent use.
+// PrefillBacklog estimates how many tokens of announced long prompts an engine has
+// still to prefill. The zero value is an empty backlog. It is not safe for concurrent
+// use.
 type PrefillBacklog struct {
-	left float64
-	at   time.Time
-	rate float64 // prompt tokens in a millisecond, as gates tell; 0 is not known
+	tokens      float64 // at updatedAt
+	updatedAt   time.Time
+	tokensPerMs float64 // prefill rate reported by gates; 0: not known
 }
 
 const (
-	// readRate is taken until a gate has told a rate: below what the known
-	// engines read alone (41 to 75 tokens in a millisecond).
-	readRate = 38
-	// ratesOver is over how many gates' words the rate is followed.
-	ratesOver = 8
+	// defaultTokensPerMs is used until a gate has reported a rate. It is below what the
+	// known engines reach with a single prompt (41 to 75 tokens per millisecond).
+	defaultTokensPerMs = 38
+	// rateSmoothing is the number of reports over which the rate is averaged.
+	rateSmoothing = 8
 )
 
-// ObserveRate takes in how many tokens in a millisecond a gate sees engines read; 0 is
-// nothing.
-func (r *PrefillBacklog) ObserveRate(rate float64, now time.Time) {
+// ObserveRate records the prefill rate, in tokens per millisecond, that a gate has
+// measured; 0 is ignored.
+func (b *PrefillBacklog) ObserveRate(rate float64, now time.Time) {
 	if rate <= 0 {
 		return
 	}
-	r.left, r.at = float64(r.Remaining(now)), now
-	r.rate = r.pace() + (rate-r.pace())/ratesOver
+	b.tokens, b.updatedAt = float64(b.Remaining(now)), now
+	b.tokensPerMs = b.currentRate() + (rate-b.currentRate())/rateSmoothing
 }
 
-func (r *PrefillBacklog) pace() float64 {
-	if r.rate > 0 {
-		return r.rate
+func (b *PrefillBacklog) currentRate() float64 {
+	if b.tokensPerMs > 0 {
+		return b.tokensPerMs
 	}
-	return readRate
+	return defaultTokensPerMs
 }
 
-// Add takes in a prompt that is on its way.
-func (r *PrefillBacklog) Add(tokens int, now time.Time) {
-	r.left = float64(r.Remaining(now) + max(tokens, 0))
-	r.at = now
+// Add records a prompt that is being sent to the engine.
+func (b *PrefillBacklog) Add(tokens int, now time.Time) {
+	b.tokens = float64(b.Remaining(now) + max(tokens, 0))
+	b.updatedAt = now
 }
 
-// Remaining is what is left to read.
-func (r *PrefillBacklog) Remaining(now time.Time) int {
-	passed := float64(max(now.Sub(r.at), 0)) / float64(time.Millisecond)
-	return int(max(r.left-passed*r.pace(), 0))
+// Remaining returns the number of tokens still to prefill.
+func (b *PrefillBacklog) Remaining(now time.Time) int {
+	elapsed := float64(max(now.Sub(b.updatedAt), 0)) / float64(time.Millisecond)
+	return int(max(b.tokens-elapsed*b.currentRate(), 0))
 }
 
-// Clear tells that at a time the engine had nothing waiting.
-func (r *PrefillBacklog) Clear(at time.Time) {
-	if at.After(r.at) {
-		r.left, r.at = 0, at
+// Clear records that the engine had no waiting requests at the given time.
+// Prompts added later than that stay in the backlog.
+func (b *PrefillBacklog) Clear(at time.Time) {
+	if at.After(b.updatedAt) {
+		b.tokens, b.updatedAt = 0, at
 	}
 }
--- a/internal/request/beechrollout/backlog_test.go
+++ b/internal/request/beechrollout/backlog_test.go
@@ -7,35 +7,35 @@
 	"github.com/matryer/is"
 )
 
-func TestReading(t *testing.T) {
+func TestPrefillBacklog(t *testing.T) {
 	is := is.New(t)
-	var r PrefillBacklog
+	var b PrefillBacklog
 	now := time.Unix(1000, 0)
-	is.Equal(r.Remaining(now), 0)
-	r.Add(10*readRate, now)
-	is.Equal(r.Remaining(now.Add(4*time.Millisecond)), 6*readRate)
-	r.Add(4*readRate, now.Add(4*time.Millisecond))
-	is.Equal(r.Remaining(now.Add(4*time.Millisecond)), 10*readRate)
-	r.Clear(now) // seen before the second prompt came in
-	is.Equal(r.Remaining(now.Add(4*time.Millisecond)), 10*readRate)
-	r.Clear(now.Add(5 * time.Millisecond))
-	is.Equal(r.Remaining(now.Add(5*time.Millisecond)), 0)
-	r.Add(-5, now.Add(6*time.Millisecond))
-	is.Equal(r.Remaining(now.Add(6*time.Millisecond)), 0)
+	is.Equal(b.Remaining(now), 0)
+	b.Add(10*defaultTokensPerMs, now)
+	is.Equal(b.Remaining(now.Add(4*time.Millisecond)), 6*defaultTokensPerMs)
+	b.Add(4*defaultTokensPerMs, now.Add(4*time.Millisecond))
+	is.Equal(b.Remaining(now.Add(4*time.Millisecond)), 10*defaultTokensPerMs)
+	b.Clear(now) // observed before the second prompt was added
+	is.Equal(b.Remaining(now.Add(4*time.Millisecond)), 10*defaultTokensPerMs)
+	b.Clear(now.Add(5 * time.Millisecond))
+	is.Equal(b.Remaining(now.Add(5*time.Millisecond)), 0)
+	b.Add(-5, now.Add(6*time.Millisecond))
+	is.Equal(b.Remaining(now.Add(6*time.Millisecond)), 0)
 }
 
-// Engines read twice as fast as was assumed. Gates see it and tell; believed to be
-// busy for twice as long, an engine would be passed over by callers whose history
-// lies there.
-func TestReadingFollowsWhatGatesSee(t *testing.T) {
+// Engines prefill twice as fast as the default rate, which gates measure and report. With
+// the default rate, an engine would count as busy for twice as long, and callers whose
+// history it has cached would be sent elsewhere.
+func TestPrefillBacklogUsesMeasuredRate(t *testing.T) {
 	is := is.New(t)
-	var r PrefillBacklog
+	var b PrefillBacklog
 	now := time.Unix(1000, 0)
-	r.ObserveRate(0, now) // a gate that has seen nothing yet
+	b.ObserveRate(0, now) // a gate without a measurement yet
 	for range 100 {
-		r.ObserveRate(2*readRate, now)
+		b.ObserveRate(2*defaultTokensPerMs, now)
 	}
-	r.Add(10*readRate, now)
-	is.Equal(r.Remaining(now.Add(5*time.Millisecond)), 0)
-	is.True(r.Remaining(now.Add(4*time.Millisecond)) > 0)
+	b.Add(10*defaultTokensPerMs, now)
+	is.Equal(b.Remaining(now.Add(5*time.Millisecond)), 0)
+	is.True(b.Remaining(now.Add(4*time.Millisecond)) > 0)
 }
--- a/internal/request/beechrollout/loadwindow.go
+++ b/internal/request/beechrollout/loadwindow.go
@@ -6,159 +6,164 @@
 	"time"
 )
 
-// LoadWindow learns how many engines may load at once from how long loads take, as
-// TCP learns its window from round trips: twice as many a round while they take no
-// longer than alone, fewer when they stretch, and from then on one more a round. It
-// is not safe for concurrent use.
+// LoadWindow learns from load times how many engines may load weights at once, much as
+// TCP sizes its congestion window from round-trip times: it doubles per round while
+// loads take no longer than they do alone, shrinks when they slow down, and from then
+// on grows by one per round. It is not safe for concurrent use.
 //
-// How many a store of weights serves without slowing down is on no sheet that
-// the router reads. With some times as many, each load takes several times as long,
-// and no engine can be used for seconds.
+// The capacity of a weight store is not part of any configuration that the router
+// reads. With several times as many loads as the store can serve at full speed, each
+// load takes several times as long, and the engines are out of service for seconds.
 type LoadWindow struct {
-	most  float64       // engines; 0 is not known yet
-	base  time.Duration // of a load where few are at it
-	cutAt time.Time     // when loads stretched last; zero: never
-	began map[string]*load
+	size         float64          // engines; 0: not known yet
+	baseLoadTime time.Duration    // of a load with few others under way; 0: not known
+	reducedAt    time.Time        // when the window last shrank; zero: never
+	loads        map[string]*load // under way, by engine
 }
 
-// Fleet is what a pace needs to know of the engines.
+// Fleet is the state of the engines that a LoadWindow needs.
 type Fleet struct {
 	Engines     int
-	Down        int             // that serve nobody, without loading weights
-	Utilization float64         // share of the slots of the others that is taken
-	Expired     int             // whose weights may not be used any more: they serve nobody before they are refreshed
-	TimeLeft    []time.Duration // of those with weights that were overtaken, until these may not be used; the shortest first
+	Down        int             // serving nothing for a reason other than loading weights
+	Utilization float64         // share of the slots of serving engines that is in use
+	Expired     int             // with expired weights: they serve nothing until they are updated
+	TimeLeft    []time.Duration // until the superseded weights of each engine expire, shortest first
 }
 
 // load is one engine's load that is under way.
 type load struct {
-	at     time.Time
-	had    uint64 // version before it
-	beside int    // loads that were under way together meanwhile, itself included
+	startedAt     time.Time
+	versionBefore uint64
+	concurrent    int // the most loads under way together so far, this one included
 }
 
 const (
-	// paceLeast load at once at first, or in a large fleet one in paceFirstShare,
-	// and twice as many with each round until
-	// loads stretch: begun with more than the store serves, no load would show how
-	// long one takes alone. With one more a round 120 engines whose loads never
-	// stretched had 7 at once after 6 s and 32 after 15 s.
-	paceLeast = 2
-	// paceFirstShare: where a store serves fewer than so small a part of its fleet
-	// at once, no pace refreshes the fleet within any bound that operators state.
-	paceFirstShare = 30
-	// spareMost of the engines at the most are out of service for weights or by
-	// themselves, while nothing presses, and never fewer than spareLeast: the others
-	// carry the callers. In between it is what stays when those have headroom times
-	// the work that they have now.
-	spareMost  = 1. / 3
-	spareLeast = 0.1
-	headroom   = 2
-	rounding   = 1e-6 // a share of a whole number of engines that comes out just below it
-	// turnBeside is a turn's time beside the load: the notice before the order and
-	// the words before and after it.
-	turnBeside = 650 * time.Millisecond
-	// stretched is how much longer than alone a load takes where too many are
-	// at it; inTime is what is taken for as long as alone.
-	stretched = 1.6
-	inTime    = 1.25
-	// noticed is how late the beginning and the end of a load may be seen.
-	noticed = 120 * time.Millisecond
-	paceCut = 0.7
-	// baseShift weighs a load with few beside it that took longer than before:
-	// 1/8, so that a changed engine or store is followed within ten such loads.
-	baseShift = 3
-	// forgotten is when a load that was not seen to end is not counted any more:
-	// its engine is gone. The slowest known store takes 17 s with many at it.
-	forgotten = time.Minute
+	// minInitialSize is the initial size in a small fleet. In a large one it is the
+	// fleet's size over initialSizeDivisor. It doubles with each round until loads slow
+	// down. Starting above the store's capacity, no load would show how long one takes
+	// alone. Growing by one per round instead, 120 engines whose loads never slowed
+	// down loaded 7 at once after 6 s and 32 after 15 s.
+	minInitialSize = 2
+	// initialSizeDivisor gives the smallest part of a fleet that is worth starting with: a
+	// store that cannot serve even so few loads at once could not update the fleet within
+	// any bound that operators set.
+	initialSizeDivisor = 30
+	// While no weights are about to expire, at most maxSpareShare of the engines are
+	// updating or down, and minSpareShare may always be: the others serve the requests.
+	// Between the two limits, enough engines stay in service for headroomFactor times
+	// the current number of requests.
+	maxSpareShare     = 1. / 3
+	minSpareShare     = 0.1
+	headroomFactor    = 2
+	roundingTolerance = 1e-6 // for a share of a whole number of engines that comes out just below it
+	// updateOverhead is the part of an update that is not the load: draining the engine
+	// before the order, and the messages before and after it.
+	updateOverhead = 650 * time.Millisecond
+	// A load that takes more than slowdownFactor times baseLoadTime shows that too many
+	// are under way; up to unslowedFactor it counts as taking as long as alone.
+	slowdownFactor = 1.6
+	unslowedFactor = 1.25
+	// observationDelay is how late the start and the end of a load may be observed.
+	observationDelay = 120 * time.Millisecond
+	decreaseFactor   = 0.7
+	// baseLoadTimeShift is the weight, 1/8, of a load with few others under way that
+	// took longer than baseLoadTime: a change of the engine or the store is followed
+	// within ten such loads.
+	baseLoadTimeShift = 3
+	// loadTimeout is when a load whose end was not observed stops counting: its engine is
+	// gone. The slowest known store takes 17 s with many loads under way.
+	loadTimeout = time.Minute
 )
 
-// NewLoadWindow returns a pace that has seen no load.
-func NewLoadWindow() *LoadWindow { return &LoadWindow{began: make(map[string]*load)} }
+// NewLoadWindow returns a window that has observed no load.
+func NewLoadWindow() *LoadWindow { return &LoadWindow{loads: make(map[string]*load)} }
 
-// Limit is how many engines may be taking new weights at once.
+// Limit returns how many engines may update at once.
 //
-// With a third of a fleet crashed and a third more loading, those that were left
-// could not carry the callers, and half of these were refused or late. So what is
-// down counts too, and engines with much to do keep more of the others at work; but
-// always as many take their turns as it needs to be done before old weights may not
-// be used any more, since all engines that are left behind go out of service then.
-func (p *LoadWindow) Limit(f Fleet) int {
-	if p.most == 0 && f.Engines > 0 {
-		p.most = float64(max(paceLeast, f.Engines/paceFirstShare))
+// Engines that are down count against the limit. With a third of a fleet crashed and
+// another third loading, the rest could not serve all requests, and half of these
+// were rejected or late. High utilization lowers the limit too. But up to
+// maxSpareShare of the fleet, the limit is what it takes to update all engines before
+// superseded weights expire, since those that are not updated by then go out of
+// service together.
+func (w *LoadWindow) Limit(f Fleet) int {
+	if w.size == 0 && f.Engines > 0 {
+		w.size = float64(max(minInitialSize, f.Engines/initialSizeDivisor))
 	}
-	share := min(max(1-headroom*f.Utilization, spareLeast), spareMost)
-	spare := int(share*float64(f.Engines)+rounding) - f.Down
-	atOnce := max(spare, min(p.needed(f), int(spareMost*float64(f.Engines))), paceLeast) + f.Expired
-	return max(min(int(p.most), atOnce), 1)
+	share := min(max(1-headroomFactor*f.Utilization, minSpareShare), maxSpareShare)
+	spare := int(share*float64(f.Engines)+roundingTolerance) - f.Down
+	limit := max(spare, min(w.requiredConcurrency(f), int(maxSpareShare*float64(f.Engines))), minInitialSize) + f.Expired
+	return max(min(int(w.size), limit), 1)
 }
 
-// MissesDeadline tells whether not all engines can be refreshed before their weights may not
-// be used any more, as loads take their time now. Callers come to those that are,
-// and an operator who names versions faster than that should know.
-func (p *LoadWindow) MissesDeadline(f Fleet) bool {
-	return f.Expired > 0 || p.needed(f) > min(int(p.most), int(spareMost*float64(f.Engines)))
+// MissesDeadline reports whether some engines cannot be updated before their weights
+// expire, at the current load times. Requests are then concentrated on the updated
+// engines, and an operator who announces versions faster than that should know.
+func (w *LoadWindow) MissesDeadline(f Fleet) bool {
+	return f.Expired > 0 || w.requiredConcurrency(f) > min(int(w.size), int(maxSpareShare*float64(f.Engines)))
 }
 
-// needed is how many must take their turns at once for all to be done in time: for
-// each engine those that have as little time left as it, or less.
-func (p *LoadWindow) needed(f Fleet) int {
-	turn := float64(p.base + turnBeside)
-	needed := 0.
+// requiredConcurrency returns how many engines must update at once for all to finish
+// in time: for each engine, it counts those with as little time left or less.
+func (w *LoadWindow) requiredConcurrency(f Fleet) int {
+	updateTime := float64(w.baseLoadTime + updateOverhead)
+	required := 0.
 	for i, left := range f.TimeLeft {
-		needed = max(needed, float64(i+1)*turn/float64(max(left, time.Millisecond)))
+		required = max(required, float64(i+1)*updateTime/float64(max(left, time.Millisecond)))
 	}
-	return int(needed)
+	return int(required)
 }
 
-// Size is how many may load at once as learned, before it is held inside the
-// fleet's bounds; 0 is not known.
-func (p *LoadWindow) Size() float64 { return p.most }
+// Size returns how many engines may load at once as learned from load times, before
+// Limit applies the bounds of the fleet; 0: not known.
+func (w *LoadWindow) Size() float64 { return w.size }
 
-// BaseLoadTime is the time that a load takes where few are at it; 0 is not known.
-func (p *LoadWindow) BaseLoadTime() time.Duration { return p.base }
+// BaseLoadTime returns how long a load takes with few others under way; 0: not known.
+func (w *LoadWindow) BaseLoadTime() time.Duration { return w.baseLoadTime }
 
-// Observe takes in an engine's phase, its version of the weights that are rolled out
-// and how long its keeper says that its last load took; 0 is not told. Took is how
-// long the load took that ended with it, 0 if none did. What ends without newer
-// weights was no load: an order was lost, or the engine went down.
-func (p *LoadWindow) Observe(engine string, phase Phase, version uint64, told time.Duration, now time.Time) (took time.Duration) {
-	l, loading := p.began[engine]
+// Observe records an engine's phase, the version of the weights that are being rolled
+// out, and how long its last load took as its keeper measured it (0: not reported).
+// It returns how long the load took that ended with this report, or 0 if none did. A
+// phase of loading that ends without newer weights was no load: the order was lost,
+// or the engine went down.
+func (w *LoadWindow) Observe(engine string, phase Phase, version uint64, reported time.Duration, now time.Time) (took time.Duration) {
+	l, loading := w.loads[engine]
 	switch {
 	case phase == Loading && !loading:
-		maps.DeleteFunc(p.began, func(_ string, l *load) bool { return now.Sub(l.at) > forgotten })
-		p.began[engine] = &load{at: now, had: version}
-		for _, other := range p.began {
-			other.beside = max(other.beside, len(p.began))
+		maps.DeleteFunc(w.loads, func(_ string, l *load) bool { return now.Sub(l.startedAt) > loadTimeout })
+		w.loads[engine] = &load{startedAt: now, versionBefore: version}
+		for _, other := range w.loads {
+			other.concurrent = max(other.concurrent, len(w.loads))
 		}
 	case phase != Loading && loading:
-		delete(p.began, engine)
-		if phase == Serving && version > l.had {
-			took = cmp.Or(told, now.Sub(l.at))
-			p.learn(took, l.beside, now)
+		delete(w.loads, engine)
+		if phase == Serving && version > l.versionBefore {
+			took = cmp.Or(reported, now.Sub(l.startedAt))
+			w.adjust(took, l.concurrent, now)
 		}
 	}
 	return took
 }
 
-func (p *LoadWindow) learn(took time.Duration, beside int, now time.Time) {
+// adjust updates the base load time and the window after a load.
+func (w *LoadWindow) adjust(took time.Duration, concurrent int, now time.Time) {
 	switch {
-	case p.base == 0:
-		p.base = took
-	case took < p.base:
-		p.base -= (p.base - took) / 2
-	case beside <= paceLeast:
-		p.base += min(took-p.base, p.base) >> baseShift
+	case w.baseLoadTime == 0:
+		w.baseLoadTime = took
+	case took < w.baseLoadTime:
+		w.baseLoadTime -= (w.baseLoadTime - took) / 2
+	case concurrent <= minInitialSize:
+		w.baseLoadTime += min(took-w.baseLoadTime, w.baseLoadTime) >> baseLoadTimeShift
 	}
 	switch {
-	case took > time.Duration(float64(p.base)*stretched)+noticed:
-		if now.Sub(p.cutAt) > p.base {
-			p.most, p.cutAt = max(p.most*paceCut, 1), now
+	case took > time.Duration(float64(w.baseLoadTime)*slowdownFactor)+observationDelay:
+		if now.Sub(w.reducedAt) > w.baseLoadTime {
+			w.size, w.reducedAt = max(w.size*decreaseFactor, 1), now
 		}
-	case took > time.Duration(float64(p.base)*inTime)+noticed:
-	case p.cutAt.IsZero() && beside >= int(p.most)/2:
-		p.most++ // each load of a round: twice as many in the next, which grows while this one ends
-	case beside >= int(p.most):
-		p.most += 1 / max(p.most, 1)
+	case took > time.Duration(float64(w.baseLoadTime)*unslowedFactor)+observationDelay:
+	case w.reducedAt.IsZero() && concurrent >= int(w.size)/2:
+		w.size++ // once per load, so the window doubles per round, already while the round is ending
+	case concurrent >= int(w.size):
+		w.size += 1 / max(w.size, 1)
 	}
 }
--- a/internal/request/beechrollout/schedule_test.go
+++ b/internal/request/beechrollout/schedule_test.go
@@ -19,8 +19,8 @@
 	return engines
 }
 
-// drawn gives a fleet in any state.
-func drawn(t *rapid.T) []Engine {
+// drawFleet returns a fleet in an arbitrary state.
+func drawFleet(t *rapid.T) []Engine {
 	engines := fleet(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(1, 100).Draw(t, "each"))
 	for i := range engines {
 		e := &engines[i]
@@ -31,60 +31,60 @@
 	return engines
 }
 
-// Whatever engines say, no more than may load at once are at it, none has a turn
-// that has the newest weights or cannot take it, and none waits behind one with
-// newer weights.
-func TestTurns(t *testing.T) {
+// In any state, no more engines than allowed update at once; an engine is selected only if
+// it has older weights and can load new ones; and no engine waits behind one with newer
+// weights.
+func TestNextUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines := drawn(t)
-		newest, most := uint64(4), rapid.IntRange(1, 40).Draw(t, "most")
+		engines := drawFleet(t)
+		newest, limit := uint64(4), rapid.IntRange(1, 40).Draw(t, "most")
 		byID := map[string]Engine{}
-		atIt := 0
+		updating := 0
 		for _, e := range engines {
 			byID[e.ID] = e
 			if !e.KeeperTimedOut && (e.Phase == Leaving || e.Phase == Loading) {
-				atIt++
+				updating++
 			}
 		}
-		var youngest uint64
-		has := map[string]bool{}
-		for _, id := range NextUpdates(engines, newest, most) {
+		var newestSelected uint64
+		selected := map[string]bool{}
+		for _, id := range NextUpdates(engines, newest, limit) {
 			e := byID[id]
-			if e.KeeperTimedOut || e.Phase != Serving || e.Version >= newest || has[id] {
-				t.Fatalf("%+v has a turn", e)
+			if e.KeeperTimedOut || e.Phase != Serving || e.Version >= newest || selected[id] {
+				t.Fatalf("%+v is selected", e)
 			}
-			has[id] = true
-			youngest = max(youngest, e.Version)
+			selected[id] = true
+			newestSelected = max(newestSelected, e.Version)
 		}
-		if len(has) > max(most-atIt, 0) {
-			t.Fatalf("%d turns where %d of %d are at it", len(has), atIt, most)
+		if len(selected) > max(limit-updating, 0) {
+			t.Fatalf("%d selected with %d of %d updating", len(selected), updating, limit)
 		}
-		waits := 0
+		waiting := 0
 		for _, e := range engines {
-			if !has[e.ID] && !e.KeeperTimedOut && e.Phase == Serving && e.Version < newest {
-				waits++
-				if e.Version < youngest {
-					t.Fatalf("%+v waits behind version %d", e, youngest)
+			if !selected[e.ID] && !e.KeeperTimedOut && e.Phase == Serving && e.Version < newest {
+				waiting++
+				if e.Version < newestSelected {
+					t.Fatalf("%+v waits behind version %d", e, newestSelected)
 				}
 			}
 		}
-		if waits > 0 && len(has) < most-atIt {
-			t.Fatalf("%d wait while only %d turns are given", waits, len(has))
+		if waiting > 0 && len(selected) < limit-updating {
+			t.Fatalf("%d wait while only %d are selected", waiting, len(selected))
 		}
 	})
 }
 
-// Gates have their lists in different orders, and must grant the same turns.
-func TestTurnsAreTheSameInAllGates(t *testing.T) {
+// Gates list the engines in different orders but must select the same ones.
+func TestNextUpdatesDoNotDependOnListOrder(t *testing.T) {
 	is := is.New(t)
 	engines := fleet(3, 5)
-	turned := append([]Engine(nil), engines[7:]...)
-	turned = append(turned, engines[:7]...)
-	is.Equal(NextUpdates(engines, 2, 4), NextUpdates(turned, 2, 4))
-	is.Equal(FallbackDelays(engines, time.Second), FallbackDelays(turned, time.Second))
+	rotated := append([]Engine(nil), engines[7:]...)
+	rotated = append(rotated, engines[:7]...)
+	is.Equal(NextUpdates(engines, 2, 4), NextUpdates(rotated, 2, 4))
+	is.Equal(FallbackDelays(engines, time.Second), FallbackDelays(rotated, time.Second))
 }
 
-func TestZonesTakeTurns(t *testing.T) {
+func TestNextUpdatesAlternateZones(t *testing.T) {
 	is := is.New(t)
 	zones := map[byte]int{}
 	for _, id := range NextUpdates(fleet(3, 5), 2, 3) {
@@ -93,9 +93,9 @@
 	is.Equal(len(zones), 3)
 }
 
-// A fleet that has lost all its gates must not load all at once, nor after the
-// bound.
-func TestAloneIsSpread(t *testing.T) {
+// A fleet that has lost all its gates must neither load all at once nor finish after its
+// weights expire.
+func TestFallbackDelaysAreSpread(t *testing.T) {
 	is := is.New(t)
 	seen := map[time.Duration]bool{}
 	for _, d := range FallbackDelays(fleet(3, 6), 8*time.Second) {
--- a/internal/request/beechrollout/settings.go
+++ b/internal/request/beechrollout/settings.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Settings of an engine's turns. Zero values are taken from Defaults.
+// Settings configures an Updater. Zero values are taken from Defaults.
 type Settings struct {
-	DrainTime time.Duration // an engine is left alone for so long before its order
+	DrainTime time.Duration // how long an engine receives no new requests before its order
 }
 
-// Defaults are the settings where none are given; docs/decisions/weights.md has the
-// reason for Lead.
+// Defaults holds the default settings; docs/decisions/weights.md explains the choice of
+// DrainTime.
 var Defaults = Settings{DrainTime: 500 * time.Millisecond}
 
 func (s Settings) withDefaults() Settings {
--- a/internal/request/beechrollout/updater.go
+++ b/internal/request/beechrollout/updater.go
@@ -3,96 +3,97 @@
 import "time"
 
 type (
-	// Target is the version that an engine is to have.
+	// Target is the version that an engine is to load.
 	Target struct {
 		Model      string
 		Version    uint64
-		Fence      uint64    // grows with the version
-		Granted    bool      // the engine's turn has come
-		FallbackAt time.Time // it takes its turn by itself then, if no gate is heard
+		Fence      uint64    // fencing token; grows with the version
+		Granted    bool      // a gate has scheduled the update
+		FallbackAt time.Time // when the keeper updates the engine on its own if it hears from no gate
 	}
 
-	// Report is what an engine says of itself.
+	// Report is the state that an engine reports.
 	Report struct {
 		Known    bool
 		Versions map[string]uint64
 		Busy     bool // an order is being carried out
 		Sequence uint64
-		Born     uint64 // Unix milliseconds at which its lifetime began; 0 is not told
+		Born     uint64 // when its lifetime began, in Unix milliseconds; 0: not reported
 		Running  int
 		Waiting  int
 	}
 
-	// Updater takes one engine through its turns. It is not safe for concurrent
-	// use.
+	// Updater is the state machine that takes one engine through its weight updates.
+	// It is not safe for concurrent use.
 	Updater struct {
-		settings   Settings
-		targets    map[string]Target
-		versions   map[string]*VersionHistory
-		heard      time.Time // when a gate last named a target
-		left       time.Time // when the engine left the choice; zero: it is in it
-		tried      time.Time // when the last order was sent
-		silent     int       // reports in a row that did not come
-		unanswered int       // orders in a row
-		loading    bool      // an order was sent and is not seen to have ended
-		began      time.Time // when the load under way was taken up; zero: none is
-		had        uint64    // sum of the engine's versions then
-		took       time.Duration
-		ordered    Target // by the last order
-		last       Report // the last that came
+		settings         Settings
+		targets          map[string]Target
+		versions         map[string]*VersionHistory
+		targetSetAt      time.Time     // when a gate last sent a target
+		drainingSince    time.Time     // when the engine stopped taking new requests; zero: it takes them
+		orderedAt        time.Time     // when the last order was sent
+		missedReports    int           // consecutive
+		unansweredOrders int           // consecutive
+		orderPending     bool          // an order was sent and is not known to have ended
+		loadStartedAt    time.Time     // when the order for the load under way was accepted; zero: no load
+		versionSumBefore uint64        // Report.versionSum before that load
+		loadTime         time.Duration // of the last load
+		orderedTarget    Target        // of the last order
+		lastReport       Report        // that arrived
 	}
 
-	// Step is what to do next: Wait, Leave or Order.
+	// Step is what to do next: Wait or Order.
 	Step interface{ step() }
 
-	// Wait does nothing for a time. Phase says how the engine may be used.
+	// Wait calls for no action for the duration After. Phase is how the engine may be
+	// used meanwhile.
 	Wait struct {
 		After time.Duration
 		Phase Phase
 	}
 
-	// Order sends the order for the target, on condition that the engine's
-	// sequence is still Sequence.
+	// Order is to be sent for the target, on the condition that the engine's sequence
+	// number is still Sequence.
 	Order struct {
 		Target   Target
 		Sequence uint64
 	}
 
-	// Answer is how an engine took an order.
+	// Answer is an engine's response to an order.
 	Answer int
 
-	// Phase says how an engine may be used.
+	// Phase is how an engine may be used.
 	Phase int
 )
 
 // Phases of an engine.
 const (
 	Serving Phase = iota
-	Leaving       // no new work, its turn is near
+	Leaving       // draining: it receives no new requests, since its update is about to start
 	Loading       // an order is being carried out
 	Down          // it does not answer its own host
 )
 
 // Answers to orders.
 const (
-	Taken    Answer = iota // it is being carried out, or holds already
-	Conflict               // another is under way, or the sequence differs: look again
+	Taken    Answer = iota // the order is being carried out or already holds
+	Conflict               // another order is being carried out, or the sequence differs: check the state again
 	Silent                 // no answer
 )
 
 const (
-	idlePoll    = 200 * time.Millisecond
-	activePoll  = 40 * time.Millisecond
-	repeatAfter = 700 * time.Millisecond // an order without effect is sent again
-	silentMost  = 2                      // one report may be lost with a kept connection
-	aloneAfter  = 3 * time.Second        // without a gate's word a keeper acts by itself; gates speak each 0.7 s
-	settleTime  = 60 * time.Millisecond  // what was sent before the gates heard of leaving has arrived by then
+	idlePollInterval       = 200 * time.Millisecond
+	activePollInterval     = 40 * time.Millisecond
+	orderRetryInterval     = 700 * time.Millisecond // an order without effect is repeated
+	missedReportsUntilDown = 2                      // one report may be lost with a kept-alive connection
+	gateTimeout            = 3 * time.Second        // without messages from gates, a keeper acts on its own; gates send every 0.7 s
+	inFlightDelay          = 60 * time.Millisecond  // requests sent before the gates learned of the draining have arrived by then
 )
 
 func (Wait) step()  {}
 func (Order) step() {}
 
-// String names a phase, as metrics do.
+// String returns the phase's name in metrics.
 func (p Phase) String() string {
 	switch p {
 	case Serving:
@@ -104,10 +105,10 @@
 	case Down:
 		return "down"
 	}
-	return "unknown" // it came in a datagram
+	return "unknown" // received in a datagram
 }
 
-// String names an answer, as metrics do.
+// String returns the answer's name in metrics.
 func (a Answer) String() string {
 	switch a {
 	case Taken:
@@ -118,37 +119,37 @@
 	return "silent"
 }
 
-// NewUpdater returns the turns of one engine, which has no target yet.
+// NewUpdater returns an updater that has no target yet.
 func NewUpdater(s Settings) *Updater {
 	return &Updater{settings: s.withDefaults(), targets: make(map[string]Target), versions: make(map[string]*VersionHistory)}
 }
 
-// SetTarget takes in a gate's word on a target. A turn that any gate has granted
-// stays granted. Older versions are passed over, so a version that was overtaken
-// before the order is never loaded.
-func (t *Updater) SetTarget(target Target, now time.Time) {
-	t.heard = now
-	if t.versions[target.Model] == nil {
-		t.versions[target.Model] = &VersionHistory{}
+// SetTarget records a target that a gate has sent. An update granted by any gate stays
+// granted. Older versions are ignored, so a version that is superseded before its order
+// is sent is never loaded.
+func (u *Updater) SetTarget(target Target, now time.Time) {
+	u.targetSetAt = now
+	if u.versions[target.Model] == nil {
+		u.versions[target.Model] = &VersionHistory{}
 	}
-	t.versions[target.Model].Add(target.Version, now)
-	old, ok := t.targets[target.Model]
+	u.versions[target.Model].Add(target.Version, now)
+	old, ok := u.targets[target.Model]
 	if ok && old.Version > target.Version {
 		return
 	}
-	leaving := !t.left.IsZero() && !t.loading
-	if ok && old.Granted && (old.Version == target.Version || leaving) {
+	draining := !u.drainingSince.IsZero() && !u.orderPending
+	if ok && old.Granted && (old.Version == target.Version || draining) {
 		target.Granted = true
 	}
-	t.targets[target.Model] = target
+	u.targets[target.Model] = target
 }
 
-// SupersededFor is the time since the engine's weights were overtaken, as far as this
-// keeper was told; 0: they were not.
-func (t *Updater) SupersededFor(now time.Time) time.Duration {
+// SupersededFor returns for how long the engine's weights have been superseded, as far
+// as this keeper knows; 0: they are not.
+func (u *Updater) SupersededFor(now time.Time) time.Duration {
 	var longest time.Duration
-	for model, have := range t.last.Versions {
-		if v, ok := t.versions[model]; ok {
+	for model, have := range u.lastReport.Versions {
+		if v, ok := u.versions[model]; ok {
 			age, _ := v.SupersededFor(have, now)
 			longest = max(longest, age)
 		}
@@ -156,26 +157,26 @@
 	return longest
 }
 
-// LoadTime is how long the engine's last load took, from the order's being taken up to
-// the report of newer weights; 0 before the first. Only the keeper can tell: what
-// gates see of it begins with the order's sending, and an order without an answer
-// may be taken up seconds later.
-func (t *Updater) LoadTime() time.Duration { return t.took }
+// LoadTime returns how long the engine's last load took, from the order's acceptance
+// to the report of newer weights; 0 before the first load. Only the keeper can measure
+// it: gates see the load begin when the order is sent, and an order without an answer may be
+// accepted seconds later.
+func (u *Updater) LoadTime() time.Duration { return u.loadTime }
 
-// time follows a load from its beginning to its end.
-func (t *Updater) time(now time.Time, r Report) {
+// trackLoad measures a load from its start to its end.
+func (u *Updater) trackLoad(now time.Time, r Report) {
 	switch {
-	case r.Busy && t.began.IsZero():
-		t.began, t.had = now, r.sum()
-	case !r.Busy && !t.began.IsZero() && r.sum() > t.had:
-		t.began, t.took = time.Time{}, now.Sub(t.began)
-	case !r.Busy && !t.loading:
-		t.began = time.Time{}
+	case r.Busy && u.loadStartedAt.IsZero():
+		u.loadStartedAt, u.versionSumBefore = now, r.versionSum()
+	case !r.Busy && !u.loadStartedAt.IsZero() && r.versionSum() > u.versionSumBefore:
+		u.loadStartedAt, u.loadTime = time.Time{}, now.Sub(u.loadStartedAt)
+	case !r.Busy && !u.orderPending:
+		u.loadStartedAt = time.Time{}
 	}
 }
 
-// sum adds up the engine's versions: it grows with each load.
-func (r Report) sum() uint64 {
+// versionSum returns the sum of the versions of all models; it grows with each load.
+func (r Report) versionSum() uint64 {
 	sum := uint64(0)
 	for _, version := range r.Versions {
 		sum += version
@@ -183,118 +184,119 @@
 	return sum
 }
 
-// UnansweredOrders is how many orders in a row the engine has left unanswered.
-func (t *Updater) UnansweredOrders() int { return t.unanswered }
+// UnansweredOrders returns how many consecutive orders the engine has not answered.
+func (u *Updater) UnansweredOrders() int { return u.unansweredOrders }
 
-// Restarted tells whether the engine has begun another lifetime since an
-// earlier report, under the same ID: by its birth, or since its count of orders
-// has gone back.
+// Restarted reports whether the engine has restarted under the same ID since an earlier
+// report: its lifetime began at another time, or its sequence number went back.
 func (r Report) Restarted(before Report) bool {
 	return (r.Born != before.Born && before.Born != 0) || r.Sequence < before.Sequence
 }
 
-// Next says what to do, given what the engine reports.
-func (t *Updater) Next(now time.Time, r Report) Step {
+// Next returns what to do, given the engine's latest report.
+func (u *Updater) Next(now time.Time, r Report) Step {
 	if !r.Known {
-		if t.silent++; t.silent < silentMost {
-			return Wait{After: activePoll, Phase: t.phase()}
+		if u.missedReports++; u.missedReports < missedReportsUntilDown {
+			return Wait{After: activePollInterval, Phase: u.phase()}
 		}
-		return Wait{After: activePoll, Phase: Down}
+		return Wait{After: activePollInterval, Phase: Down}
 	}
-	t.silent = 0
-	if r.Restarted(t.last) {
-		t.done() // an order that was under way is lost with the lifetime it was for
+	u.missedReports = 0
+	if r.Restarted(u.lastReport) {
+		u.endUpdate() // a restart cancels the order that was under way
 	}
-	t.time(now, r)
-	t.last = r
+	u.trackLoad(now, r)
+	u.lastReport = r
 	if r.Busy {
-		t.loading, t.unanswered = true, 0
-		return Wait{After: activePoll, Phase: Loading}
+		u.orderPending, u.unansweredOrders = true, 0
+		return Wait{After: activePollInterval, Phase: Loading}
 	}
-	if t.loading && r.Versions[t.ordered.Model] >= t.ordered.Version {
-		t.done() // a newer one that was named meanwhile has a turn of its own
+	if u.orderPending && r.Versions[u.orderedTarget.Model] >= u.orderedTarget.Version {
+		u.endUpdate() // a newer version announced meanwhile is scheduled separately
 	}
-	target, ok := t.due(r)
+	target, ok := u.pendingTarget(r)
 	if !ok {
-		t.done()
-		return Wait{After: idlePoll, Phase: Serving}
+		u.endUpdate()
+		return Wait{After: idlePollInterval, Phase: Serving}
 	}
-	if t.left.IsZero() && !t.comes(target, now) {
-		return Wait{After: idlePoll, Phase: Serving}
+	if u.drainingSince.IsZero() && !u.mayUpdate(target, now) {
+		return Wait{After: idlePollInterval, Phase: Serving}
 	}
-	if t.left.IsZero() {
-		t.left = now
-		return Wait{After: activePoll, Phase: Leaving}
+	if u.drainingSince.IsZero() {
+		u.drainingSince = now
+		return Wait{After: activePollInterval, Phase: Leaving}
 	}
-	if t.loading && now.Sub(t.tried) < repeatAfter {
-		return Wait{After: activePoll, Phase: Loading}
+	if u.orderPending && now.Sub(u.orderedAt) < orderRetryInterval {
+		return Wait{After: activePollInterval, Phase: Loading}
 	}
-	if t.unanswered > 0 && now.Sub(t.tried) < repeatAfter {
-		// The order may be carried out at any time or never. Until then the
-		// engine works as before; kept out of the choice it would stand idle
-		// for as long as its orders are lost, and a whole fleet with it.
-		return Wait{After: activePoll, Phase: Serving}
+	if u.unansweredOrders > 0 && now.Sub(u.orderedAt) < orderRetryInterval {
+		// The order may be carried out at any time or never. Until then the engine
+		// serves as before; without new requests it, and with it a whole fleet,
+		// would stand idle for as long as orders are lost.
+		return Wait{After: activePollInterval, Phase: Serving}
 	}
-	empty := r.Running == 0 && r.Waiting == 0 && now.Sub(t.left) >= settleTime
-	if t.unanswered == 0 && !empty && now.Sub(t.left) < t.settings.DrainTime {
-		return Wait{After: activePoll, Phase: Leaving}
+	empty := r.Running == 0 && r.Waiting == 0 && now.Sub(u.drainingSince) >= inFlightDelay
+	if u.unansweredOrders == 0 && !empty && now.Sub(u.drainingSince) < u.settings.DrainTime {
+		return Wait{After: activePollInterval, Phase: Leaving}
 	}
-	t.tried, t.loading, t.ordered = now, true, target
+	u.orderedAt, u.orderPending, u.orderedTarget = now, true, target
 	return Order{Target: target, Sequence: r.Sequence}
 }
 
-// RecordAnswer tells how the engine took the last order. Without an answer it may
-// be carried out yet, on condition of the sequence, which it then changes.
-func (t *Updater) RecordAnswer(a Answer) {
+// RecordAnswer records how the engine responded to the last order. An order without an
+// answer may still be carried out as long as the sequence number matches; carrying it out
+// changes that number.
+func (u *Updater) RecordAnswer(a Answer) {
 	switch a {
 	case Taken:
-		t.loading, t.unanswered = true, 0
-		if t.began.IsZero() {
-			t.began, t.had = t.tried, t.last.sum()
+		u.orderPending, u.unansweredOrders = true, 0
+		if u.loadStartedAt.IsZero() {
+			u.loadStartedAt, u.versionSumBefore = u.orderedAt, u.lastReport.versionSum()
 		}
 	case Conflict:
-		t.loading = false
-		t.tried = time.Time{}
+		u.orderPending = false
+		u.orderedAt = time.Time{}
 	case Silent:
-		t.loading = false
-		t.unanswered++
+		u.orderPending = false
+		u.unansweredOrders++
 	}
 }
 
-func (t *Updater) phase() Phase {
+func (u *Updater) phase() Phase {
 	switch {
-	case t.loading:
+	case u.orderPending:
 		return Loading
-	case !t.left.IsZero() && t.unanswered == 0:
+	case !u.drainingSince.IsZero() && u.unansweredOrders == 0:
 		return Leaving
 	}
 	return Serving
 }
 
-// done puts the engine back into the choice.
-func (t *Updater) done() {
-	t.left, t.began = time.Time{}, time.Time{}
-	t.loading, t.unanswered = false, 0
+// endUpdate lets the engine take new requests again.
+func (u *Updater) endUpdate() {
+	u.drainingSince, u.loadStartedAt = time.Time{}, time.Time{}
+	u.orderPending, u.unansweredOrders = false, 0
 }
 
-// comes tells whether the engine's turn has come.
-func (t *Updater) comes(target Target, now time.Time) bool {
-	return target.Granted || (now.Sub(t.heard) >= aloneAfter && !now.Before(target.FallbackAt))
+// mayUpdate reports whether the update may start: a gate has granted it, or no gate
+// is heard and the fallback delay is over.
+func (u *Updater) mayUpdate(target Target, now time.Time) bool {
+	return target.Granted || (now.Sub(u.targetSetAt) >= gateTimeout && !now.Before(target.FallbackAt))
 }
 
-// due gives a target that the engine does not have yet, one whose turn was
-// granted before others.
-func (t *Updater) due(r Report) (Target, bool) {
-	var due Target
+// pendingTarget returns a target that the engine has not loaded yet, preferably one that
+// was granted.
+func (u *Updater) pendingTarget(r Report) (Target, bool) {
+	var pending Target
 	found := false
-	for model, target := range t.targets {
+	for model, target := range u.targets {
 		have, serves := r.Versions[model]
 		if !serves || have >= target.Version {
 			continue
 		}
-		if !found || (target.Granted && !due.Granted) {
-			due, found = target, true
+		if !found || (target.Granted && !pending.Granted) {
+			pending, found = target, true
 		}
 	}
-	return due, found
+	return pending, found
 }
--- a/internal/request/beechrollout/updater_test.go
+++ b/internal/request/beechrollout/updater_test.go
@@ -7,20 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// clocked is a turn with its time.
-type clocked struct {
+// updaterAt is an updater with its current time.
+type updaterAt struct {
 	*Updater
 	now time.Time
 }
 
-func (c *clocked) after(d time.Duration) *clocked {
-	c.now = c.now.Add(d)
-	return c
+func (u *updaterAt) after(d time.Duration) *updaterAt {
+	u.now = u.now.Add(d)
+	return u
 }
 
-func (c *clocked) next(r Report) Step { return c.Next(c.now, r) }
+func (u *updaterAt) next(r Report) Step { return u.Next(u.now, r) }
 
-func begin() *clocked { return &clocked{Updater: NewUpdater(Settings{}), now: time.Unix(1000, 0)} }
+func newUpdaterAt() *updaterAt {
+	return &updaterAt{Updater: NewUpdater(Settings{}), now: time.Unix(1000, 0)}
+}
 
 func at(version uint64) Report {
 	return Report{Known: true, Versions: map[string]uint64{"m": version}, Running: 2}
@@ -33,202 +35,200 @@
 	return -1
 }
 
-// An engine leaves the choice before its turn, gets its order, and is back when
-// it reports the new version.
-func TestTurn(t *testing.T) {
+// An engine drains before its update, gets its order, and serves again when it reports the
+// new version.
+func TestUpdate(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	is.Equal(phaseOf(c.next(at(1))), Serving)
-	c.SetTarget(Target{Model: "m", Version: 2, Fence: 9}, c.now)
-	is.Equal(phaseOf(c.after(time.Second).next(at(1))), Serving)
-	c.SetTarget(Target{Model: "m", Version: 2, Fence: 9, Granted: true}, c.now)
-	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
+	u := newUpdaterAt()
+	is.Equal(phaseOf(u.next(at(1))), Serving)
+	u.SetTarget(Target{Model: "m", Version: 2, Fence: 9}, u.now)
+	is.Equal(phaseOf(u.after(time.Second).next(at(1))), Serving)
+	u.SetTarget(Target{Model: "m", Version: 2, Fence: 9, Granted: true}, u.now)
+	is.Equal(phaseOf(u.next(at(1))), Leaving)
+	order, ok := u.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(2))
-	c.RecordAnswer(Taken)
+	u.RecordAnswer(Taken)
 	busy := at(1)
 	busy.Busy = true
-	is.Equal(phaseOf(c.after(100*time.Millisecond).next(busy)), Loading)
-	is.Equal(phaseOf(c.after(600*time.Millisecond).next(at(2))), Serving)
+	is.Equal(phaseOf(u.after(100*time.Millisecond).next(busy)), Loading)
+	is.Equal(phaseOf(u.after(600*time.Millisecond).next(at(2))), Serving)
 }
 
-// Nothing runs on the engine any more, so nothing speaks for waiting.
-func TestEmptyEngineIsOrderedAtOnce(t *testing.T) {
+// An engine without requests need not drain for the full time.
+func TestIdleEngineIsOrderedAtOnce(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
 	idle := at(1)
 	idle.Running = 0
-	is.Equal(phaseOf(c.next(idle)), Leaving)
-	_, ok := c.after(settleTime).next(idle).(Order)
+	is.Equal(phaseOf(u.next(idle)), Leaving)
+	_, ok := u.after(inFlightDelay).next(idle).(Order)
 	is.True(ok)
 }
 
-// Versions follow one another before the turn comes. Only the newest is loaded.
-func TestOvertakenVersionIsSkipped(t *testing.T) {
+// Several versions are announced before the engine may update. Only the newest is loaded.
+func TestSupersededVersionIsSkipped(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2}, c.now)
-	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now) // a late datagram
-	is.Equal(phaseOf(c.after(time.Second).next(at(1))), Serving)
-	c.SetTarget(Target{Model: "m", Version: 3, Granted: true}, c.now)
-	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2}, u.now)
+	u.SetTarget(Target{Model: "m", Version: 3}, u.now)
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now) // a late datagram
+	is.Equal(phaseOf(u.after(time.Second).next(at(1))), Serving)
+	u.SetTarget(Target{Model: "m", Version: 3, Granted: true}, u.now)
+	is.Equal(phaseOf(u.next(at(1))), Leaving)
+	order, ok := u.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(3))
 }
 
-// Orders get no answer, and may be carried out seconds later or never. Held out
-// of the choice for that time, a whole fleet would stand idle.
+// Orders get no answer, and may be carried out seconds later or never. If engines got no
+// requests in that time, a whole fleet would stand idle.
 func TestUnansweredOrder(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
-	c.next(at(1))
-	_, ok := c.after(time.Second).next(at(1)).(Order)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
+	u.next(at(1))
+	_, ok := u.after(time.Second).next(at(1)).(Order)
 	is.True(ok)
-	c.RecordAnswer(Silent)
-	is.Equal(phaseOf(c.after(100*time.Millisecond).next(at(1))), Serving)
-	again, ok := c.after(repeatAfter).next(at(1)).(Order)
-	is.True(ok) // the same condition: if the first is carried out, this one is not
+	u.RecordAnswer(Silent)
+	is.Equal(phaseOf(u.after(100*time.Millisecond).next(at(1))), Serving)
+	again, ok := u.after(orderRetryInterval).next(at(1)).(Order)
+	is.True(ok) // on the same condition: if the first is carried out, this one is not
 	is.Equal(again.Sequence, uint64(0))
-	c.RecordAnswer(Silent)
+	u.RecordAnswer(Silent)
 	busy := at(1)
 	busy.Busy, busy.Sequence = true, 1
-	is.Equal(phaseOf(c.after(10*time.Millisecond).next(busy)), Loading)
-	is.Equal(phaseOf(c.after(time.Second).next(at(2))), Serving)
+	is.Equal(phaseOf(u.after(10*time.Millisecond).next(busy)), Loading)
+	is.Equal(phaseOf(u.after(time.Second).next(at(2))), Serving)
 }
 
-// The sequence has changed under the order, by an order that came late.
-func TestConflictLooksAgain(t *testing.T) {
+// The sequence number changed before the order arrived, by an earlier order that came late.
+func TestConflictIsRetriedWithNewSequence(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
-	c.next(at(1))
-	_, ok := c.after(time.Second).next(at(1)).(Order)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
+	u.next(at(1))
+	_, ok := u.after(time.Second).next(at(1)).(Order)
 	is.True(ok)
-	c.RecordAnswer(Conflict)
+	u.RecordAnswer(Conflict)
 	changed := at(1)
 	changed.Sequence = 4
-	order, ok := c.after(10 * time.Millisecond).next(changed).(Order)
+	order, ok := u.after(10 * time.Millisecond).next(changed).(Order)
 	is.True(ok)
 	is.Equal(order.Sequence, uint64(4))
 }
 
-// The engine has crashed: its own host says so first.
+// The engine has crashed: the keeper on its own host notices first.
 func TestEngineThatDoesNotAnswerIsDown(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	is.Equal(phaseOf(c.next(Report{})), Serving) // one report may be lost
-	is.Equal(phaseOf(c.next(Report{})), Down)
-	is.Equal(phaseOf(c.next(at(1))), Serving)
+	u := newUpdaterAt()
+	is.Equal(phaseOf(u.next(Report{})), Serving) // one report may be lost
+	is.Equal(phaseOf(u.next(Report{})), Down)
+	is.Equal(phaseOf(u.next(at(1))), Serving)
 }
 
-func TestModelThatTheEngineDoesNotServe(t *testing.T) {
+func TestTargetOfOtherModelIsIgnored(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "other", Version: 2, Granted: true}, c.now)
-	is.Equal(phaseOf(c.after(time.Minute).next(at(1))), Serving)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "other", Version: 2, Granted: true}, u.now)
+	is.Equal(phaseOf(u.after(time.Minute).next(at(1))), Serving)
 }
 
-// A newer version is named while the engine loads. Loaded at once, the engine
-// would be away twice in a row, before others that have older weights.
-func TestVersionNamedDuringALoadHasATurnOfItsOwn(t *testing.T) {
+// A newer version is announced while the engine loads. If the engine loaded it at once, it
+// would be out of service twice in a row, before other engines with older weights.
+func TestVersionAnnouncedDuringLoadIsScheduledSeparately(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
-	c.next(at(1))
-	_, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
+	u.next(at(1))
+	_, ok := u.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
-	c.RecordAnswer(Taken)
-	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
+	u.RecordAnswer(Taken)
+	u.SetTarget(Target{Model: "m", Version: 3}, u.now)
 	busy := at(1)
 	busy.Busy = true
-	is.Equal(phaseOf(c.after(time.Second).next(busy)), Loading)
-	is.Equal(phaseOf(c.after(time.Second).next(at(2))), Serving)
-	c.SetTarget(Target{Model: "m", Version: 3, Granted: true}, c.now)
-	is.Equal(phaseOf(c.next(at(2))), Leaving)
+	is.Equal(phaseOf(u.after(time.Second).next(busy)), Loading)
+	is.Equal(phaseOf(u.after(time.Second).next(at(2))), Serving)
+	u.SetTarget(Target{Model: "m", Version: 3, Granted: true}, u.now)
+	is.Equal(phaseOf(u.next(at(2))), Leaving)
 }
 
-// A newer version is named while the engine is left alone for the older one. Its
-// order names the newer: the older would be loaded for nothing.
-func TestVersionNamedBeforeTheOrderIsOrdered(t *testing.T) {
+// A newer version is announced while the engine drains for an older one. The order names
+// the newer: loading the older would be wasted.
+func TestVersionAnnouncedBeforeOrderIsOrdered(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
-	is.Equal(phaseOf(c.next(at(1))), Leaving)
-	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
-	order, ok := c.after(Defaults.DrainTime).next(at(1)).(Order)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
+	is.Equal(phaseOf(u.next(at(1))), Leaving)
+	u.SetTarget(Target{Model: "m", Version: 3}, u.now)
+	order, ok := u.after(Defaults.DrainTime).next(at(1)).(Order)
 	is.True(ok)
 	is.Equal(order.Target.Version, uint64(3))
 }
 
-// The host of an engine is cut off from all gates, its callers are not. With
-// nobody to grant its turn it would serve old weights beyond the operators'
-// bound.
-func TestKeeperThatHearsFromNoGateActsByItself(t *testing.T) {
+// A host is cut off from all gates but not from its callers. With no gate to grant the
+// update, its engine would serve old weights beyond the operators' bound.
+func TestUpdateWithoutGatesAfterFallbackDelay(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.SetTarget(Target{Model: "m", Version: 2, FallbackAt: c.now.Add(4 * time.Second)}, c.now)
-	is.Equal(phaseOf(c.after(3900*time.Millisecond).next(at(1))), Serving)
-	is.Equal(phaseOf(c.after(200*time.Millisecond).next(at(1))), Leaving)
+	u := newUpdaterAt()
+	u.SetTarget(Target{Model: "m", Version: 2, FallbackAt: u.now.Add(4 * time.Second)}, u.now)
+	is.Equal(phaseOf(u.after(3900*time.Millisecond).next(at(1))), Serving)
+	is.Equal(phaseOf(u.after(200*time.Millisecond).next(at(1))), Leaving)
 }
 
-// While gates speak they decide, however late it is: many engines would act
-// at once otherwise.
-func TestKeeperThatHearsAGateWaitsForItsTurn(t *testing.T) {
+// While gates are heard they fallbackAt grant updates, even past the fallback delay: otherwise
+// many engines would update at once.
+func TestNoFallbackWhileGatesAreHeard(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	alone := c.now.Add(4 * time.Second)
+	u := newUpdaterAt()
+	fallbackAt := u.now.Add(4 * time.Second)
 	for range 10 {
-		c.after(time.Second)
-		c.SetTarget(Target{Model: "m", Version: 2, FallbackAt: alone}, c.now)
-		is.Equal(phaseOf(c.next(at(1))), Serving)
+		u.after(time.Second)
+		u.SetTarget(Target{Model: "m", Version: 2, FallbackAt: fallbackAt}, u.now)
+		is.Equal(phaseOf(u.next(at(1))), Serving)
 	}
 }
 
-// An engine starts again under its ID while it loads, before anybody saw it gone.
-// The order is lost with the lifetime that it was for; the engine is not left
-// out of the choice for it.
-func TestEngineThatStartsAnewWhileItLoads(t *testing.T) {
+// An engine restarts under the same ID while it loads, before anyone saw it down. The restart
+// cancels the order; the engine must not be kept out of service for it.
+func TestEngineRestartDuringLoad(t *testing.T) {
 	is := is.New(t)
-	for _, anew := range []Report{{Born: 200, Sequence: 3}, {Born: 100, Sequence: 0}} {
-		c := begin()
+	for _, restarted := range []Report{{Born: 200, Sequence: 3}, {Born: 100, Sequence: 0}} {
+		u := newUpdaterAt()
 		before := at(1)
 		before.Born, before.Sequence = 100, 2
-		c.SetTarget(Target{Model: "m", Version: 2, Granted: true}, c.now)
-		c.next(before)
-		_, ok := c.after(Defaults.DrainTime).next(before).(Order)
+		u.SetTarget(Target{Model: "m", Version: 2, Granted: true}, u.now)
+		u.next(before)
+		_, ok := u.after(Defaults.DrainTime).next(before).(Order)
 		is.True(ok)
-		c.RecordAnswer(Taken)
+		u.RecordAnswer(Taken)
 		before.Busy, before.Sequence = true, 3
-		is.Equal(phaseOf(c.after(100*time.Millisecond).next(before)), Loading)
+		is.Equal(phaseOf(u.after(100*time.Millisecond).next(before)), Loading)
 		after := at(1)
-		after.Born, after.Sequence = anew.Born, anew.Sequence
-		is.Equal(phaseOf(c.after(100*time.Millisecond).next(after)), Leaving) // its turn still stands
+		after.Born, after.Sequence = restarted.Born, restarted.Sequence
+		is.Equal(phaseOf(u.after(100*time.Millisecond).next(after)), Leaving) // the update is still granted
 		after.Running = 0
-		again, ok := c.after(settleTime).next(after).(Order)
+		again, ok := u.after(inFlightDelay).next(after).(Order)
 		is.True(ok)
-		is.Equal(again.Sequence, anew.Sequence)
+		is.Equal(again.Sequence, restarted.Sequence)
 	}
 }
 
-// Versions follow one another; how old an engine's weights are goes by the first
-// that overtook them.
-func TestOldGoesByTheFirstNewerVersion(t *testing.T) {
+// While versions follow one another, the time since an engine's weights were superseded
+// counts from the first newer version.
+func TestSupersededForCountsFromFirstNewerVersion(t *testing.T) {
 	is := is.New(t)
-	c := begin()
-	c.next(at(1))
-	is.Equal(c.SupersededFor(c.now), time.Duration(0))
-	c.SetTarget(Target{Model: "m", Version: 2}, c.now)
-	c.after(3 * time.Second)
-	c.SetTarget(Target{Model: "m", Version: 3}, c.now)
-	c.after(time.Second)
-	is.Equal(c.SupersededFor(c.now), 4*time.Second)
-	c.next(at(2))
-	is.Equal(c.SupersededFor(c.now), time.Second)
-	c.next(at(3))
-	is.Equal(c.SupersededFor(c.now), time.Duration(0))
+	u := newUpdaterAt()
+	u.next(at(1))
+	is.Equal(u.SupersededFor(u.now), time.Duration(0))
+	u.SetTarget(Target{Model: "m", Version: 2}, u.now)
+	u.after(3 * time.Second)
+	u.SetTarget(Target{Model: "m", Version: 3}, u.now)
+	u.after(time.Second)
+	is.Equal(u.SupersededFor(u.now), 4*time.Second)
+	u.next(at(2))
+	is.Equal(u.SupersededFor(u.now), time.Second)
+	u.next(at(3))
+	is.Equal(u.SupersededFor(u.now), time.Duration(0))
 }
--- a/internal/request/beechrollout/versionhistory.go
+++ b/internal/request/beechrollout/versionhistory.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// VersionHistory remembers when the last versions of a model were named. The zero
-// value knows none. It is not safe for concurrent use.
+// VersionHistory records when the latest versions of a model's weights were
+// announced. The zero value is empty. It is not safe for concurrent use.
 type VersionHistory struct {
-	list []named // the oldest first
+	announcements []announcement // oldest first
 }
 
-type named struct {
+type announcement struct {
 	version uint64
 	at      time.Time
 }
 
-// versionsMost are remembered of a model.
-const versionsMost = 16
+// maxVersions is the number of versions kept per model.
+const maxVersions = 16
 
-// Add takes in a version, and tells whether it is news.
+// Add records a version and reports whether it is newer than all recorded ones.
 func (v *VersionHistory) Add(version uint64, at time.Time) bool {
-	if n := len(v.list); n > 0 && v.list[n-1].version >= version {
+	if n := len(v.announcements); n > 0 && v.announcements[n-1].version >= version {
 		return false
 	}
-	v.list = append(v.list, named{version: version, at: at})
-	v.list = v.list[max(len(v.list)-versionsMost, 0):]
+	v.announcements = append(v.announcements, announcement{version: version, at: at})
+	v.announcements = v.announcements[max(len(v.announcements)-maxVersions, 0):]
 	return true
 }
 
-// SupersededFor is the time since weights were overtaken, by the first newer ones
-// that were named: while versions follow one another quickly, the last one's
-// age says nothing of how old an engine's weights are.
-func (v *VersionHistory) SupersededFor(have uint64, now time.Time) (age time.Duration, old bool) {
-	for _, n := range v.list {
+// SupersededFor returns how long ago the weights with version have were superseded,
+// and whether they were. The time counts from the first newer version: while versions
+// follow one another quickly, the age of the newest one does not tell how long an
+// engine's weights have been out of date.
+func (v *VersionHistory) SupersededFor(have uint64, now time.Time) (age time.Duration, superseded bool) {
+	for _, n := range v.announcements {
 		if n.version > have {
 			return now.Sub(n.at), true
 		}
