--- a/internal/process/beechgate/budget.go
+++ b/internal/process/beechgate/budget.go
@@ -69,8 +69,8 @@
 	clear(b.services)
 }
 
-// Sent implements beechattempt.Budget.
-func (b *Budgets) Sent(service string) { b.of(service).Sent() }
+// RecordRequest implements beechattempt.Budget.
+func (b *Budgets) RecordRequest(service string) { b.of(service).Sent() }
 
 // Decide implements beechattempt.Budget.
 func (b *Budgets) Decide(service string, o beechretry.Outcome) beechretry.Decision {
--- a/internal/process/beechgate/endings.go
+++ b/internal/process/beechgate/endings.go
@@ -10,21 +10,21 @@
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
-// Served implements beechattempt.Observer.
-func (g *Gate) Served(server beechcall.Server, _ string, first time.Duration, unread int, failed bool) {
+// ObserveAttempt implements beechattempt.Observer.
+func (g *Gate) ObserveAttempt(server beechcall.Server, _ string, first time.Duration, unread int, failed bool) {
 	g.health.Observe(beechhealth.Sample{Server: server.Address, Model: server.Service, FirstToken: first, Tokens: unread, Failed: failed})
 }
 
-// Ended implements beechattempt.Observer. Of requests that ended as they should
+// ObserveEnd implements beechattempt.Observer. Of requests that ended as they should
 // a line is written at level debug only, of all others always.
-func (g *Gate) Ended(e beechattempt.Ending) {
+func (g *Gate) ObserveEnd(e beechattempt.Result) {
 	g.metrics.ended(e, g.way(e.Choice.Server))
 	if e.Choice.Passed != "" {
 		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.Passed),
-			zap.Float64("rate", g.limits.Rate(e.Choice.Passed)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.How))
+			zap.Float64("rate", g.limits.Rate(e.Choice.Passed)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.Outcome))
 	}
 	level := zap.DebugLevel
-	if e.How != "answered" || e.Sends > 1 || e.First > e.Call.Route.Objective {
+	if e.Outcome != "answered" || e.Attempts > 1 || e.FirstByte > e.Call.Route.Objective {
 		level = zap.InfoLevel
 	}
 	line := g.log.Check(level, "request ended")
@@ -33,8 +33,8 @@
 	}
 	c := e.Choice
 	line.Write(
-		zap.String("request", e.Call.ID), zap.String("route", e.Call.Route.Name), zap.String("ending", e.How), zap.Uint64("configuration", e.Call.Version),
-		zap.Duration("first", e.First), zap.Duration("took", e.Took), zap.Int("sends", e.Sends),
+		zap.String("request", e.Call.ID), zap.String("route", e.Call.Route.Name), zap.String("ending", e.Outcome), zap.Uint64("configuration", e.Call.Version),
+		zap.Duration("first", e.FirstByte), zap.Duration("took", e.Duration), zap.Int("sends", e.Attempts),
 		zap.String("server", c.Server.ID), zap.Uint64("weights", c.Weights), zap.Float64("cost", c.Cost), zap.Float64("expected", c.Expected), zap.Duration("wait", c.Wait),
 		zap.Int("tokens", e.Call.PromptTokens), zap.Int("shared", e.Call.SharedTokens()), zap.Int("missing", c.Missing), zap.Int("unread", c.Unread),
 		zap.Stringer("fetch", c.Fetch), zap.Stringer("save", c.Save))
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -74,7 +74,7 @@
 		limits        *beechthrottle.Throttle // of servers
 		full          *beechroom.Register     // servers
 		others        *roster                 // gates of the other zones
-		core          *beechattempt.Core
+		core          *beechattempt.Dispatcher
 		socket        *beechbeat.Socket
 		circle        *beechvouch.Circle // of gates that share their reads of the store
 		operatorCopy  *beechmirror.Mirror
--- a/internal/process/beechgate/metrics.go
+++ b/internal/process/beechgate/metrics.go
@@ -70,16 +70,16 @@
 	return m
 }
 
-func (m *metrics) ended(e beechattempt.Ending, way beechbeat.Way) {
-	m.bodies.Add(way.String(), int64(e.Sends*len(e.Call.Body)))
-	m.endings.Add(e.How, 1)
-	if e.Sends > 1 {
-		m.retried.Add(int64(e.Sends - 1))
+func (m *metrics) ended(e beechattempt.Result, way beechbeat.Way) {
+	m.bodies.Add(way.String(), int64(e.Attempts*len(e.Call.Body)))
+	m.endings.Add(e.Outcome, 1)
+	if e.Attempts > 1 {
+		m.retried.Add(int64(e.Attempts - 1))
 	}
-	if e.First > 0 {
-		m.first.Record(e.First)
+	if e.FirstByte > 0 {
+		m.first.Record(e.FirstByte)
 	}
-	m.whole.Record(e.Took)
+	m.whole.Record(e.Duration)
 }
 
 // Metrics serves the gate's counters and histograms.
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -76,7 +76,7 @@
 			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", d.After),
 			zap.Float64("left", d.Level), zap.Float64("unread", d.Unread), zap.Float64("rate", d.Limit.Rate), zap.Float64("burst", d.Limit.Burst),
 			zap.Bool("alone", d.Alone), zap.Duration("age", d.Age))
-		out.Refuse(beechattempt.OverQuota{After: d.After})
+		out.Reject(beechattempt.QuotaExceeded{RetryAfter: d.After})
 		return false
 	case beechquota.Admitted:
 		if d.Tell {
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -42,7 +42,7 @@
 
 	caller struct {
 		mu      sync.Mutex
-		refusal Refusal
+		refusal Rejection
 		status  int
 		header  http.Header
 		body    string
@@ -62,8 +62,8 @@
 
 func (trusting) Weight(netip.AddrPort) float64 { return 1 }
 
-func (deaf) Served(beechcall.Server, string, time.Duration, int, bool) {}
-func (deaf) Ended(Ending)                                              {}
+func (deaf) ObserveAttempt(beechcall.Server, string, time.Duration, int, bool) {}
+func (deaf) ObserveEnd(Result)                                                 {}
 
 func (s standing) Reach(_ context.Context, peer netip.AddrPort) error {
 	if s[peer] {
@@ -72,7 +72,7 @@
 	return errReset
 }
 
-func (b *budget) Sent(string) {}
+func (b *budget) RecordRequest(string) {}
 
 func (b *budget) Decide(_ string, o beechretry.Outcome) beechretry.Decision {
 	b.mu.Lock()
@@ -92,26 +92,26 @@
 	return step(ctx, a)
 }
 
-func (c *caller) Refuse(r Refusal) { c.refusal = r }
+func (c *caller) Reject(r Rejection) { c.refusal = r }
 
-func (c *caller) Plain(status int, h http.Header, body []byte) {
+func (c *caller) Respond(status int, h http.Header, body []byte) {
 	c.status, c.header, c.body = status, h, string(body)
 }
 
-func (c *caller) Stream(status int, h http.Header) { c.status, c.header = status, h }
+func (c *caller) StartStream(status int, h http.Header) { c.status, c.header = status, h }
 
-func (c *caller) Event(data []byte) error {
+func (c *caller) SendEvents(data []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body += string(data)
 	return c.slow
 }
 
-func (c *caller) End()   { c.ended = true }
-func (c *caller) Break() { c.broken = true }
+func (c *caller) EndStream()   { c.ended = true }
+func (c *caller) AbortStream() { c.broken = true }
 
 type world struct {
-	core     *Core
+	core     *Dispatcher
 	clock    *clockwork.FakeClock
 	backend  *backend
 	budget   *budget
@@ -210,10 +210,10 @@
 	}{
 		{"once, refused", beechcall.RuleOnce, refuses, 2, http.StatusOK},
 		{"once, unreachable", beechcall.RuleOnce, unreachable, 2, http.StatusOK},
-		{"once, reset", beechcall.RuleOnce, resets, 1, Unknown{Reason: "no more tries"}},
-		{"once, cut in the answer", beechcall.RuleOnce, breaks("ha"), 1, Unknown{Reason: "no more tries"}},
+		{"once, reset", beechcall.RuleOnce, resets, 1, OutcomeUnknown{Reason: "no more tries"}},
+		{"once, cut in the answer", beechcall.RuleOnce, breaks("ha"), 1, OutcomeUnknown{Reason: "no more tries"}},
 		{"once, failed", beechcall.RuleOnce, answers(http.StatusInternalServerError, "no"), 1, http.StatusInternalServerError},
-		{"once, hangs", beechcall.RuleOnce, hangs, 1, Overdue{}},
+		{"once, hangs", beechcall.RuleOnce, hangs, 1, DeadlineExceeded{}},
 		{"repeatable, reset", beechcall.RuleRepeatable, resets, 2, http.StatusOK},
 		{"repeatable, cut in the answer", beechcall.RuleRepeatable, breaks("ha"), 2, http.StatusOK},
 		{"repeatable, failed", beechcall.RuleRepeatable, answers(http.StatusInternalServerError, "no"), 2, http.StatusOK},
@@ -247,9 +247,9 @@
 		is.True(!seen[a.Server.ID])
 		seen[a.Server.ID] = true
 	}
-	refusal, ok := c.refusal.(NotRun)
+	refusal, ok := c.refusal.(NotExecuted)
 	is.True(ok)
-	is.True(refusal.After > 0)
+	is.True(refusal.RetryAfter > 0)
 }
 
 // "Not run" is told only if no attempt may have run.
@@ -257,7 +257,7 @@
 	is := is.New(t)
 	w := newWorld(3, 1, resets, refuses)
 	c := w.serve(t.Context(), w.call(beechcall.RuleRepeatable, false))
-	is.Equal(c.refusal, Unknown{Reason: "no more tries"})
+	is.Equal(c.refusal, OutcomeUnknown{Reason: "no more tries"})
 }
 
 func TestBudgetIsKept(t *testing.T) {
@@ -346,9 +346,9 @@
 	call := w.call(beechcall.RuleOnce, false)
 	began := w.clock.Now()
 	c := w.serve(t.Context(), call)
-	refusal, ok := c.refusal.(NotRun)
+	refusal, ok := c.refusal.(NotExecuted)
 	is.True(ok)
-	is.True(refusal.After > 0 && refusal.After < time.Second)
+	is.True(refusal.RetryAfter > 0 && refusal.RetryAfter < time.Second)
 	is.True(w.clock.Since(began) < 100*time.Millisecond)
 }
 
@@ -429,7 +429,7 @@
 	}
 	is.Equal(len(w.backend.sent), 2)
 	c := w.serve(t.Context(), w.call(beechcall.RuleOnce, false))
-	_, ok := c.refusal.(NotRun)
+	_, ok := c.refusal.(NotExecuted)
 	is.True(ok)
 }
 
--- a/internal/request/beechattempt/core.go
+++ b/internal/request/beechattempt/dispatcher.go
@@ -16,11 +16,11 @@
 )
 
 type (
-	// Core serves calls. It is safe for concurrent use.
-	Core struct {
+	// Dispatcher serves calls. It is safe for concurrent use.
+	Dispatcher struct {
 		placer   *beechplace.Placer
 		backend  beechcall.Backend
-		budget   Budget
+		budget   RetryBudget
 		suspects *beechsuspect.Register
 		blamer   *blamer
 		observer Observer
@@ -29,74 +29,74 @@
 		patience *patience
 	}
 
-	// Budget bounds the retries to each service; *beechgate.Budgets is one.
-	Budget interface {
-		Sent(service string)
+	// RetryBudget bounds the retries to each service; *beechgate.Budgets is one.
+	RetryBudget interface {
+		RecordRequest(service string)
 		Decide(service string, o beechretry.Outcome) beechretry.Decision
 	}
 
 	// Observer learns how servers do.
 	Observer interface {
-		// Served tells of an answer's first byte, or of a failure.
-		Served(server beechcall.Server, model string, first time.Duration, unread int, failed bool)
-		// Ended tells how a call ended.
-		Ended(e Ending)
+		// ObserveAttempt tells of an answer's first byte, or of a failure.
+		ObserveAttempt(server beechcall.Server, model string, first time.Duration, unread int, failed bool)
+		// ObserveEnd tells how a call ended.
+		ObserveEnd(e Result)
 	}
 
-	// Ending is how a call ended.
-	Ending struct {
-		Call   *beechcall.Call
-		How    string            // answered, refused, failed, overdue, broken or left
-		Choice beechplace.Choice // the last; zero where there was none
-		Sends  int
-		First  time.Duration // to the first byte
-		Took   time.Duration
+	// Result is how a call ended.
+	Result struct {
+		Call      *beechcall.Call
+		Outcome   string            // answered, refused, failed, overdue, broken or left
+		Choice    beechplace.Choice // the last; zero where there was none
+		Attempts  int
+		FirstByte time.Duration // to the first byte
+		Duration  time.Duration
 	}
 
 	// Responder gives a caller its answer, in the front door's protocol. Of
 	// Refuse, Plain and Stream exactly one is called, once; a stream ends with
 	// End or Break.
 	Responder interface {
-		Refuse(r Refusal)
-		Plain(status int, header http.Header, body []byte)
-		Stream(status int, header http.Header)
-		Event(data []byte) error // whole events
-		End()
-		Break()
+		Reject(r Rejection)
+		Respond(status int, header http.Header, body []byte)
+		StartStream(status int, header http.Header)
+		SendEvents(data []byte) error // whole events
+		EndStream()
+		AbortStream()
 	}
 
-	// Refusal is an answer without a server's answer: NotRun, OverQuota, Unknown
+	// Rejection is an answer without a server's answer: NotRun, OverQuota, Unknown
 	// or Overdue.
-	Refusal interface{ refusal() }
+	Rejection interface{ refusal() }
 
-	// NotRun says that the request has not run and will not. After is when to
+	// NotExecuted says that the request has not run and will not. After is when to
 	// come back.
-	NotRun struct {
-		After  time.Duration
-		Reason string
+	NotExecuted struct {
+		RetryAfter time.Duration
+		Reason     string
 	}
 
-	// OverQuota says that the workspace has used its quota up; the request has not
+	// QuotaExceeded says that the workspace has used its quota up; the request has not
 	// run and will not. After is when there will be some for it.
-	OverQuota struct{ After time.Duration }
+	QuotaExceeded struct{ RetryAfter time.Duration }
 
-	// Unknown says that the request may have run.
-	Unknown struct{ Reason string }
+	// OutcomeUnknown says that the request may have run.
+	OutcomeUnknown struct{ Reason string }
 
-	// Overdue says that the deadline has passed; the request may have run.
-	Overdue struct{}
+	// DeadlineExceeded says that the deadline has passed; the request may have run.
+	DeadlineExceeded struct{}
 )
 
-func (NotRun) refusal()    {}
-func (OverQuota) refusal() {}
-func (Unknown) refusal()   {}
-func (Overdue) refusal()   {}
+func (NotExecuted) refusal()      {}
+func (QuotaExceeded) refusal()    {}
+func (OutcomeUnknown) refusal()   {}
+func (DeadlineExceeded) refusal() {}
 
 // New returns a core. The dependencies are used until the last call ends.
-func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget Budget, suspects *beechsuspect.Register,
+func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget RetryBudget, suspects *beechsuspect.Register,
 	observer Observer, clock clockwork.Clock, log *zap.Logger,
-) *Core {
-	return &Core{
+) *Dispatcher {
+	return &Dispatcher{
 		placer: placer, backend: backend, budget: budget, suspects: suspects, blamer: newBlamer(prober, suspects, clock, log),
 		observer: observer, clock: clock, log: log, patience: newPatience(),
 	}
@@ -104,17 +104,17 @@
 
 // Serve answers a call. The context ends when the caller leaves; what runs for
 // it then is cancelled. It tells on how many servers the call may have run.
-func (c *Core) Serve(ctx context.Context, call *beechcall.Call, out Responder) int {
+func (c *Dispatcher) Serve(ctx context.Context, call *beechcall.Call, out Responder) int {
 	if refuse, ok := c.suspects.Check(call.Fingerprint()).(beechsuspect.Refuse); ok {
 		c.log.Warn("request refused", zap.String("request", call.ID), zap.String("reason", "it crashed servers before"), zap.Duration("after", refuse.After))
-		out.Refuse(NotRun{After: refuse.After, Reason: "suspect"})
+		out.Reject(NotExecuted{RetryAfter: refuse.After, Reason: "suspect"})
 		return 0
 	}
 	limited, cancel := clockwork.WithDeadline(ctx, c.clock, call.Deadline)
 	defer cancel()
 	r := &run{core: c, call: call, out: out, caller: ctx, started: c.clock.Now()}
 	ending := r.serve(limited)
-	c.observer.Ended(Ending{Call: call, How: ending, Choice: r.choice, Sends: r.sends, First: r.first, Took: c.clock.Since(r.started)})
+	c.observer.ObserveEnd(Result{Call: call, Outcome: ending, Choice: r.choice, Attempts: r.sends, FirstByte: r.first, Duration: c.clock.Since(r.started)})
 	return r.sends - r.notRun
 }
 
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -18,7 +18,7 @@
 type (
 	// run is one call's way through its attempts.
 	run struct {
-		core    *Core
+		core    *Dispatcher
 		call    *beechcall.Call
 		out     Responder
 		caller  context.Context
@@ -90,7 +90,7 @@
 )
 
 func (r *run) serve(ctx context.Context) string {
-	r.core.budget.Sent(r.call.Service)
+	r.core.budget.RecordRequest(r.call.Service)
 	for {
 		choice, ok := r.choose(ctx)
 		if !ok && choice.Back > 0 {
@@ -219,7 +219,7 @@
 	ticket.Done(beechplace.Answered)
 	r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), 0, r.core.clock.Now())
 	bad := answer.Status >= http.StatusInternalServerError
-	r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, bad)
+	r.core.observer.ObserveAttempt(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, bad)
 	if bad && r.repeatable() && answer.Status != http.StatusGatewayTimeout {
 		r.ran++
 		r.tried = append(r.tried, choice.Server.ID)
@@ -234,7 +234,7 @@
 		return stop // it is not the rest of what the caller has
 	}
 	r.core.suspects.Finished(r.call.Fingerprint())
-	r.out.Plain(answer.Status, answer.Header, body)
+	r.out.Respond(answer.Status, answer.Header, body)
 	return over
 }
 
@@ -275,7 +275,7 @@
 	r.note("failed", choice, zap.Error(err), zap.Bool("patience", watch.granted()))
 	if watch.granted() {
 		ticket.Done(beechplace.Failed)
-		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.core.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
 		return again
 	}
 	if watch.tooLate() {
@@ -283,7 +283,7 @@
 	} else if r.core.clock.Now().Before(r.call.Deadline) {
 		ticket.Done(beechplace.Failed)
 		r.core.blamer.brokeOff(r.call.Fingerprint(), choice.Server.Address)
-		r.core.observer.Served(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.core.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
 	} else {
 		ticket.Done(beechplace.Left)
 		return stop
@@ -328,10 +328,10 @@
 	switch {
 	case r.stream.begun:
 		r.core.log.Warn("stream broken off", fields...)
-		r.out.Break()
+		r.out.AbortStream()
 		return "broken"
 	case r.failed != nil:
-		r.out.Plain(r.failed.status, r.failed.header, r.failed.body)
+		r.out.Respond(r.failed.status, r.failed.header, r.failed.body)
 		return "answered"
 	case r.ran == 0:
 		after := min(spread(comeBack), max(r.call.Left(r.core.clock.Now())/3, 0))
@@ -339,15 +339,15 @@
 			after = r.core.placer.ComeBack(r.call.Service, r.back)
 		}
 		r.core.log.Warn("request refused", append(fields, zap.Duration("after", after))...)
-		r.out.Refuse(NotRun{After: after, Reason: reason})
+		r.out.Reject(NotExecuted{RetryAfter: after, Reason: reason})
 		return "refused"
 	case ended(ctx) || !r.core.clock.Now().Before(r.call.Deadline):
 		r.core.log.Warn("request overdue", fields...)
-		r.out.Refuse(Overdue{})
+		r.out.Reject(DeadlineExceeded{})
 		return "overdue"
 	}
 	r.core.log.Warn("request failed", fields...)
-	r.out.Refuse(Unknown{Reason: reason})
+	r.out.Reject(OutcomeUnknown{Reason: reason})
 	return "failed"
 }
 
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -134,13 +134,13 @@
 				if !r.begin(answer) {
 					r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), span(choice.Expected), r.core.clock.Now())
 					r.first = r.core.clock.Since(r.started)
-					r.core.observer.Served(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, false)
+					r.core.observer.ObserveAttempt(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, false)
 				}
 				ticket.Read()
 				if id, ok := lastEvent(buffer[:end]); ok {
 					r.stream.last = id
 				}
-				if failed := r.out.Event(buffer[:end]); failed != nil {
+				if failed := r.out.SendEvents(buffer[:end]); failed != nil {
 					ticket.Done(beechplace.Left)
 					return over
 				}
@@ -155,7 +155,7 @@
 			ticket.Done(beechplace.Answered)
 			r.begin(answer)
 			r.core.suspects.Finished(r.call.Fingerprint())
-			r.out.End()
+			r.out.EndStream()
 			return over
 		case err == io.EOF:
 			err = errTorn
@@ -171,7 +171,7 @@
 		return true
 	}
 	r.stream.begun = true
-	r.out.Stream(answer.Status, answer.Header)
+	r.out.StartStream(answer.Status, answer.Header)
 	return false
 }
 
