--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -12,8 +12,8 @@
 )
 
 type (
-	// Ask is what decides whether a request is let in.
-	Ask struct {
+	// AdmissionRequest is what decides whether a request is let in.
+	AdmissionRequest struct {
 		Host string // without a port
 		Path string
 		Key  string
@@ -34,12 +34,12 @@
 	// NoRoute says that no route matches.
 	NoRoute struct{}
 
-	// NoWorkspace says that the key is nobody's.
-	NoWorkspace struct{}
+	// UnknownKey says that the key is nobody's.
+	UnknownKey struct{}
 
-	// NotKnown says that this gate cannot tell, since it does not know the
+	// Undecided says that this gate cannot tell, since it does not know the
 	// configuration, or not well enough.
-	NotKnown struct{ After time.Duration }
+	Undecided struct{ After time.Duration }
 )
 
 const (
@@ -54,20 +54,20 @@
 	notKnownAfter = 200 * time.Millisecond
 )
 
-func (Admitted) admission()    {}
-func (NoRoute) admission()     {}
-func (NoWorkspace) admission() {}
-func (NotKnown) admission()    {}
+func (Admitted) admission()   {}
+func (NoRoute) admission()    {}
+func (UnknownKey) admission() {}
+func (Undecided) admission()  {}
 
 // Admit decides whether a request is let in.
-func (g *Gate) Admit(ask Ask) Admission {
+func (g *Gate) Admit(ask AdmissionRequest) Admission {
 	a := g.admit(ask)
 	switch v := a.(type) {
 	case NoRoute:
 		g.metrics.denied.Add("no route", 1)
-	case NoWorkspace:
+	case UnknownKey:
 		g.metrics.denied.Add("no workspace", 1)
-	case NotKnown:
+	case Undecided:
 		g.metrics.denied.Add("not known", 1)
 		g.log.Debug("request not let in", zap.String("host", ask.Host), zap.String("path", ask.Path), zap.Duration("age", g.belief.Age()), zap.Duration("after", v.After))
 	case Admitted:
@@ -75,16 +75,16 @@
 	return a
 }
 
-func (g *Gate) admit(ask Ask) Admission {
+func (g *Gate) admit(ask AdmissionRequest) Admission {
 	c := g.configuration.Load()
 	if c == nil {
-		return NotKnown{After: notKnownAfter}
+		return Undecided{After: notKnownAfter}
 	}
 	age := g.belief.Age()
 	route, ok := c.Find(ask.Host, ask.Path)
 	if !ok {
 		if age > denySure {
-			return NotKnown{After: notKnownAfter}
+			return Undecided{After: notKnownAfter}
 		}
 		return NoRoute{}
 	}
@@ -93,14 +93,14 @@
 		return admitted
 	}
 	if age > time.Duration(float64(g.bounds.Load().Revoke)*revokeShare) {
-		return NotKnown{After: notKnownAfter}
+		return Undecided{After: notKnownAfter}
 	}
 	workspace, ok := c.Workspaces[ask.Key]
 	if !ok {
 		if age > denySure {
-			return NotKnown{After: notKnownAfter}
+			return Undecided{After: notKnownAfter}
 		}
-		return NoWorkspace{}
+		return UnknownKey{}
 	}
 	admitted.Workspace = workspace
 	return admitted
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -203,8 +203,8 @@
 	return g.belief.Age() < time.Duration(float64(g.bounds.Load().Revoke)*readyShare)
 }
 
-// Leaving tells whether the process is about to end.
-func (g *Gate) Leaving() bool { return g.leaving.Load() }
+// Draining tells whether the process is about to end.
+func (g *Gate) Draining() bool { return g.leaving.Load() }
 
 // Run serves until the context ends, and then until every request has its
 // answer or the grace time is over.
--- a/internal/process/beechgate/keepers.go
+++ b/internal/process/beechgate/keepers.go
@@ -62,7 +62,7 @@
 // servers for a service that operators do not name.
 func (g *Gate) keptServers() []beechcall.Server {
 	c := g.configuration.Load()
-	if g.Leaving() || c == nil {
+	if g.Draining() || c == nil {
 		return nil
 	}
 	g.mu.Lock()
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -55,7 +55,7 @@
 		g.operatorCopy.SetInterval(operatorReads.Scaled(min(float64(within)/float64(usualRevoke), 1)).Of(rank), rank == 0)
 		g.serverCopy.SetInterval(serverReads.Of(rank), rank == 0)
 		readers := g.circle.Readers(now)
-		if len(readers) == 0 || g.Leaving() {
+		if len(readers) == 0 || g.Draining() {
 			return
 		}
 		number := g.circle.Ask(g.needs.Age.Now())
