--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -46,12 +46,12 @@
 	// revokeShare of the operators' bound may pass without the store's word on
 	// the keys: the rest is for the request's own way to its server.
 	revokeShare = 0.84
-	// denySure is the age up to which a gate may say that a route or key is not
+	// denyMaxAge is the age up to which a gate may say that a route or key is not
 	// there; an older belief may lack what was added.
-	denySure = 2600 * time.Millisecond
-	// notKnownAfter is when to come back to a gate that has lost the store;
+	denyMaxAge = 2600 * time.Millisecond
+	// undecidedRetryAfter is when to come back to a gate that has lost the store;
 	// other gates may serve at once.
-	notKnownAfter = 200 * time.Millisecond
+	undecidedRetryAfter = 200 * time.Millisecond
 )
 
 func (Admitted) admission()   {}
@@ -60,31 +60,31 @@
 func (Undecided) admission()  {}
 
 // Admit decides whether a request is let in.
-func (g *Gate) Admit(ask AdmissionRequest) Admission {
-	a := g.admit(ask)
-	switch v := a.(type) {
+func (g *Gate) Admit(request AdmissionRequest) Admission {
+	admission := g.admit(request)
+	switch v := admission.(type) {
 	case NoRoute:
 		g.metrics.denied.Add("no route", 1)
 	case UnknownKey:
 		g.metrics.denied.Add("no workspace", 1)
 	case Undecided:
 		g.metrics.denied.Add("not known", 1)
-		g.log.Debug("request not let in", zap.String("host", ask.Host), zap.String("path", ask.Path), zap.Duration("age", g.belief.Age()), zap.Duration("after", v.After))
+		g.log.Debug("request not let in", zap.String("host", request.Host), zap.String("path", request.Path), zap.Duration("age", g.freshness.Age()), zap.Duration("after", v.After))
 	case Admitted:
 	}
-	return a
+	return admission
 }
 
-func (g *Gate) admit(ask AdmissionRequest) Admission {
+func (g *Gate) admit(request AdmissionRequest) Admission {
 	c := g.configuration.Load()
 	if c == nil {
-		return Undecided{After: notKnownAfter}
+		return Undecided{After: undecidedRetryAfter}
 	}
-	age := g.belief.Age()
-	route, ok := c.Find(ask.Host, ask.Path)
+	age := g.freshness.Age()
+	route, ok := c.Find(request.Host, request.Path)
 	if !ok {
-		if age > denySure {
-			return Undecided{After: notKnownAfter}
+		if age > denyMaxAge {
+			return Undecided{After: undecidedRetryAfter}
 		}
 		return NoRoute{}
 	}
@@ -93,12 +93,12 @@
 		return admitted
 	}
 	if age > time.Duration(float64(g.bounds.Load().Revoke)*revokeShare) {
-		return Undecided{After: notKnownAfter}
+		return Undecided{After: undecidedRetryAfter}
 	}
-	workspace, ok := c.Workspaces[ask.Key]
+	workspace, ok := c.Workspaces[request.Key]
 	if !ok {
-		if age > denySure {
-			return Undecided{After: notKnownAfter}
+		if age > denyMaxAge {
+			return Undecided{After: undecidedRetryAfter}
 		}
 		return UnknownKey{}
 	}
@@ -108,8 +108,8 @@
 
 // Serve answers a call that was let in, as far as its workspace's quota goes.
 func (g *Gate) Serve(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) {
-	if !g.spend(ctx, call, out) {
+	if !g.chargeQuota(ctx, call, out) {
 		return
 	}
-	g.spent(call, g.core.Serve(ctx, call, out))
+	g.settleQuota(call, g.core.Serve(ctx, call, out))
 }
--- a/internal/process/beechgate/beliefs.go
+++ b/internal/process/beechgate/configuration.go
@@ -11,20 +11,20 @@
 )
 
 // naming is a named version with when this gate learned of it.
-type naming struct {
+type announcedVersion struct {
 	beechcall.Named
-	at    time.Time
-	short bool // it was told that not all engines can have it in time
+	learnedAt  time.Time
+	lateLogged bool // it was told that not all engines can have it in time
 }
 
-// connectionsUneven is how many times its even share of a server's connections a
+// connectionSkew is how many times its even share of a server's connections a
 // gate may have: some gates have more callers than others.
-const connectionsUneven = 1.8
+const connectionSkew = 1.8
 
 // setOperators takes in what operators wrote. What cannot be read leaves the
 // last good state in force.
 func (g *Gate) setOperators(items []beechmirror.Item) {
-	c, named, err := g.needs.Operators(items)
+	c, named, err := g.deps.Operators(items)
 	if err != nil {
 		g.log.Error("operators' document passed over", zap.Error(err))
 	}
@@ -33,10 +33,10 @@
 		g.configuration.Store(c)
 		g.placer.SetConfiguration(c)
 		g.setQuotas(c)
-		g.bound(c)
+		g.limitConnections(c)
 		g.log.Info("configuration in force", zap.Uint64("version", c.Version), zap.Uint64("revision", c.Revision), zap.Int("routes", len(c.Routes)))
 		if old == nil {
-			g.followNow()
+			g.requestFollow()
 		}
 	}
 	for _, n := range named {
@@ -44,48 +44,48 @@
 			continue
 		}
 		g.mu.Lock()
-		g.named[n.Model] = naming{Named: n, at: g.clock.Now()}
+		g.announced[n.Model] = announcedVersion{Named: n, learnedAt: g.clock.Now()}
 		g.mu.Unlock()
 		g.log.Info("weights named", zap.String("model", n.Model), zap.Uint64("version", n.Version), zap.Uint64("revision", n.Revision))
-		g.followNow()
+		g.requestFollow()
 	}
 }
 
 // bound keeps the connections to a server within what it accepts from all
 // gates together.
-func (g *Gate) bound(c *beechcall.Configuration) {
-	least := 0
+func (g *Gate) limitConnections(c *beechcall.Configuration) {
+	limit := 0
 	for _, s := range c.Services {
-		if s.MaxConnections > 0 && (least == 0 || s.MaxConnections < least) {
-			least = s.MaxConnections
+		if s.MaxConnections > 0 && (limit == 0 || s.MaxConnections < limit) {
+			limit = s.MaxConnections
 		}
 	}
 	g.mu.Lock()
 	gates := max(g.gates, 2)
 	g.mu.Unlock()
-	g.needs.Pool.Bound(int(float64(least)*connectionsUneven) / gates)
+	g.deps.Pool.Bound(int(float64(limit)*connectionSkew) / gates)
 }
 
 // passOver tells of entries that name no server to use, once each time that they
 // change: they may lie there for long, beside others that change often.
-func (g *Gate) passOver(err error) {
+func (g *Gate) logEntryError(err error) {
 	text := ""
 	if err != nil {
 		text = err.Error()
 	}
 	g.mu.Lock()
-	was := g.passedOver
-	g.passedOver = text
+	previous := g.entryError
+	g.entryError = text
 	g.mu.Unlock()
-	if text != "" && text != was {
-		g.metrics.passedOver.Add(1)
+	if text != "" && text != previous {
+		g.metrics.invalidEntries.Add(1)
 		g.log.Error("server's entry passed over", zap.Error(err))
 	}
 }
 
 func (g *Gate) setServers(items []beechmirror.Item) {
-	servers, err := g.needs.Servers(items)
-	g.passOver(err)
+	servers, err := g.deps.Servers(items)
+	g.logEntryError(err)
 	g.mu.Lock()
 	old := g.servers
 	g.servers = servers
@@ -97,29 +97,29 @@
 	g.limits.SetServers(ids)
 	g.placer.SetServers(servers)
 	byService := make(map[string][]netip.AddrPort)
-	now := make(map[string]beechcall.Server, len(servers))
+	current := make(map[string]beechcall.Server, len(servers))
 	for _, s := range servers {
 		byService[s.Service] = append(byService[s.Service], s.Address)
-		now[s.ID] = s
+		current[s.ID] = s
 	}
 	for service, addresses := range byService {
 		g.health.SetServers(service, addresses)
 	}
-	g.noteServers(old, servers)
+	g.logServerChanges(old, servers)
 	for _, s := range old {
-		if _, ok := now[s.ID]; !ok {
-			g.needs.Pool.Forget(s.Address)
+		if _, ok := current[s.ID]; !ok {
+			g.deps.Pool.Forget(s.Address)
 		}
 	}
 	if len(old) == 0 && len(servers) > 0 {
-		g.followNow()
+		g.requestFollow()
 	}
 }
 
 // noteServers logs what has changed among the servers: one line for all of them,
 // and one for each of this gate's zone. With a line for each server at each gate
 // the lines of a fleet would grow with its square.
-func (g *Gate) noteServers(old, servers []beechcall.Server) {
+func (g *Gate) logServerChanges(old, servers []beechcall.Server) {
 	before := make(map[string]beechcall.Server, len(old))
 	for _, s := range old {
 		before[s.ID] = s
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -58,75 +58,75 @@
 	// Gate is the process. It is safe for concurrent use.
 	Gate struct {
 		settings *beechsettings.Gate
-		needs    Dependencies
+		deps     Dependencies
 		log      *zap.Logger
-		limitLog *zap.Logger // at most limitLines a second of each message
+		limitLog *zap.Logger // at most maxLimitLogLines a second of each message
 		clock    clockwork.Clock
 
-		configuration atomic.Pointer[beechcall.Configuration]
-		leaving       atomic.Bool
-		belief        *beechfresh.Belief // in what operators wrote
-		placer        *beechplace.Placer
-		health        *beechhealth.Tracker
-		suspects      *beechsuspect.Register
-		budgets       *Budgets
-		quotas        *beechquota.Ledger
-		limits        *beechthrottle.Throttle // of servers
-		full          *beechroom.Register     // servers
-		others        *roster                 // gates of the other zones
-		core          *beechattempt.Core
-		socket        *beechbeat.Socket
-		circle        *beechvouch.Circle // of gates that share their reads of the store
-		operatorCopy  *beechmirror.Mirror
-		serverCopy    *beechmirror.Mirror
-		supervisor    *suture.Supervisor
-		metrics       *metrics
-		bounds        atomic.Pointer[beechsettings.GateBounds]
+		configuration  atomic.Pointer[beechcall.Configuration]
+		leaving        atomic.Bool
+		freshness      *beechfresh.Belief // in what operators wrote
+		placer         *beechplace.Placer
+		health         *beechhealth.Tracker
+		suspects       *beechsuspect.Register
+		budgets        *Budgets
+		quotas         *beechquota.Ledger
+		limits         *beechthrottle.Throttle // of servers
+		overloaded     *beechroom.Register     // servers
+		otherZones     *roster                 // gates of the other zones
+		core           *beechattempt.Core
+		socket         *beechbeat.Socket
+		peers          *beechvouch.Circle // of gates that share their reads of the store
+		operatorMirror *beechmirror.Mirror
+		serverMirror   *beechmirror.Mirror
+		supervisor     *suture.Supervisor
+		metrics        *metrics
+		bounds         atomic.Pointer[beechsettings.GateBounds]
 
-		mu      sync.Mutex
-		named   map[string]naming
-		servers []beechcall.Server
-		gates   int
-		seen    most // gates, by keepers' words
+		mu          sync.Mutex
+		announced   map[string]announcedVersion
+		servers     []beechcall.Server
+		gates       int
+		recentGates recentMax // gates, by keepers' words
 
-		pace       *beechrollout.Pace
-		passedOver string        // what is wrong with servers' entries now
-		news       chan struct{} // a follow is due now
-		turnNews   chan struct{} // an engine's turn has ended
-		spentNews  chan struct{} // other gates are to hear at once what was admitted
-		limitNews  chan struct{} // or what servers with limits were sent
-		fullNews   chan struct{} // or that a server is full
+		rolloutPace  *beechrollout.Pace
+		entryError   string        // what is wrong with servers' entries now
+		followDue    chan struct{} // a follow is due now
+		turnEnded    chan struct{} // an engine's turn has ended
+		usageDue     chan struct{} // other gates are to hear at once what was admitted
+		limitsDue    chan struct{} // or what servers with limits were sent
+		overloadsDue chan struct{} // or that a server is full
 	}
 )
 
 const (
-	operatorSpace  = 20 * time.Millisecond  // between watches
-	serverSpace    = 500 * time.Millisecond // servers change in rows, and each row is a call that one gate of a zone pays for
-	readPatience   = time.Second
-	operatorWait   = 10 * time.Second // of a watch
-	serverWait     = 25 * time.Second
-	linger         = 2200 * time.Millisecond // entries that lapsed with the store are back within two seconds
-	followInterval = 700 * time.Millisecond
-	farRounds      = 2                       // of these rounds one reaches keepers of other zones: each word there is paid for by its bytes
-	keptInterval   = 1500 * time.Millisecond // between looks at the store of kept KV cache, each a connection that is paid for
-	tickInterval   = 500 * time.Millisecond
-	// trafficInterval keeps the lines on traffic to four a minute and host.
-	trafficInterval = 15 * time.Second
-	readyShare      = 0.55 // of the bound for keys: an entry host without the store's word asks for no new callers
-	acceptAfter     = 2500 * time.Millisecond
-	stopMargin      = 600 * time.Millisecond
-	headerBytes     = 64 << 10
-	headerTime      = 10 * time.Second
-	idleTime        = 2 * time.Minute // of callers' connections, where operators name none
-	// oldMargin before the operators' bound only work that would begin at once goes
+	operatorWatchPause   = 20 * time.Millisecond  // between watches
+	serverWatchPause     = 500 * time.Millisecond // servers change in rows, and each row is a call that one gate of a zone pays for
+	readTimeout          = time.Second
+	operatorWatchTimeout = 10 * time.Second // of a watch
+	serverWatchTimeout   = 25 * time.Second
+	removalDelay         = 2200 * time.Millisecond // entries that lapsed with the store are back within two seconds
+	followInterval       = 700 * time.Millisecond
+	otherZoneRounds      = 2                       // of these rounds one reaches keepers of other zones: each word there is paid for by its bytes
+	kvStoreProbeInterval = 1500 * time.Millisecond // between looks at the store of kept KV cache, each a connection that is paid for
+	tickInterval         = 500 * time.Millisecond
+	// trafficLogInterval keeps the lines on traffic to four a minute and host.
+	trafficLogInterval = 15 * time.Second
+	readyShare         = 0.55 // of the bound for keys: an entry host without the store's word asks for no new callers
+	drainDelay         = 2500 * time.Millisecond
+	stopMargin         = 600 * time.Millisecond
+	maxHeaderBytes     = 64 << 10
+	headerTimeout      = 10 * time.Second
+	defaultIdleTimeout = 2 * time.Minute // of callers' connections, where operators name none
+	// outdatedMargin before the operators' bound only work that would begin at once goes
 	// to old weights. A request waits in an engine for two seconds at most, since
 	// callers of streams leave then; the rest is for the word that a version was
 	// named.
-	oldMargin = 2800 * time.Millisecond
-	// beginMargin before it nothing begins there any more, and what waits is taken
+	outdatedMargin = 2800 * time.Millisecond
+	// startMargin before it nothing begins there any more, and what waits is taken
 	// back: twice the time in which a gate that has lost a word hears of a version,
 	// and the way to the engine.
-	beginMargin = 800 * time.Millisecond
+	startMargin = 800 * time.Millisecond
 )
 
 // healthSettings are quicker than the defaults, since callers' deadlines here
@@ -138,57 +138,57 @@
 
 // New returns a gate that is bound to its beat address and serves once Run is
 // called.
-func New(s *beechsettings.Gate, needs Dependencies) (*Gate, error) {
+func New(s *beechsettings.Gate, deps Dependencies) (*Gate, error) {
 	socket, err := beechbeat.Open(s.Beats)
 	if err != nil {
 		return nil, err
 	}
 	g := &Gate{
-		settings: s, needs: needs, log: needs.Log, clock: needs.Clock, socket: socket,
-		circle:   beechvouch.New(socket.Address()),
-		belief:   beechfresh.New(needs.Age),
-		health:   beechhealth.New(healthSettings, needs.Clock),
-		suspects: beechsuspect.New(beechsuspect.Settings{}, needs.Clock),
-		quotas:   beechquota.New(s.Name, rand.Uint64(), quotaBounds(s.Bounds.Quota), needs.Clock),
-		others:   newRoster(),
-		budgets:  NewBudgets(s.Bounds.Retries, s.Bounds.Spare, time.Duration(s.Bounds.Window), needs.Clock),
-		named:    make(map[string]naming),
-		pace:     beechrollout.NewPace(),
-		news:     make(chan struct{}, 1),
-		turnNews: make(chan struct{}, 1), spentNews: make(chan struct{}, 1), limitNews: make(chan struct{}, 1), fullNews: make(chan struct{}, 1),
+		settings: s, deps: deps, log: deps.Log, clock: deps.Clock, socket: socket,
+		peers:       beechvouch.New(socket.Address()),
+		freshness:   beechfresh.New(deps.Age),
+		health:      beechhealth.New(healthSettings, deps.Clock),
+		suspects:    beechsuspect.New(beechsuspect.Settings{}, deps.Clock),
+		quotas:      beechquota.New(s.Name, rand.Uint64(), quotaBounds(s.Bounds.Quota), deps.Clock),
+		otherZones:  newRoster(),
+		budgets:     NewBudgets(s.Bounds.Retries, s.Bounds.Spare, time.Duration(s.Bounds.Window), deps.Clock),
+		announced:   make(map[string]announcedVersion),
+		rolloutPace: beechrollout.NewPace(),
+		followDue:   make(chan struct{}, 1),
+		turnEnded:   make(chan struct{}, 1), usageDue: make(chan struct{}, 1), limitsDue: make(chan struct{}, 1), overloadsDue: make(chan struct{}, 1),
 	}
 	g.bounds.Store(&s.Bounds)
-	g.limits = beechthrottle.New(s.Name, rand.Uint64(), needs.Age, needs.Clock, g.noteLimit, g.limitChanged)
+	g.limits = beechthrottle.New(s.Name, rand.Uint64(), deps.Age, deps.Clock, g.logLimitEvent, g.wakeLimitSender)
 	g.metrics = newMetrics(g)
-	g.limitLog = sampled(needs.Log, g.metrics.linesDropped)
+	g.limitLog = sampledLogger(deps.Log, g.metrics.limitLinesDropped)
 	weights := time.Duration(s.Bounds.Weights)
-	g.full = beechroom.New(needs.Clock, g.foundFull)
+	g.overloaded = beechroom.New(deps.Clock, g.wakeOverloadSender)
 	g.placer = beechplace.New(beechplace.Settings{
-		Zone: s.Zone, OutdatedSoftLimit: max(weights-oldMargin, weights/2), OutdatedHardLimit: max(weights-beginMargin, weights/2),
-	}, needs.Clock, g.health, g.limits, g.full, g.announce)
-	g.core = beechattempt.New(g.placer, needs.Backend, needs.Pool, g.budgets, g.suspects, g, needs.Clock, needs.Log)
-	g.serverCopy = beechmirror.New(beechmirror.Settings{
-		Prefix: needs.ServerPrefix, Interval: serverReads.First, Patience: readPatience, Wait: serverWait, Space: serverSpace, Linger: linger, Forward: g.forward,
-	}, needs.Source, beechfresh.New(needs.Age), needs.Clock, needs.Log, g.setServers)
-	g.operatorCopy = beechmirror.New(beechmirror.Settings{
-		Prefix: needs.OperatorPrefix, Interval: operatorReads.First, Patience: readPatience, Wait: operatorWait, Space: operatorSpace, Lost: g.serverCopy.Ask, Forward: g.forward,
-	}, needs.Source, g.belief, needs.Clock, needs.Log, g.setOperators)
-	g.supervisor = suture.New("gate", suture.Spec{EventHook: beechlog.SupervisorHook(needs.Log)})
+		Zone: s.Zone, OutdatedSoftLimit: max(weights-outdatedMargin, weights/2), OutdatedHardLimit: max(weights-startMargin, weights/2),
+	}, deps.Clock, g.health, g.limits, g.overloaded, g.announcePrompt)
+	g.core = beechattempt.New(g.placer, deps.Backend, deps.Pool, g.budgets, g.suspects, g, deps.Clock, deps.Log)
+	g.serverMirror = beechmirror.New(beechmirror.Settings{
+		Prefix: deps.ServerPrefix, Interval: serverReadAges.First, Patience: readTimeout, Wait: serverWatchTimeout, Space: serverWatchPause, Linger: removalDelay, Forward: g.forwardChanges,
+	}, deps.Source, beechfresh.New(deps.Age), deps.Clock, deps.Log, g.setServers)
+	g.operatorMirror = beechmirror.New(beechmirror.Settings{
+		Prefix: deps.OperatorPrefix, Interval: operatorReadAges.First, Patience: readTimeout, Wait: operatorWatchTimeout, Space: operatorWatchPause, Lost: g.serverMirror.Ask, Forward: g.forwardChanges,
+	}, deps.Source, g.freshness, deps.Clock, deps.Log, g.setOperators)
+	g.supervisor = suture.New("gate", suture.Spec{EventHook: beechlog.SupervisorHook(deps.Log)})
 	for _, task := range []beechtask.Task{
-		{Name: "read operators", Run: g.operatorCopy.Read},
-		{Name: "watch operators", Run: g.operatorCopy.Watch},
-		{Name: "read servers", Run: g.serverCopy.Read},
-		{Name: "watch servers", Run: g.serverCopy.Watch},
+		{Name: "read operators", Run: g.operatorMirror.Read},
+		{Name: "watch operators", Run: g.operatorMirror.Watch},
+		{Name: "read servers", Run: g.serverMirror.Read},
+		{Name: "watch servers", Run: g.serverMirror.Watch},
 		{Name: "follow keepers", Run: g.followKeepers},
-		{Name: "hear keepers", Run: func(ctx context.Context) error { return g.socket.Receive(ctx, g.hear) }},
-		{Name: "ask peers", Run: g.askPeers},
-		{Name: "tell spent", Run: g.tellSpent},
-		{Name: "tell paces", Run: g.tellPaces},
-		{Name: "tell limits", Run: g.tellLimits},
-		{Name: "tell full", Run: g.tellFull},
-		{Name: "tell traffic", Run: g.tellTraffic},
+		{Name: "hear keepers", Run: func(ctx context.Context) error { return g.socket.Receive(ctx, g.receive) }},
+		{Name: "ask peers", Run: g.inquirePeers},
+		{Name: "tell spent", Run: g.sendUsage},
+		{Name: "tell paces", Run: g.sendPaces},
+		{Name: "tell limits", Run: g.sendLimits},
+		{Name: "tell full", Run: g.sendOverloads},
+		{Name: "tell traffic", Run: g.logTraffic},
 		{Name: "tick", Run: g.tick},
-		{Name: "reach kept store", Run: g.reachKept},
+		{Name: "reach kept store", Run: g.probeKVStores},
 	} {
 		g.supervisor.Add(task)
 	}
@@ -200,7 +200,7 @@
 	if g.leaving.Load() || g.configuration.Load() == nil {
 		return false
 	}
-	return g.belief.Age() < time.Duration(float64(g.bounds.Load().Revoke)*readyShare)
+	return g.freshness.Age() < time.Duration(float64(g.bounds.Load().Revoke)*readyShare)
 }
 
 // Draining tells whether the process is about to end.
@@ -211,27 +211,27 @@
 func (g *Gate) Run(ctx context.Context, door, ready http.Handler) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	front, err := net.Listen("tcp4", g.settings.Listen.String())
+	callerListener, err := net.Listen("tcp4", g.settings.Listen.String())
 	if err != nil {
 		return fmt.Errorf("listen for callers: %w", err)
 	}
-	check, err := net.Listen("tcp4", g.settings.Ready.String())
+	readyListener, err := net.Listen("tcp4", g.settings.Ready.String())
 	if err != nil {
 		return fmt.Errorf("listen for readiness: %w", err)
 	}
 	server := &http.Server{
-		Handler: door, MaxHeaderBytes: headerBytes, ReadHeaderTimeout: headerTime,
+		Handler: door, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
 		ConnContext: beechguard.Context, ErrorLog: zap.NewStdLog(g.log),
 	}
-	idle := newIdlers(g.clock, g.idleLimit)
+	idle := newIdleTimeouts(g.clock, g.idleTimeout)
 	server.ConnState = func(c net.Conn, state http.ConnState) {
 		beechguard.State(c, state)
-		idle.state(c, state)
+		idle.trackState(c, state)
 	}
-	checks := &http.Server{Handler: ready, ReadHeaderTimeout: headerTime, ErrorLog: zap.NewStdLog(g.log)}
+	readyServer := &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout, ErrorLog: zap.NewStdLog(g.log)}
 	failed := make(chan error, 2)
-	go func() { failed <- server.Serve(beechguard.Listen(front)) }()
-	go func() { failed <- checks.Serve(check) }()
+	go func() { failed <- server.Serve(beechguard.Listen(callerListener)) }()
+	go func() { failed <- readyServer.Serve(readyListener) }()
 	supervised := g.supervisor.ServeBackground(background)
 	g.log.Info("gate started", zap.Stringer("listen", g.settings.Listen), zap.String("zone", g.settings.Zone))
 	select {
@@ -239,7 +239,7 @@
 	case err := <-failed:
 		return fmt.Errorf("serve: %w", err)
 	}
-	g.stop(server, checks)
+	g.stop(server, readyServer)
 	stop()
 	<-supervised
 	return nil
@@ -247,20 +247,20 @@
 
 // stop asks for no new connections, takes those that come all the same while
 // the balancer finds out, and ends when every request has its answer.
-func (g *Gate) stop(server, checks *http.Server) {
+func (g *Gate) stop(server, readyServer *http.Server) {
 	began := g.clock.Now()
 	g.leaving.Store(true)
 	g.log.Info("gate leaving")
-	g.clock.Sleep(acceptAfter)
-	left := time.Duration(g.bounds.Load().Grace) - stopMargin - g.clock.Since(began)
-	ctx, cancel := clockwork.WithTimeout(context.Background(), g.clock, left)
+	g.clock.Sleep(drainDelay)
+	remaining := time.Duration(g.bounds.Load().Grace) - stopMargin - g.clock.Since(began)
+	ctx, cancel := clockwork.WithTimeout(context.Background(), g.clock, remaining)
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		g.log.Warn("grace time over with requests under way")
 	}
 	_ = server.Close()
-	_ = checks.Close()
+	_ = readyServer.Close()
 	g.log.Info("gate stopped", zap.Duration("took", g.clock.Since(began)))
 }
 
@@ -277,41 +277,41 @@
 // reachKept looks whether the stores of kept KV cache take connections, one after
 // the other. A request that names a dead one as its source waits some hundred
 // milliseconds for it.
-func (g *Gate) reachKept(ctx context.Context) error {
+func (g *Gate) probeKVStores(ctx context.Context) error {
 	lost := make(map[netip.AddrPort]bool)
 	next := 0
-	return beechtask.Every(ctx, g.clock, keptInterval, func() {
+	return beechtask.Every(ctx, g.clock, kvStoreProbeInterval, func() {
 		stores := g.placer.KVStores()
 		if len(stores) == 0 {
 			return
 		}
-		kept := stores[next%len(stores)]
+		store := stores[next%len(stores)]
 		next++
-		err := g.needs.Pool.Reach(ctx, kept)
+		err := g.deps.Pool.Reach(ctx, store)
 		if err != nil {
-			g.placer.KVStoreFailed(kept)
+			g.placer.KVStoreFailed(store)
 		}
-		if was := lost[kept]; was != (err != nil) {
-			lost[kept] = err != nil
-			g.log.Info("kept store", zap.Bool("lost", lost[kept]), zap.Stringer("peer", kept), zap.Error(err))
+		if was := lost[store]; was != (err != nil) {
+			lost[store] = err != nil
+			g.log.Info("kept store", zap.Bool("lost", lost[store]), zap.Stringer("peer", store), zap.Error(err))
 		}
 	})
 }
 
 // tellTraffic logs what this host has sent so far: bytes between zones and calls
 // to the store are paid for, and a fleet's bill is explained from these lines.
-func (g *Gate) tellTraffic(ctx context.Context) error {
-	return beechtask.Every(ctx, g.clock, trafficInterval, func() {
-		if slow := slowest(g.placer.Paces()); len(slow) > 0 {
+func (g *Gate) logTraffic(ctx context.Context) error {
+	return beechtask.Every(ctx, g.clock, trafficLogInterval, func() {
+		if slow := slowEngines(g.placer.Paces()); len(slow) > 0 {
 			g.log.Info("engines differ in pace", zap.Any("times", slow))
 		}
-		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.Sent()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.needs.StoreUse))
+		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.Sent()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
 	})
 }
 
 func (g *Gate) tick(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, tickInterval, func() {
 		g.health.Tick()
-		g.needs.Pool.Sweep()
+		g.deps.Pool.Sweep()
 	})
 }
--- a/internal/process/beechgate/idle.go
+++ b/internal/process/beechgate/idle.go
@@ -14,22 +14,22 @@
 // configuration: a bound that was shorter would close connections on which
 // callers may still send, and their requests would be lost. It is safe for
 // concurrent use.
-type idlers struct {
-	clock clockwork.Clock
-	limit func() time.Duration
+type idleTimeouts struct {
+	clock   clockwork.Clock
+	timeout func() time.Duration
 
 	mu     sync.Mutex
 	timers map[net.Conn]clockwork.Timer
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-func newIdlers(clock clockwork.Clock, limit func() time.Duration) *idlers {
-	return &idlers{clock: clock, limit: limit, timers: make(map[net.Conn]clockwork.Timer)}
+func newIdleTimeouts(clock clockwork.Clock, limit func() time.Duration) *idleTimeouts {
+	return &idleTimeouts{clock: clock, timeout: limit, timers: make(map[net.Conn]clockwork.Timer)}
 }
 
 // state follows a connection, as http.Server's ConnState does.
-func (d *idlers) state(c net.Conn, state http.ConnState) {
+func (d *idleTimeouts) trackState(c net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if timer, ok := d.timers[c]; ok {
@@ -37,26 +37,26 @@
 		delete(d.timers, c)
 	}
 	if state == http.StateIdle {
-		d.timers[c] = d.clock.AfterFunc(d.limit(), func() { d.expire(c) })
+		d.timers[c] = d.clock.AfterFunc(d.timeout(), func() { d.expire(c) })
 	}
 }
 
 // expire ends the wait of a connection that is still idle, upon which the server
 // closes it. Closed from here, it could be closed under a request that has just
 // been read and is passed on.
-func (d *idlers) expire(c net.Conn) {
+func (d *idleTimeouts) expire(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, idle := d.timers[c]; idle {
 		delete(d.timers, c)
-		_ = c.SetReadDeadline(longAgo) // fails only where the connection is closed already
+		_ = c.SetReadDeadline(pastDeadline) // fails only where the connection is closed already
 	}
 }
 
 // idleLimit is the operators' bound, or one of our own where they name none.
-func (g *Gate) idleLimit() time.Duration {
+func (g *Gate) idleTimeout() time.Duration {
 	if c := g.configuration.Load(); c != nil && c.Limits.IdleTime > 0 {
 		return c.Limits.IdleTime
 	}
-	return idleTime
+	return defaultIdleTimeout
 }
--- a/internal/process/beechgate/idle_test.go
+++ b/internal/process/beechgate/idle_test.go
@@ -14,15 +14,15 @@
 	"github.com/matryer/is"
 )
 
-// waitingConn notes how often the wait for its next request was ended.
-type waitingConn struct {
+// deadlineConn notes how often the wait for its next request was ended.
+type deadlineConn struct {
 	net.Conn
-	ended atomic.Int32
+	expired atomic.Int32
 }
 
-func (c *waitingConn) SetReadDeadline(at time.Time) error {
+func (c *deadlineConn) SetReadDeadline(at time.Time) error {
 	if at.Before(time.Now()) {
-		c.ended.Add(1)
+		c.expired.Add(1)
 	}
 	return nil
 }
@@ -30,37 +30,37 @@
 // Operators change how long a caller's connection may be idle. With the bound of
 // the start, a caller that may still use its connection finds it closed just as
 // it sends, and does not know whether its request was read.
-func TestIdleConnectionsFollowTheConfiguration(t *testing.T) {
+func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		limit := 10 * time.Second
-		d := newIdlers(clockwork.NewRealClock(), func() time.Duration { return limit })
-		c := &waitingConn{}
-		d.state(c, http.StateNew)
-		d.state(c, http.StateActive)
-		d.state(c, http.StateIdle)
+		d := newIdleTimeouts(clockwork.NewRealClock(), func() time.Duration { return limit })
+		c := &deadlineConn{}
+		d.trackState(c, http.StateNew)
+		d.trackState(c, http.StateActive)
+		d.trackState(c, http.StateIdle)
 		limit = 30 * time.Second
 		time.Sleep(8 * time.Second)
-		d.state(c, http.StateActive) // used again
-		time.Sleep(time.Minute)      // a long answer is not idleness
-		d.state(c, http.StateIdle)
+		d.trackState(c, http.StateActive) // used again
+		time.Sleep(time.Minute)           // a long answer is not idleness
+		d.trackState(c, http.StateIdle)
 		time.Sleep(29 * time.Second)
-		is.Equal(c.ended.Load(), int32(0))
+		is.Equal(c.expired.Load(), int32(0))
 		time.Sleep(2 * time.Second)
-		is.Equal(c.ended.Load(), int32(1))
-		d.state(c, http.StateClosed)
+		is.Equal(c.expired.Load(), int32(1))
+		d.trackState(c, http.StateClosed)
 		is.Equal(len(d.timers), 0)
 	})
 }
 
 // The bound is reached on a real connection: the caller finds it closed, and one
 // that asks in time does not.
-func TestIdleConnectionIsClosed(t *testing.T) {
+func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	is := is.New(t)
-	d := newIdlers(clockwork.NewRealClock(), func() time.Duration { return 150 * time.Millisecond })
+	d := newIdleTimeouts(clockwork.NewRealClock(), func() time.Duration { return 150 * time.Millisecond })
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	server := &http.Server{Handler: http.NotFoundHandler(), ConnState: d.state, ReadHeaderTimeout: time.Minute}
+	server := &http.Server{Handler: http.NotFoundHandler(), ConnState: d.trackState, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 	c, err := net.Dial("tcp4", listener.Addr().String())
--- a/internal/process/beechgate/endings.go
+++ b/internal/process/beechgate/observer.go
@@ -18,7 +18,7 @@
 // Ended implements beechattempt.Observer. Of requests that ended as they should
 // a line is written at level debug only, of all others always.
 func (g *Gate) Ended(e beechattempt.Ending) {
-	g.metrics.ended(e, g.way(e.Choice.Server))
+	g.metrics.recordEnding(e, g.wayTo(e.Choice.Server))
 	if e.Choice.LimitedServer != "" {
 		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.LimitedServer),
 			zap.Float64("rate", g.limits.Rate(e.Choice.LimitedServer)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.How))
--- a/internal/process/beechgate/paces.go
+++ b/internal/process/beechgate/paces.go
@@ -18,50 +18,50 @@
 const (
 	// pacesInterval is the time between words on engines' paces. One gate alone sees an
 	// engine a few times in ten seconds.
-	pacesInterval = time.Second
-	pacesMost     = 400 // in a datagram
-	thousand      = 1000
-	slowFrom      = 1.2
-	slowTold      = 8 // of the slow ones
+	pacesInterval       = time.Second
+	maxPacesPerDatagram = 400 // in a datagram
+	fixedPointScale     = 1000
+	slowThreshold       = 1.2
+	maxSlowListed       = 8 // of the slow ones
 )
 
 // tellPaces tells the other gates what first words told of engines.
-func (g *Gate) tellPaces(ctx context.Context) error {
+func (g *Gate) sendPaces(ctx context.Context) error {
 	n := uint32(0)
 	return beechtask.Every(ctx, g.clock, pacesInterval, func() {
 		var list []beechwire.Seen
-		for _, s := range g.placer.TakePaceReports(pacesMost) {
-			list = append(list, beechwire.Seen{Engine: s.Engine, Samples: s.Samples, Log: int(s.Log * thousand)})
+		for _, s := range g.placer.TakePaceReports(maxPacesPerDatagram) {
+			list = append(list, beechwire.Seen{Engine: s.Engine, Samples: s.Samples, Log: int(s.Log * fixedPointScale)})
 		}
 		if len(list) == 0 {
 			return
 		}
 		n++
-		g.toGates(n, false, func(pass bool) beechbeat.Message {
+		g.sendToGates(n, false, func(pass bool) beechbeat.Message {
 			return beechbeat.Paces{Paces: &beechwire.Paces{Pass: pass, List: list}}
 		})
 	})
 }
 
 // hearPaces takes in what another gate has seen.
-func (g *Gate) hearPaces(from netip.AddrPort, p beechbeat.Paces) {
-	if !g.knows(from) {
+func (g *Gate) receivePaces(from netip.AddrPort, p beechbeat.Paces) {
+	if !g.isKnownGate(from) {
 		return
 	}
 	if p.Pass {
-		g.toZone(beechbeat.Paces{Paces: &beechwire.Paces{List: p.List}})
+		g.sendToZone(beechbeat.Paces{Paces: &beechwire.Paces{List: p.List}})
 	}
 	for _, s := range p.List {
-		g.placer.MergePaceReport(beechplace.PaceReport{Engine: s.Engine, Samples: s.Samples, Log: float64(s.Log) / thousand})
+		g.placer.MergePaceReport(beechplace.PaceReport{Engine: s.Engine, Samples: s.Samples, Log: float64(s.Log) / fixedPointScale})
 	}
 }
 
 // slowest gives the engines that take notably longer than the middle one, few of them.
-func slowest(paces map[string]float64) map[string]float64 {
+func slowEngines(paces map[string]float64) map[string]float64 {
 	ids := slices.SortedFunc(maps.Keys(paces), func(x, y string) int { return cmp.Compare(paces[y], paces[x]) })
 	slow := make(map[string]float64)
-	for _, id := range ids[:min(len(ids), slowTold)] {
-		if paces[id] > slowFrom {
+	for _, id := range ids[:min(len(ids), maxSlowListed)] {
+		if paces[id] > slowThreshold {
 			slow[id] = math.Round(paces[id]*100) / 100
 		}
 	}
--- a/internal/process/beechgate/budget.go
+++ b/internal/process/beechgate/retrybudget.go
@@ -28,17 +28,17 @@
 const (
 	// cautious is the part of the operators' bound that is used: gates that
 	// were just started do not know what others, or they themselves, have spent.
-	cautious = 0.75
-	// gatesUnknown is assumed until keepers have told how many gates there are.
-	gatesUnknown = 6
+	budgetShare = 0.75
+	// defaultGates is assumed until keepers have told how many gates there are.
+	defaultGates = 6
 	percent      = 100
-	triesMost    = 8
+	maxAttempts  = 8
 )
 
 // NewBudgets returns budgets for a ratio of requests and spare retries a
 // window, both over all gates.
 func NewBudgets(ratio, spare float64, window time.Duration, clock clockwork.Clock) *Budgets {
-	return &Budgets{ratio: ratio, spare: spare, window: window, clock: clock, gates: gatesUnknown, services: make(map[string]*beechretry.Budget)}
+	return &Budgets{ratio: ratio, spare: spare, window: window, clock: clock, gates: defaultGates, services: make(map[string]*beechretry.Budget)}
 }
 
 // SetGates tells how many gates share the budget. What was spent stays spent: the
@@ -56,7 +56,7 @@
 }
 
 // share is this gate's part of the spare retries. The caller holds the lock.
-func (b *Budgets) share() int { return max(int(b.spare*cautious)/b.gates, 1) }
+func (b *Budgets) share() int { return max(int(b.spare*budgetShare)/b.gates, 1) }
 
 // SetBounds changes the operators' bounds.
 func (b *Budgets) SetBounds(ratio, spare float64, window time.Duration) {
@@ -70,21 +70,21 @@
 }
 
 // Sent implements beechattempt.Budget.
-func (b *Budgets) Sent(service string) { b.of(service).Sent() }
+func (b *Budgets) Sent(service string) { b.budget(service).Sent() }
 
 // Decide implements beechattempt.Budget.
 func (b *Budgets) Decide(service string, o beechretry.Outcome) beechretry.Decision {
-	return b.of(service).Decide(o)
+	return b.budget(service).Decide(o)
 }
 
-func (b *Budgets) of(service string) *beechretry.Budget {
+func (b *Budgets) budget(service string) *beechretry.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget, ok := b.services[service]
 	if !ok {
 		settings := beechretry.Settings{
-			Percent: max(int(b.ratio*percent*cautious), 1), Spare: b.share(), Window: b.window,
-			MaxAttempts: triesMost, Backoff: time.Millisecond, MaxBackoff: time.Millisecond,
+			Percent: max(int(b.ratio*percent*budgetShare), 1), Spare: b.share(), Window: b.window,
+			MaxAttempts: maxAttempts, Backoff: time.Millisecond, MaxBackoff: time.Millisecond,
 		}
 		budget = beechretry.New(settings, b.clock, rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		b.services[service] = budget
--- a/internal/process/beechgate/turns.go
+++ b/internal/process/beechgate/rollout.go
@@ -12,17 +12,17 @@
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
 
-// shortAfter a version was named the pace has seen what loads take now.
-const shortAfter = 2 * time.Second
+// paceSettleTime a version was named the pace has seen what loads take now.
+const paceSettleTime = 2 * time.Second
 
 // grantTurns tells the keepers whose turn has come now that another engine's
 // has ended. At the follow interval alone, turns of half a second would stand
 // empty for as long again.
 func (g *Gate) grantTurns() {
 	targets := g.targets()
-	for _, s := range g.keptServers() {
+	for _, s := range g.keeperServers() {
 		if slices.ContainsFunc(targets[s.ID], func(t beechwire.Target) bool { return t.Granted }) {
-			g.follow(s, targets[s.ID], beechshare.WireSuspects(nil))
+			g.sendFollow(s, targets[s.ID], beechshare.WireSuspects(nil))
 		}
 	}
 }
@@ -33,22 +33,22 @@
 	defer g.mu.Unlock()
 	targets := make(map[string][]beechwire.Target)
 	now := g.clock.Now()
-	for model, n := range g.named {
+	for model, version := range g.announced {
 		engines := g.placer.RolloutEngines(model)
 		bound := time.Duration(g.bounds.Load().Weights)
-		fleet := beechrollout.FleetOf(engines, n.Version, bound-oldMargin)
-		granted := beechrollout.Turns(engines, n.Version, g.pace.Most(fleet))
-		if !n.short && now.Sub(n.at) > shortAfter && g.pace.Short(fleet) {
-			n.short = true
-			g.named[model] = n
-			g.metrics.short.Add(1)
-			g.log.Warn("weights cannot be in all engines in time", zap.String("model", model), zap.Uint64("version", n.Version),
-				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.Left)), zap.Int("lost", fleet.Lost), zap.Float64("window", g.pace.Window()), zap.Duration("load", g.pace.Load()))
+		fleet := beechrollout.FleetOf(engines, version.Version, bound-outdatedMargin)
+		granted := beechrollout.Turns(engines, version.Version, g.rolloutPace.Most(fleet))
+		if !version.lateLogged && now.Sub(version.learnedAt) > paceSettleTime && g.rolloutPace.Short(fleet) {
+			version.lateLogged = true
+			g.announced[model] = version
+			g.metrics.lateVersions.Add(1)
+			g.log.Warn("weights cannot be in all engines in time", zap.String("model", model), zap.Uint64("version", version.Version),
+				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.Left)), zap.Int("lost", fleet.Lost), zap.Float64("window", g.rolloutPace.Window()), zap.Duration("load", g.rolloutPace.Load()))
 		}
 		for id, alone := range beechrollout.Alone(engines, bound) {
 			targets[id] = append(targets[id], beechwire.Target{
-				Model: model, Version: n.Version, Fence: n.Revision, Granted: slices.Contains(granted, id),
-				Alone: max(n.at.Add(alone).Sub(now), 0).Milliseconds(),
+				Model: model, Version: version.Version, Fence: version.Revision, Granted: slices.Contains(granted, id),
+				Alone: max(version.learnedAt.Add(alone).Sub(now), 0).Milliseconds(),
 			})
 		}
 	}
@@ -56,7 +56,7 @@
 }
 
 // sawPhase takes in an engine's phase. When its turn ends another one's comes.
-func (g *Gate) sawPhase(engine string, phase beechrollout.Phase, weights map[string]uint64, told time.Duration) {
+func (g *Gate) observePhase(engine string, phase beechrollout.Phase, weights map[string]uint64, reported time.Duration) {
 	if engine == "" {
 		return
 	}
@@ -65,8 +65,8 @@
 		versions += version // any model's newer version is a load
 	}
 	g.mu.Lock()
-	took := g.pace.Saw(engine, phase, versions, told, g.clock.Now())
-	window, load := g.pace.Window(), g.pace.Load()
+	took := g.rolloutPace.Saw(engine, phase, versions, reported, g.clock.Now())
+	window, load := g.rolloutPace.Window(), g.rolloutPace.Load()
 	g.mu.Unlock()
 	if took == 0 {
 		return
@@ -76,5 +76,5 @@
 		level = zap.InfoLevel // each gate tells of its own zone's engines, or lines would grow with gates times engines
 	}
 	g.log.Log(level, "weights loaded", zap.String("server", engine), zap.Duration("took", took), zap.Duration("alone", load), zap.Float64("window", window))
-	beechtask.Wake(g.turnNews)
+	beechtask.Wake(g.turnEnded)
 }
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -13,46 +13,46 @@
 	"github.com/beechring/beechring/internal/link/beechbeat"
 )
 
-// rosterLasts is how long a gate of another zone that no keeper names any more is still
+// rosterTTL is how long a gate of another zone that no keeper names any more is still
 // told: keepers forget one after about as long.
-const rosterLasts = 4 * time.Second
+const rosterTTL = 4 * time.Second
 
 // roster is the gates of the other availability zones, as keepers name them. It is safe
 // for concurrent use.
 type roster struct {
 	mu    sync.Mutex
-	gates map[netip.AddrPort]listed
+	gates map[netip.AddrPort]rosterEntry
 }
 
-type listed struct {
-	zone string
-	at   time.Time
+type rosterEntry struct {
+	zone    string
+	namedAt time.Time
 }
 
-func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]listed)} }
+func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]rosterEntry)} }
 
 // named takes in a keeper's word.
-func (r *roster) named(word beechbeat.Roster, now time.Time) {
+func (r *roster) update(message beechbeat.Roster, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, zone := range word.Zones {
+	for _, zone := range message.Zones {
 		for _, text := range zone.Gates {
 			var gate netip.AddrPort
 			if err := gate.UnmarshalBinary([]byte(text)); err == nil && gate.IsValid() {
-				r.gates[gate] = listed{zone.Name, now}
+				r.gates[gate] = rosterEntry{zone.Name, now}
 			}
 		}
 	}
-	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, l listed) bool { return now.Sub(l.at) > rosterLasts })
+	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, l rosterEntry) bool { return now.Sub(l.namedAt) > rosterTTL })
 }
 
 // hearRoster takes in a keeper's word on the gates of the other zones.
-func (g *Gate) hearRoster(word beechbeat.Roster) {
+func (g *Gate) receiveRoster(message beechbeat.Roster) {
 	now := g.clock.Now()
-	alone := len(g.others.zones(now)) == 0
-	g.others.named(word, now)
+	alone := len(g.otherZones.zones(now)) == 0
+	g.otherZones.update(message, now)
 	if alone {
-		g.met("other zones", len(g.others.zones(now)))
+		g.gatesDiscovered("other zones", len(g.otherZones.zones(now)))
 	}
 }
 
@@ -62,7 +62,7 @@
 	defer r.mu.Unlock()
 	byZone := make(map[string][]netip.AddrPort)
 	for gate, l := range r.gates {
-		if now.Sub(l.at) <= rosterLasts {
+		if now.Sub(l.namedAt) <= rosterTTL {
 			byZone[l.zone] = append(byZone[l.zone], gate)
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // knows tells whether a gate is listed.
-func (r *roster) knows(gate netip.AddrPort) bool {
+func (r *roster) contains(gate netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.gates[gate]
@@ -78,30 +78,30 @@
 }
 
 // toZone tells all other gates of this zone.
-func (g *Gate) toZone(m beechbeat.Message) { g.toPeers(g.circle.Peers(g.clock.Now()), m) }
+func (g *Gate) sendToZone(m beechbeat.Message) { g.sendToPeers(g.peers.Peers(g.clock.Now()), m) }
 
 // toGates tells all other gates its n-th word: those of this zone directly, each other
 // zone through relays that pass it on there. One that must not be lost goes through all
 // relays.
-func (g *Gate) toGates(n uint32, certain bool, word func(pass bool) beechbeat.Message) {
-	g.toZone(word(false))
-	for _, zone := range g.others.zones(g.clock.Now()) {
-		to := zone
-		relays := beechrelay.Of(g.circle.Self(), zone)
+func (g *Gate) sendToGates(round uint32, urgent bool, message func(pass bool) beechbeat.Message) {
+	g.sendToZone(message(false))
+	for _, zone := range g.otherZones.zones(g.clock.Now()) {
+		targets := zone
+		relays := beechrelay.Of(g.peers.Self(), zone)
 		if relays != nil {
-			to = beechrelay.Take(relays, n, certain)
+			targets = beechrelay.Take(relays, round, urgent)
 		}
-		if err := g.socket.SendAll(to, beechbeat.Far, word(relays != nil)); err != nil {
+		if err := g.socket.SendAll(targets, beechbeat.Far, message(relays != nil)); err != nil {
 			g.log.Debug("gate not told", zap.Error(err))
 		}
 	}
 }
 
 // knows tells whether a word is of a gate that keepers name. Others are counted.
-func (g *Gate) knows(from netip.AddrPort) bool {
-	if g.circle.Knows(from) || g.others.knows(from) {
+func (g *Gate) isKnownGate(from netip.AddrPort) bool {
+	if g.peers.Knows(from) || g.otherZones.contains(from) {
 		return true
 	}
-	g.metrics.strangers.Add(1)
+	g.metrics.unknownSenders.Add(1)
 	return false
 }
