--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -12,45 +12,46 @@
 )
 
 type (
-	// AdmissionRequest is what decides whether a request is let in.
+	// AdmissionRequest holds what decides whether a request is admitted.
 	AdmissionRequest struct {
 		Host string // without a port
 		Path string
 		Key  string
 	}
 
-	// Admission is Admitted, NoRoute, NoWorkspace or NotKnown.
+	// Admission is Admitted, NoRoute, UnknownKey or Undecided.
 	Admission interface{ admission() }
 
-	// Admitted lets a request in under a configuration.
+	// Admitted admits a request under a configuration.
 	Admitted struct {
 		Route     *beechcall.Route
 		Service   string
 		Workspace beechcall.Workspace
 		Version   uint64
-		BodyBytes int64 // most; 0 is no bound
+		BodyBytes int64 // maximum size of the body; 0 is unlimited
 	}
 
-	// NoRoute says that no route matches.
+	// NoRoute is returned if no route matches.
 	NoRoute struct{}
 
-	// UnknownKey says that the key is nobody's.
+	// UnknownKey is returned if the key belongs to no workspace.
 	UnknownKey struct{}
 
-	// Undecided says that this gate cannot tell, since it does not know the
-	// configuration, or not well enough.
+	// Undecided is returned if this gate cannot decide because its configuration is missing or
+	// too old.
 	Undecided struct{ After time.Duration }
 )
 
 const (
-	// revokeShare of the operators' bound may pass without the store's word on
-	// the keys: the rest is for the request's own way to its server.
+	// revokeShare is the share of the operators' bound for which keys are accepted without
+	// confirmation by the store. The rest of the bound is left for the request's way to its
+	// server.
 	revokeShare = 0.84
-	// denyMaxAge is the age up to which a gate may say that a route or key is not
-	// there; an older belief may lack what was added.
+	// denyMaxAge is the age of the configuration up to which a route or key is reported as
+	// missing; an older configuration may lack recent additions.
 	denyMaxAge = 2600 * time.Millisecond
-	// undecidedRetryAfter is when to come back to a gate that has lost the store;
-	// other gates may serve at once.
+	// undecidedRetryAfter is the retry time given by a gate that has lost the store. It is
+	// short, as other gates may serve the request at once.
 	undecidedRetryAfter = 200 * time.Millisecond
 )
 
@@ -59,7 +60,7 @@
 func (UnknownKey) admission() {}
 func (Undecided) admission()  {}
 
-// Admit decides whether a request is let in.
+// Admit decides whether a request is admitted.
 func (g *Gate) Admit(request AdmissionRequest) Admission {
 	admission := g.admit(request)
 	switch v := admission.(type) {
@@ -106,7 +107,7 @@
 	return admitted
 }
 
-// Serve answers a call that was let in, as far as its workspace's quota goes.
+// Serve runs an admitted call if its workspace's quota permits.
 func (g *Gate) Serve(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) {
 	if !g.chargeQuota(ctx, call, out) {
 		return
--- a/internal/process/beechgate/configuration.go
+++ b/internal/process/beechgate/configuration.go
@@ -10,49 +10,49 @@
 	"github.com/beechring/beechring/internal/state/beechmirror"
 )
 
-// naming is a named version with when this gate learned of it.
+// announcedVersion is a version of a model's weights that operators announced.
 type announcedVersion struct {
 	beechcall.Named
-	learnedAt  time.Time
-	lateLogged bool // it was told that not all engines can have it in time
+	learnedAt  time.Time // when this gate learned of it
+	lateLogged bool      // a warning that not all engines can load it in time was logged
 }
 
-// connectionSkew is how many times its even share of a server's connections a
-// gate may have: some gates have more callers than others.
+// connectionSkew is the factor on a gate's even share of a server's connections. It exceeds 1
+// because some gates have more callers than others.
 const connectionSkew = 1.8
 
-// setOperators takes in what operators wrote. What cannot be read leaves the
-// last good state in force.
+// setOperators applies the operators' documents. Invalid documents leave the last valid state
+// in force.
 func (g *Gate) setOperators(items []beechmirror.Item) {
 	c, named, err := g.deps.Operators(items)
 	if err != nil {
 		g.log.Error("operators' document passed over", zap.Error(err))
 	}
-	old := g.configuration.Load()
-	if c != nil && (old == nil || c.Revision > old.Revision) {
+	previous := g.configuration.Load()
+	if c != nil && (previous == nil || c.Revision > previous.Revision) {
 		g.configuration.Store(c)
 		g.placer.SetConfiguration(c)
 		g.setQuotas(c)
 		g.limitConnections(c)
 		g.log.Info("configuration in force", zap.Uint64("version", c.Version), zap.Uint64("revision", c.Revision), zap.Int("routes", len(c.Routes)))
-		if old == nil {
+		if previous == nil {
 			g.requestFollow()
 		}
 	}
-	for _, n := range named {
-		if !g.placer.SetLatestVersion(n.Model, n.Version) {
+	for _, version := range named {
+		if !g.placer.SetLatestVersion(version.Model, version.Version) {
 			continue
 		}
 		g.mu.Lock()
-		g.announced[n.Model] = announcedVersion{Named: n, learnedAt: g.clock.Now()}
+		g.announced[version.Model] = announcedVersion{Named: version, learnedAt: g.clock.Now()}
 		g.mu.Unlock()
-		g.log.Info("weights named", zap.String("model", n.Model), zap.Uint64("version", n.Version), zap.Uint64("revision", n.Revision))
+		g.log.Info("weights named", zap.String("model", version.Model), zap.Uint64("version", version.Version), zap.Uint64("revision", version.Revision))
 		g.requestFollow()
 	}
 }
 
-// bound keeps the connections to a server within what it accepts from all
-// gates together.
+// limitConnections bounds this gate's connections to each server, so that all gates together
+// stay within what the server accepts.
 func (g *Gate) limitConnections(c *beechcall.Configuration) {
 	limit := 0
 	for _, s := range c.Services {
@@ -66,8 +66,8 @@
 	g.deps.Pool.Bound(int(float64(limit)*connectionSkew) / gates)
 }
 
-// passOver tells of entries that name no server to use, once each time that they
-// change: they may lie there for long, beside others that change often.
+// logEntryError logs invalid server entries once each time that the set of them changes: they
+// may stay for long, next to entries that change often.
 func (g *Gate) logEntryError(err error) {
 	text := ""
 	if err != nil {
@@ -87,7 +87,7 @@
 	servers, err := g.deps.Servers(items)
 	g.logEntryError(err)
 	g.mu.Lock()
-	old := g.servers
+	previous := g.servers
 	g.servers = servers
 	g.mu.Unlock()
 	ids := make([]string, 0, len(servers))
@@ -105,30 +105,30 @@
 	for service, addresses := range byService {
 		g.health.SetServers(service, addresses)
 	}
-	g.logServerChanges(old, servers)
-	for _, s := range old {
+	g.logServerChanges(previous, servers)
+	for _, s := range previous {
 		if _, ok := current[s.ID]; !ok {
 			g.deps.Pool.Forget(s.Address)
 		}
 	}
-	if len(old) == 0 && len(servers) > 0 {
+	if len(previous) == 0 && len(servers) > 0 {
 		g.requestFollow()
 	}
 }
 
-// noteServers logs what has changed among the servers: one line for all of them,
-// and one for each of this gate's zone. With a line for each server at each gate
-// the lines of a fleet would grow with its square.
-func (g *Gate) logServerChanges(old, servers []beechcall.Server) {
-	before := make(map[string]beechcall.Server, len(old))
-	for _, s := range old {
-		before[s.ID] = s
+// logServerChanges logs changes of the server list: one line in total, and one for each server
+// of this gate's zone. One line per server at every gate would make the log volume of a fleet
+// grow quadratically.
+func (g *Gate) logServerChanges(previous, servers []beechcall.Server) {
+	removed := make(map[string]beechcall.Server, len(previous))
+	for _, s := range previous {
+		removed[s.ID] = s
 	}
 	listed, leaving := 0, 0
 	for _, s := range servers {
-		was, known := before[s.ID]
-		delete(before, s.ID)
-		if known && was.Leaving == s.Leaving {
+		before, known := removed[s.ID]
+		delete(removed, s.ID)
+		if known && before.Leaving == s.Leaving {
 			continue
 		}
 		listed++
@@ -139,12 +139,12 @@
 			g.log.Info("server listed", zap.String("server", s.ID), zap.Stringer("peer", s.Address), zap.String("service", s.Service), zap.Bool("leaving", s.Leaving))
 		}
 	}
-	for _, s := range before {
+	for _, s := range removed {
 		if s.Zone == g.settings.Zone {
 			g.log.Info("server gone", zap.String("server", s.ID), zap.Stringer("peer", s.Address))
 		}
 	}
-	if listed+len(before) > 0 {
-		g.log.Info("servers changed", zap.Int("listed", listed), zap.Int("leaving", leaving), zap.Int("gone", len(before)), zap.Int("servers", len(servers)))
+	if listed+len(removed) > 0 {
+		g.log.Info("servers changed", zap.Int("listed", listed), zap.Int("leaving", leaving), zap.Int("gone", len(removed)), zap.Int("servers", len(servers)))
 	}
 }
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -38,45 +38,45 @@
 )
 
 type (
-	// Dependencies of a gate.
+	// Dependencies are the components that a gate uses.
 	Dependencies struct {
 		Clock          clockwork.Clock
 		Age            beechfresh.Clock
 		Log            *zap.Logger
 		Source         beechmirror.Source
-		StoreUse       expvar.Var // of the source: calls and bytes; may be nil
+		StoreUse       expvar.Var // calls and bytes of Source; may be nil
 		Backend        beechcall.Backend
-		Pool           *beechpool.Pool // of the backend
+		Pool           *beechpool.Pool // connections of Backend
 		OperatorPrefix string
 		ServerPrefix   string
-		// Operators decodes what operators wrote, Servers the servers' entries.
-		// What cannot be read is told in the error, the rest is given.
+		// Operators decodes the operators' documents and Servers the servers' entries. Both
+		// return what can be decoded, and an error for the rest.
 		Operators func([]beechmirror.Item) (*beechcall.Configuration, []beechcall.Named, error)
 		Servers   func([]beechmirror.Item) ([]beechcall.Server, error)
 	}
 
-	// Gate is the process. It is safe for concurrent use.
+	// Gate is the process on an entry host. It is safe for concurrent use.
 	Gate struct {
 		settings *beechsettings.Gate
 		deps     Dependencies
 		log      *zap.Logger
-		limitLog *zap.Logger // at most maxLimitLogLines a second of each message
+		limitLog *zap.Logger // at most maxLimitLogLines per second of each message
 		clock    clockwork.Clock
 
 		configuration  atomic.Pointer[beechcall.Configuration]
-		leaving        atomic.Bool
-		freshness      *beechfresh.Belief // in what operators wrote
+		draining       atomic.Bool
+		freshness      *beechfresh.Belief // age of the operators' documents
 		placer         *beechplace.Placer
 		health         *beechhealth.Tracker
 		suspects       *beechsuspect.Register
 		budgets        *Budgets
 		quotas         *beechquota.Ledger
-		limits         *beechthrottle.Throttle // of servers
-		overloaded     *beechroom.Register     // servers
+		limits         *beechthrottle.Throttle // request limits that servers announce
+		overloaded     *beechroom.Register     // servers that reject requests
 		otherZones     *roster                 // gates of the other zones
 		core           *beechattempt.Core
 		socket         *beechbeat.Socket
-		peers          *beechvouch.Circle // of gates that share their reads of the store
+		peers          *beechvouch.Circle // gates of this zone, which share their reads of the store
 		operatorMirror *beechmirror.Mirror
 		serverMirror   *beechmirror.Mirror
 		supervisor     *suture.Supervisor
@@ -87,57 +87,55 @@
 		announced   map[string]announcedVersion
 		servers     []beechcall.Server
 		gates       int
-		recentGates recentMax // gates, by keepers' words
+		recentGates recentMax // maximum of the gate counts that keepers report
 
 		rolloutPace  *beechrollout.Pace
-		entryError   string        // what is wrong with servers' entries now
-		followDue    chan struct{} // a follow is due now
-		turnEnded    chan struct{} // an engine's turn has ended
-		usageDue     chan struct{} // other gates are to hear at once what was admitted
-		limitsDue    chan struct{} // or what servers with limits were sent
-		overloadsDue chan struct{} // or that a server is full
+		entryError   string        // current errors in servers' entries
+		followDue    chan struct{} // signals that keepers should be contacted now
+		turnEnded    chan struct{} // signals that an engine's turn to load weights has ended
+		usageDue     chan struct{} // signals that quota usage should be sent to the other gates now
+		limitsDue    chan struct{} // signals that usage of servers' limits should be sent now
+		overloadsDue chan struct{} // signals that overloaded servers should be sent now
 	}
 )
 
 const (
 	operatorWatchPause   = 20 * time.Millisecond  // between watches
-	serverWatchPause     = 500 * time.Millisecond // servers change in rows, and each row is a call that one gate of a zone pays for
+	serverWatchPause     = 500 * time.Millisecond // servers change in batches, and each watch call that a batch needs is paid for once per zone
 	readTimeout          = time.Second
-	operatorWatchTimeout = 10 * time.Second // of a watch
+	operatorWatchTimeout = 10 * time.Second // longest wait of one watch call
 	serverWatchTimeout   = 25 * time.Second
-	removalDelay         = 2200 * time.Millisecond // entries that lapsed with the store are back within two seconds
+	removalDelay         = 2200 * time.Millisecond // entries that expired while the store was down return within two seconds
 	followInterval       = 700 * time.Millisecond
-	otherZoneRounds      = 2                       // of these rounds one reaches keepers of other zones: each word there is paid for by its bytes
-	kvStoreProbeInterval = 1500 * time.Millisecond // between looks at the store of kept KV cache, each a connection that is paid for
+	otherZoneRounds      = 2                       // every n-th round reaches keepers of other zones, since traffic between zones is paid for by the byte
+	kvStoreProbeInterval = 1500 * time.Millisecond // each probe is a connection that is paid for
 	tickInterval         = 500 * time.Millisecond
-	// trafficLogInterval keeps the lines on traffic to four a minute and host.
+	// trafficLogInterval limits the traffic log to four lines a minute and host.
 	trafficLogInterval = 15 * time.Second
-	readyShare         = 0.55 // of the bound for keys: an entry host without the store's word asks for no new callers
+	readyShare         = 0.55 // of the bound for keys: an entry host without contact to the store asks for no new connections after it
 	drainDelay         = 2500 * time.Millisecond
 	stopMargin         = 600 * time.Millisecond
 	maxHeaderBytes     = 64 << 10
 	headerTimeout      = 10 * time.Second
-	defaultIdleTimeout = 2 * time.Minute // of callers' connections, where operators name none
-	// outdatedMargin before the operators' bound only work that would begin at once goes
-	// to old weights. A request waits in an engine for two seconds at most, since
-	// callers of streams leave then; the rest is for the word that a version was
-	// named.
+	defaultIdleTimeout = 2 * time.Minute // of callers' connections, if operators set none
+	// outdatedMargin before the operators' bound, outdated weights only get requests that are
+	// expected to start at once. A request waits in an engine for at most two seconds, as
+	// callers of streams disconnect then; the rest is the time until gates learn of a new
+	// version.
 	outdatedMargin = 2800 * time.Millisecond
-	// startMargin before it nothing begins there any more, and what waits is taken
-	// back: twice the time in which a gate that has lost a word hears of a version,
-	// and the way to the engine.
+	// startMargin before the bound, no request starts on outdated weights any more, and
+	// waiting ones are withdrawn. It is twice the time until a gate that missed a message
+	// learns of a version, plus the transit time to the engine.
 	startMargin = 800 * time.Millisecond
 )
 
-// healthSettings are quicker than the defaults, since callers' deadlines here
-// are of seconds.
+// healthSettings react faster than the defaults, since callers' deadlines are a few seconds.
 var healthSettings = beechhealth.Settings{
 	MaxEjected: 40, Slow: 6, Failed: 0.3, Confirm: 400 * time.Millisecond,
 	Eject: 3 * time.Second, MaxEject: 15 * time.Second, Probes: 2, SlowStart: 2 * time.Second,
 }
 
-// New returns a gate that is bound to its beat address and serves once Run is
-// called.
+// New returns a gate that is bound to its heartbeat address. It serves once Run is called.
 func New(s *beechsettings.Gate, deps Dependencies) (*Gate, error) {
 	socket, err := beechbeat.Open(s.Beats)
 	if err != nil {
@@ -195,19 +193,19 @@
 	return g, nil
 }
 
-// Ready tells whether new connections are welcome.
+// Ready reports whether the gate accepts new connections.
 func (g *Gate) Ready() bool {
-	if g.leaving.Load() || g.configuration.Load() == nil {
+	if g.draining.Load() || g.configuration.Load() == nil {
 		return false
 	}
 	return g.freshness.Age() < time.Duration(float64(g.bounds.Load().Revoke)*readyShare)
 }
 
-// Draining tells whether the process is about to end.
-func (g *Gate) Draining() bool { return g.leaving.Load() }
+// Draining reports whether the process is about to end.
+func (g *Gate) Draining() bool { return g.draining.Load() }
 
-// Run serves until the context ends, and then until every request has its
-// answer or the grace time is over.
+// Run serves until the context ends, and then until every request is completed or the grace
+// period has expired.
 func (g *Gate) Run(ctx context.Context, door, ready http.Handler) error {
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -245,14 +243,14 @@
 	return nil
 }
 
-// stop asks for no new connections, takes those that come all the same while
-// the balancer finds out, and ends when every request has its answer.
+// stop reports the gate as not ready, still accepts connections until the load balancer has
+// noticed, and returns when every request is completed.
 func (g *Gate) stop(server, readyServer *http.Server) {
-	began := g.clock.Now()
-	g.leaving.Store(true)
+	start := g.clock.Now()
+	g.draining.Store(true)
 	g.log.Info("gate leaving")
 	g.clock.Sleep(drainDelay)
-	remaining := time.Duration(g.bounds.Load().Grace) - stopMargin - g.clock.Since(began)
+	remaining := time.Duration(g.bounds.Load().Grace) - stopMargin - g.clock.Since(start)
 	ctx, cancel := clockwork.WithTimeout(context.Background(), g.clock, remaining)
 	defer cancel()
 	err := server.Shutdown(ctx)
@@ -261,11 +259,11 @@
 	}
 	_ = server.Close()
 	_ = readyServer.Close()
-	g.log.Info("gate stopped", zap.Duration("took", g.clock.Since(began)))
+	g.log.Info("gate stopped", zap.Duration("took", g.clock.Since(start)))
 }
 
-// Apply takes in settings that have changed while the process runs. Addresses
-// and names are in force from the next start on; the bounds at once.
+// Apply applies settings that have changed while the process runs. Bounds take effect at once,
+// addresses and names at the next start.
 func (g *Gate) Apply(s *beechsettings.Gate) {
 	g.bounds.Store(&s.Bounds)
 	g.quotas.SetBounds(quotaBounds(s.Bounds.Quota))
@@ -274,11 +272,10 @@
 		zap.Float64("retries", s.Bounds.Retries), zap.Float64("spare", s.Bounds.Spare), zap.Duration("window", time.Duration(s.Bounds.Window)))
 }
 
-// reachKept looks whether the stores of kept KV cache take connections, one after
-// the other. A request that names a dead one as its source waits some hundred
-// milliseconds for it.
+// probeKVStores checks in turn whether the KV cache stores accept connections. A request that
+// names an unreachable one as its source is delayed by some hundred milliseconds.
 func (g *Gate) probeKVStores(ctx context.Context) error {
-	lost := make(map[netip.AddrPort]bool)
+	unreachable := make(map[netip.AddrPort]bool)
 	next := 0
 	return beechtask.Every(ctx, g.clock, kvStoreProbeInterval, func() {
 		stores := g.placer.KVStores()
@@ -291,15 +288,15 @@
 		if err != nil {
 			g.placer.KVStoreFailed(store)
 		}
-		if was := lost[store]; was != (err != nil) {
-			lost[store] = err != nil
-			g.log.Info("kept store", zap.Bool("lost", lost[store]), zap.Stringer("peer", store), zap.Error(err))
+		if previous := unreachable[store]; previous != (err != nil) {
+			unreachable[store] = err != nil
+			g.log.Info("kept store", zap.Bool("lost", unreachable[store]), zap.Stringer("peer", store), zap.Error(err))
 		}
 	})
 }
 
-// tellTraffic logs what this host has sent so far: bytes between zones and calls
-// to the store are paid for, and a fleet's bill is explained from these lines.
+// logTraffic logs the traffic of this host. Bytes between zones and calls to the store are
+// paid for, and these lines explain a fleet's bill.
 func (g *Gate) logTraffic(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, trafficLogInterval, func() {
 		if slow := slowEngines(g.placer.Paces()); len(slow) > 0 {
--- a/internal/process/beechgate/idle.go
+++ b/internal/process/beechgate/idle.go
@@ -9,11 +9,10 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// idlers closes callers' connections that stay idle for longer than operators
-// allow. net/http's own bound is set once at the start and cannot follow a
-// configuration: a bound that was shorter would close connections on which
-// callers may still send, and their requests would be lost. It is safe for
-// concurrent use.
+// idleTimeouts closes callers' connections that stay idle for longer than operators allow. It
+// replaces http.Server.IdleTimeout, which is fixed at the start: after the allowed time has
+// been raised, it would close connections on which callers may still send, and their requests
+// would be lost. It is safe for concurrent use.
 type idleTimeouts struct {
 	clock   clockwork.Clock
 	timeout func() time.Duration
@@ -24,11 +23,11 @@
 
 var pastDeadline = time.Unix(1, 0)
 
-func newIdleTimeouts(clock clockwork.Clock, limit func() time.Duration) *idleTimeouts {
-	return &idleTimeouts{clock: clock, timeout: limit, timers: make(map[net.Conn]clockwork.Timer)}
+func newIdleTimeouts(clock clockwork.Clock, timeout func() time.Duration) *idleTimeouts {
+	return &idleTimeouts{clock: clock, timeout: timeout, timers: make(map[net.Conn]clockwork.Timer)}
 }
 
-// state follows a connection, as http.Server's ConnState does.
+// trackState follows a connection's state and is used as http.Server.ConnState.
 func (d *idleTimeouts) trackState(c net.Conn, state http.ConnState) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,19 +40,18 @@
 	}
 }
 
-// expire ends the wait of a connection that is still idle, upon which the server
-// closes it. Closed from here, it could be closed under a request that has just
-// been read and is passed on.
+// expire ends the pending read of an idle connection, so that the server closes it. Closing
+// the connection here could abort a request that was just read and is being handled.
 func (d *idleTimeouts) expire(c net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, idle := d.timers[c]; idle {
 		delete(d.timers, c)
-		_ = c.SetReadDeadline(pastDeadline) // fails only where the connection is closed already
+		_ = c.SetReadDeadline(pastDeadline) // fails only if the connection is already closed
 	}
 }
 
-// idleLimit is the operators' bound, or one of our own where they name none.
+// idleTimeout returns the operators' timeout, or defaultIdleTimeout if they set none.
 func (g *Gate) idleTimeout() time.Duration {
 	if c := g.configuration.Load(); c != nil && c.Limits.IdleTime > 0 {
 		return c.Limits.IdleTime
--- a/internal/process/beechgate/idle_test.go
+++ b/internal/process/beechgate/idle_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-// deadlineConn notes how often the wait for its next request was ended.
+// deadlineConn counts how often the wait for its next request was ended.
 type deadlineConn struct {
 	net.Conn
 	expired atomic.Int32
@@ -27,9 +27,9 @@
 	return nil
 }
 
-// Operators change how long a caller's connection may be idle. With the bound of
-// the start, a caller that may still use its connection finds it closed just as
-// it sends, and does not know whether its request was read.
+// Operators change the idle timeout at runtime. With the initial timeout, a connection could
+// be closed just as a caller sends a request, and the caller could not know whether the
+// request was read.
 func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -42,7 +42,7 @@
 		limit = 30 * time.Second
 		time.Sleep(8 * time.Second)
 		d.trackState(c, http.StateActive) // used again
-		time.Sleep(time.Minute)           // a long answer is not idleness
+		time.Sleep(time.Minute)           // a long response does not count as idle
 		d.trackState(c, http.StateIdle)
 		time.Sleep(29 * time.Second)
 		is.Equal(c.expired.Load(), int32(0))
@@ -53,8 +53,8 @@
 	})
 }
 
-// The bound is reached on a real connection: the caller finds it closed, and one
-// that asks in time does not.
+// On a real connection, a request within the timeout is answered, and the connection is closed
+// after the timeout.
 func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	is := is.New(t)
 	d := newIdleTimeouts(clockwork.NewRealClock(), func() time.Duration { return 150 * time.Millisecond })
@@ -69,7 +69,7 @@
 	is.NoErr(c.SetDeadline(time.Now().Add(10 * time.Second)))
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
-	answer, err := io.ReadAll(c) // to the end of the connection
+	answer, err := io.ReadAll(c) // until the connection is closed
 	is.NoErr(err)
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 404"))
 }
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -16,13 +16,13 @@
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
 
-// followNow has the keepers told at once.
+// requestFollow makes followKeepers contact the keepers at once.
 func (g *Gate) requestFollow() {
 	beechtask.Wake(g.followDue)
 }
 
-// followKeepers asks the keepers for their engines' state, and tells them what
-// these are to have.
+// followKeepers periodically sends keepers the target versions of their engines and asks for the
+// engines' state.
 func (g *Gate) followKeepers(ctx context.Context) error {
 	g.followRound(beechbeat.Far)
 	next := g.clock.After(followInterval)
@@ -43,7 +43,7 @@
 	}
 }
 
-// followOnce has a word with the keepers of this zone, or of all zones.
+// followRound contacts the keepers of this zone, or of all zones.
 func (g *Gate) followRound(farthest beechbeat.Way) {
 	targets := g.targets()
 	suspects := beechshare.WireSuspects(beechshare.Worst(g.suspects.News()))
@@ -54,12 +54,12 @@
 	}
 }
 
-// way tells whether words to a server's keeper cross the border of this zone.
+// wayTo returns whether messages to a server's keeper leave this zone.
 func (g *Gate) wayTo(s beechcall.Server) beechbeat.Way { return s.Zone != g.settings.Zone }
 
-// keptServers gives the servers that have a keeper; none where this gate is
-// about to end. Plain services' have none, nor has what somebody wrote among the
-// servers for a service that operators do not name.
+// keeperServers returns the servers that have a keeper, or none if this gate is draining.
+// Plain services have no keeper, and neither do entries for services that operators have not
+// configured.
 func (g *Gate) keeperServers() []beechcall.Server {
 	c := g.configuration.Load()
 	if g.Draining() || c == nil {
@@ -68,18 +68,18 @@
 	g.mu.Lock()
 	servers := g.servers
 	g.mu.Unlock()
-	var kept []beechcall.Server
+	var withKeeper []beechcall.Server
 	for _, s := range servers {
 		if _, named := c.Services[s.Service]; named && len(s.Weights) > 0 {
-			kept = append(kept, s)
+			withKeeper = append(withKeeper, s)
 		}
 	}
-	return kept
+	return withKeeper
 }
 
-// follow has a word with a server's keeper. Suspects reach the keepers of other
-// zones by those of this one, and what a keeper logs of a gate is of its own zone;
-// so words that cross a border, where bytes are paid for, do without both.
+// sendFollow contacts a server's keeper. Messages to other zones, which are paid for by the
+// byte, omit the gate's name and the suspects: keepers there receive suspects from the keepers
+// of this zone, and log only the gates of their own zone.
 func (g *Gate) sendFollow(s beechcall.Server, targets []beechwire.Target, suspects []beechwire.Suspect) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
 	follow := &beechwire.Follow{Zone: g.settings.Zone, Targets: targets, Ask: g.placer.KeeperSilent(s.ID), Rate: g.placer.PrefillRate()}
@@ -91,7 +91,7 @@
 	}
 }
 
-// announce tells a keeper of a prompt that is on its way to its engine.
+// announcePrompt tells a keeper about a prompt sent to its engine.
 func (g *Gate) announcePrompt(s beechcall.Server, tokens int, parts []uint64, saved bool) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
 	if err := g.socket.Send(address, g.wayTo(s), beechbeat.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
@@ -99,7 +99,7 @@
 	}
 }
 
-// hear takes in a keeper's word, or another gate's.
+// receive handles a message of a keeper or another gate.
 func (g *Gate) receive(from netip.AddrPort, m beechbeat.Message) {
 	switch v := m.(type) {
 	case beechbeat.Tell:
@@ -129,7 +129,7 @@
 	}
 }
 
-// passOn takes in a keeper's word and hands it to the other gates of this zone.
+// relayState applies a keeper's state and relays it to the other gates of this zone.
 func (g *Gate) relayState(host netip.Addr, p beechbeat.Pass) {
 	relayed := beechbeat.Passed{Passed: &beechwire.Passed{Host: host.String(), Tell: p.Tell}}
 	g.sendToZone(relayed)
@@ -144,7 +144,7 @@
 	g.receiveState(host, &p.Tell)
 }
 
-// hearTell takes in a keeper's word on the engine of its host.
+// receiveState applies a keeper's report on the engine of its host.
 func (g *Gate) receiveState(host netip.Addr, state *beechwire.Tell) {
 	weights := make(map[string]uint64, len(state.Have))
 	for _, w := range state.Have {
@@ -159,21 +159,21 @@
 	g.setGates(state.Gates)
 }
 
-// setGates follows the number of gates that keepers see. It grows at once and
-// shrinks slowly: keepers that see fewer may be cut off from some.
+// setGates updates the number of gates from a keeper's count. It increases at once and
+// decreases slowly, as a keeper with a lower count may be cut off from some gates.
 func (g *Gate) setGates(n int) {
 	g.mu.Lock()
-	old := g.gates
+	previous := g.gates
 	g.gates = g.recentGates.add(n, g.clock.Now())
-	now := g.gates
+	current := g.gates
 	g.mu.Unlock()
-	if now == old {
+	if current == previous {
 		return
 	}
-	g.budgets.SetGates(now)
-	g.placer.SetGates(now)
-	g.quotas.SetGates(now)
-	g.limits.SetGates(now)
+	g.budgets.SetGates(current)
+	g.placer.SetGates(current)
+	g.quotas.SetGates(current)
+	g.limits.SetGates(current)
 	if c := g.configuration.Load(); c != nil {
 		g.limitConnections(c)
 	}
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -18,13 +18,15 @@
 )
 
 const (
-	// maxLimitLogLines of each message are written a second: limits may change with each answer.
+	// maxLimitLogLines is the number of lines per second and message: limits may change with
+	// each response.
 	maxLimitLogLines = 10
-	// maxLimitsPerDatagram go into one datagram: a limit is some 30 bytes.
+	// maxLimitsPerDatagram is chosen for about 30 bytes per limit.
 	maxLimitsPerDatagram = 300
 )
 
-// sampled writes the first maxLimitLogLines of each message in a second and counts the rest.
+// sampledLogger returns a logger that writes the first maxLimitLogLines of each message per
+// second and counts the rest.
 func sampledLogger(log *zap.Logger, dropped *expvar.Int) *zap.Logger {
 	count := zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 		if d&zapcore.LogDropped != 0 {
@@ -36,7 +38,7 @@
 	}))
 }
 
-// noteLimit logs what has changed in a server's limit, or in what is known of it.
+// logLimitEvent logs a change in a server's limit or in what is known about it.
 func (g *Gate) logLimitEvent(e beechthrottle.Event) {
 	switch v := e.(type) {
 	case beechthrottle.Began:
@@ -55,10 +57,10 @@
 		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Given))...)
 }
 
-// tellLimits tells the other gates which servers name limits, and what this one has sent
-// to them: at once what the others must count with their next choice.
+// sendLimits sends the servers' limits and this gate's use of them to the other gates,
+// immediately if the others need it for their next choice.
 func (g *Gate) sendLimits(ctx context.Context) error {
-	for number := uint32(0); ; number++ {
+	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
 		case <-g.clock.After(beechquota.Interval(g.gateCount())):
@@ -71,7 +73,7 @@
 			continue
 		}
 		for _, limits := range packLimits(g.limits.Word()) {
-			g.sendToGates(number, urgent, func(pass bool) beechbeat.Message {
+			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
 				message := *limits
 				message.Sent.Pass = pass
 				return beechbeat.Limits{Limits: &message}
@@ -81,12 +83,12 @@
 	}
 }
 
-// limitChanged has the other gates told at once.
+// wakeLimitSender makes sendLimits send at once.
 func (g *Gate) wakeLimitSender() {
 	beechtask.Wake(g.limitsDue)
 }
 
-// hearLimits takes in another gate's word.
+// receiveLimits handles limits sent by another gate.
 func (g *Gate) receiveLimits(from netip.AddrPort, l beechbeat.Limits) {
 	if !g.isKnownGate(from) {
 		return
@@ -106,23 +108,23 @@
 	g.limits.Hear(update, from.String())
 }
 
-// packLimits packs a word into messages that go into a datagram each.
-func packLimits(update beechthrottle.Word) []*beechwire.Limits {
-	var all []*beechwire.Limits
-	for _, spent := range packUsage(update.Counting, fixedPointScale) {
-		all = append(all, &beechwire.Limits{Sent: *spent})
+// packLimits splits limits into messages that fit into a datagram each.
+func packLimits(limits beechthrottle.Word) []*beechwire.Limits {
+	var messages []*beechwire.Limits
+	for _, usage := range packUsage(limits.Counting, fixedPointScale) {
+		messages = append(messages, &beechwire.Limits{Sent: *usage})
 	}
-	for n, list := range slices.Collect(slices.Chunk(update.Limits, maxLimitsPerDatagram)) {
-		if n == len(all) {
-			next := &beechwire.Limits{Sent: all[0].Sent}
-			next.Sent.Uses, next.Sent.Full = nil, false
-			all = append(all, next)
+	for n, list := range slices.Collect(slices.Chunk(limits.Limits, maxLimitsPerDatagram)) {
+		if n == len(messages) {
+			message := &beechwire.Limits{Sent: messages[0].Sent}
+			message.Sent.Uses, message.Sent.Full = nil, false
+			messages = append(messages, message)
 		}
 		for _, limit := range list {
-			all[n].List = append(all[n].List, beechwire.Limit{
+			messages[n].List = append(messages[n].List, beechwire.Limit{
 				Server: limit.Server, Born: limit.Born, Rate: int64(limit.Rate * fixedPointScale), Sent: limit.Sent.Milliseconds(), Received: limit.Received.Milliseconds(),
 			})
 		}
 	}
-	return all
+	return messages
 }
--- a/internal/process/beechgate/metrics.go
+++ b/internal/process/beechgate/metrics.go
@@ -10,19 +10,19 @@
 )
 
 type (
-	// metrics is what a gate counts; docs/OPERATIONS.md explains each name.
+	// metrics holds the gate's counters. docs/OPERATIONS.md explains the published names.
 	metrics struct {
 		vars           *expvar.Map
 		endings        *expvar.Map
 		retried        *expvar.Int
 		denied         *expvar.Map
-		unknownSenders *expvar.Int // words of hosts that no keeper names
-		vouches        *expvar.Map // other gates' words on their copies, by what they proved
-		bodies         *expvar.Map // bytes of requests' bodies, by way
+		unknownSenders *expvar.Int // messages from hosts that no keeper lists
+		vouches        *expvar.Map // other gates' statements about their mirrors, by result
+		bodies         *expvar.Map // bytes of request bodies, within the zone and to other zones
 
-		limitLinesDropped *expvar.Int // on limits, beyond maxLimitLogLines
-		lateVersions      *expvar.Int // versions that not all engines could have in time
-		invalidEntries    *expvar.Int // changes of servers' entries that cannot be used
+		limitLinesDropped *expvar.Int // log lines on limits beyond maxLimitLogLines
+		lateVersions      *expvar.Int // versions that could not be loaded by all engines in time
+		invalidEntries    *expvar.Int // changes of servers' entries that were invalid
 		firstByte         *beechmetric.Latency
 		wholeAnswer       *beechmetric.Latency
 	}
--- a/internal/process/beechgate/observer.go
+++ b/internal/process/beechgate/observer.go
@@ -11,12 +11,12 @@
 )
 
 // Served implements beechattempt.Observer.
-func (g *Gate) Served(server beechcall.Server, _ string, first time.Duration, unread int, failed bool) {
-	g.health.Observe(beechhealth.Sample{Server: server.Address, Model: server.Service, FirstToken: first, Tokens: unread, Failed: failed})
+func (g *Gate) Served(server beechcall.Server, _ string, firstToken time.Duration, prefillTokens int, failed bool) {
+	g.health.Observe(beechhealth.Sample{Server: server.Address, Model: server.Service, FirstToken: firstToken, Tokens: prefillTokens, Failed: failed})
 }
 
-// Ended implements beechattempt.Observer. Of requests that ended as they should
-// a line is written at level debug only, of all others always.
+// Ended implements beechattempt.Observer. Requests that were answered as expected are logged
+// at level debug only, all others at info.
 func (g *Gate) Ended(e beechattempt.Ending) {
 	g.metrics.recordEnding(e, g.wayTo(e.Choice.Server))
 	if e.Choice.LimitedServer != "" {
--- a/internal/process/beechgate/overload.go
+++ b/internal/process/beechgate/overload.go
@@ -11,30 +11,30 @@
 	"github.com/beechring/beechring/internal/process/beechtask"
 )
 
-// maxOverloadedServers go into one datagram: a server is some 12 bytes.
+// maxOverloadedServers limits a datagram, at some 12 bytes per server.
 const maxOverloadedServers = 400
 
-// foundFull has the other gates told at once of a server that turns work away.
+// wakeOverloadSender makes sendOverloads send at once.
 func (g *Gate) wakeOverloadSender() {
 	beechtask.Wake(g.overloadsDue)
 }
 
-// tellFull tells the other gates which servers have turned away this one's requests.
+// sendOverloads tells the other gates which servers have rejected requests of this gate.
 func (g *Gate) sendOverloads(ctx context.Context) error {
-	for number := uint32(0); ; number++ {
+	for round := uint32(0); ; round++ {
 		select {
 		case <-g.overloadsDue:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		var list []beechwire.FullServer
+		var servers []beechwire.FullServer
 		for _, overload := range g.overloaded.Word() {
-			list = append(list, beechwire.FullServer{Server: overload.Server, Left: overload.Left.Milliseconds()})
+			servers = append(servers, beechwire.FullServer{Server: overload.Server, Left: overload.Left.Milliseconds()})
 		}
-		list = list[:min(len(list), maxOverloadedServers)]
-		if len(list) > 0 {
-			g.sendToGates(number, false, func(pass bool) beechbeat.Message {
-				return beechbeat.Full{Full: &beechwire.Full{Pass: pass, List: list}}
+		servers = servers[:min(len(servers), maxOverloadedServers)]
+		if len(servers) > 0 {
+			g.sendToGates(round, false, func(pass bool) beechbeat.Message {
+				return beechbeat.Full{Full: &beechwire.Full{Pass: pass, List: servers}}
 			})
 		}
 		select {
@@ -45,7 +45,7 @@
 	}
 }
 
-// hearFull takes in another gate's word.
+// receiveOverloads handles the overloaded servers sent by another gate.
 func (g *Gate) receiveOverloads(from netip.AddrPort, f beechbeat.Full) {
 	if !g.isKnownGate(from) {
 		return
--- a/internal/process/beechgate/paces.go
+++ b/internal/process/beechgate/paces.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// pacesInterval is the time between words on engines' paces. One gate alone sees an
-	// engine a few times in ten seconds.
+	// pacesInterval is the time between messages about engines' paces. A single gate samples
+	// each engine a few times in ten seconds.
 	pacesInterval       = time.Second
-	maxPacesPerDatagram = 400 // in a datagram
+	maxPacesPerDatagram = 400
 	fixedPointScale     = 1000
-	slowThreshold       = 1.2
-	maxSlowListed       = 8 // of the slow ones
+	// slowThreshold is the pace from which on an engine is listed as slow.
+	slowThreshold = 1.2
+	maxSlowListed = 8 // slow engines that are listed at most
 )
 
-// tellPaces tells the other gates what first words told of engines.
+// sendPaces sends this gate's samples of engines' paces to the other gates.
 func (g *Gate) sendPaces(ctx context.Context) error {
-	n := uint32(0)
+	round := uint32(0)
 	return beechtask.Every(ctx, g.clock, pacesInterval, func() {
 		var list []beechwire.Seen
 		for _, s := range g.placer.TakePaceReports(maxPacesPerDatagram) {
@@ -36,14 +37,14 @@
 		if len(list) == 0 {
 			return
 		}
-		n++
-		g.sendToGates(n, false, func(pass bool) beechbeat.Message {
+		round++
+		g.sendToGates(round, false, func(pass bool) beechbeat.Message {
 			return beechbeat.Paces{Paces: &beechwire.Paces{Pass: pass, List: list}}
 		})
 	})
 }
 
-// hearPaces takes in what another gate has seen.
+// receivePaces merges the samples of another gate.
 func (g *Gate) receivePaces(from netip.AddrPort, p beechbeat.Paces) {
 	if !g.isKnownGate(from) {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// slowest gives the engines that take notably longer than the middle one, few of them.
+// slowEngines returns the pace of the slowest engines that are notably slower than the median.
 func slowEngines(paces map[string]float64) map[string]float64 {
 	ids := slices.SortedFunc(maps.Keys(paces), func(x, y string) int { return cmp.Compare(paces[y], paces[x]) })
 	slow := make(map[string]float64)
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -17,36 +17,36 @@
 	"github.com/beechring/beechring/internal/state/beechvouch"
 )
 
-// inquiryInterval is the time between questions to the gates that read the store for
-// this zone: one that is lost makes copies older by as much, and they still stay
-// younger than the age at which this gate would read.
+// inquiryInterval is the interval of inquiries to the gates that read the store for this zone.
+// A lost inquiry makes the mirrors older by one interval, which leaves them younger than the
+// age at which this gate reads itself.
 const inquiryInterval = 300 * time.Millisecond
 
 const (
-	// maxEntriesPerDatagram go into one datagram: a server's entry is some 400 bytes.
+	// maxEntriesPerDatagram is chosen for some 400 bytes per server entry.
 	maxEntriesPerDatagram = 16
-	// maxForwardedEntry is the bytes of an entry that is passed on: a whole datagram of
-	// such entries is far below what one may hold.
+	// maxForwardedEntry is the size in bytes up to which entries are forwarded; a full
+	// datagram of such entries is far below the maximum size.
 	maxForwardedEntry = 768
-	// nominalRevoke is the operators' bound for keys that operatorReadAges are stated for.
+	// nominalRevoke is the operators' bound for keys on which operatorReadAges are based.
 	nominalRevoke = 5 * time.Second
 )
 
 var (
-	// operatorReadAges are ages at which what operators wrote is read whole. A gate
-	// asks for no new callers from 2.75 s on (0.55 of the usual bound of 5 s for
-	// keys), and says 401 and 404 up to 2.6 s: the last to read does so before.
-	// The second reads when the first has missed two questions, the others when
-	// both have. Under a shorter bound all are as much shorter.
+	// operatorReadAges are the ages at which a gate reads the operators' documents itself. At
+	// 2.75 s (0.55 of the nominal bound of 5 s for keys) a gate stops asking for new
+	// connections, and up to 2.6 s it answers 401 and 404, so the last gate must have read
+	// before. The second gate reads after the first has missed two inquiries, the others after
+	// both have. Under a shorter bound the ages shrink in proportion.
 	operatorReadAges = beechvouch.Schedule{First: 1300 * time.Millisecond, Second: 2 * time.Second, Others: 2400 * time.Millisecond}
-	// serverReadAges are those for servers' entries. Keepers tell of most changes
-	// sooner; these reads make a silent watch good.
+	// serverReadAges are the corresponding ages for servers' entries. Keepers report most
+	// changes sooner; these reads compensate for a watch that has stopped delivering.
 	serverReadAges = beechvouch.Schedule{First: 4 * time.Second, Second: 4800 * time.Millisecond, Others: 5200 * time.Millisecond}
 )
 
-// askPeers asks the gates that read for this zone how old their copies are.
-// If each gate read and watched the same two prefixes, that would be most calls to the
-// store, and each is paid for.
+// inquirePeers asks the gates that read the store for this zone how old their mirrors are. If
+// each gate read and watched both prefixes itself, that would account for most calls to the
+// store, and each call is paid for.
 func (g *Gate) inquirePeers(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, inquiryInterval, func() {
 		now := g.clock.Now()
@@ -77,16 +77,16 @@
 		}
 	}
 	now := g.clock.Now()
-	alone := len(g.peers.Peers(now)) == 0
+	first := len(g.peers.Peers(now)) == 0
 	g.peers.Named(peers, now)
-	if alone {
+	if first {
 		g.gatesDiscovered("zone", len(g.peers.Peers(now)))
 	}
 }
 
-// met has the other gates told at once what this one knows, where it has just learned of
-// them: until it is heard, and hears them, it keeps to its own share of what they use
-// together.
+// gatesDiscovered logs the first contact with other gates and sends them this gate's usage at
+// once. Until the gates have exchanged their usage, this one is confined to its own share of
+// the quotas.
 func (g *Gate) gatesDiscovered(scope string, gates int) {
 	if gates == 0 {
 		return
@@ -95,13 +95,13 @@
 	beechtask.Wake(g.usageDue)
 }
 
-// vouch is this gate's word on its copies, as the answer to a question. Without
-// one it proves nothing, and says only what is held.
+// mirrorStatus returns the state of this gate's mirrors. With the number of an inquiry it
+// proves their age; with 0 it only tells their contents.
 func (g *Gate) mirrorStatus(number uint64) beechbeat.Vouch {
 	return beechbeat.Vouch{Vouch: &beechwire.Vouch{Number: number, Operators: mirrorCopy(g.operatorMirror), Servers: mirrorCopy(g.serverMirror)}}
 }
 
-// mirrorCopy tells how a copy stands. The age is rounded up: a peer must not take it
+// mirrorCopy returns the state of a mirror. Its age is rounded up, so that peers never take it
 // for younger than it is.
 func mirrorCopy(m *beechmirror.Mirror) beechwire.Copy {
 	status, age, known := m.Vouch()
@@ -132,9 +132,9 @@
 	}
 }
 
-// forward tells the other gates of this zone what the store's watch has brought, if
-// this one follows the store for them. A whole configuration is too long for that:
-// they hear only that this copy is another one now, and look for themselves.
+// forwardChanges sends changes from the store's watch to the other gates of this zone, if this
+// gate reads the store for them. A whole configuration is too large for a datagram: then the
+// others are only told that the mirror has changed, and read the store themselves.
 func (g *Gate) forwardChanges(c beechmirror.Changes) {
 	now := g.clock.Now()
 	if g.peers.Rank(now) != 0 {
@@ -150,23 +150,23 @@
 	}
 }
 
-// packEntries packs changes into messages that go into a datagram each.
+// packEntries splits changes into messages that fit into a datagram each.
 func packEntries(c beechmirror.Changes) []*beechwire.Entries {
 	slices.SortFunc(c.Items, func(x, y beechmirror.Item) int { return cmp.Compare(x.Revision, y.Revision) })
-	var all []*beechwire.Entries
+	var messages []*beechwire.Entries
 	after := c.After
 	for list := range slices.Chunk(c.Items, maxEntriesPerDatagram) {
-		e := &beechwire.Entries{After: after, Revision: list[len(list)-1].Revision}
+		message := &beechwire.Entries{After: after, Revision: list[len(list)-1].Revision}
 		for _, item := range list {
-			e.List = append(e.List, beechwire.Entry{Key: item.Key, Value: item.Value, Revision: item.Revision, Created: item.Created, Removed: item.Removed})
+			message.List = append(message.List, beechwire.Entry{Key: item.Key, Value: item.Value, Revision: item.Revision, Created: item.Created, Removed: item.Removed})
 		}
-		after = e.Revision
-		all = append(all, e)
+		after = message.Revision
+		messages = append(messages, message)
 	}
-	if len(all) > 0 {
-		all[len(all)-1].Revision = c.Revision
+	if len(messages) > 0 {
+		messages[len(messages)-1].Revision = c.Revision
 	}
-	return all
+	return messages
 }
 
 func (g *Gate) receiveEntries(from netip.AddrPort, e beechbeat.Entries) {
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// usageSendPause is that between urgent ones: a workspace far beyond its quota would
-	// otherwise have each of its requests told to all gates.
+	// usageSendPause is the pause between urgent messages: otherwise each request of a
+	// workspace far over its quota would be announced to all gates.
 	usageSendPause = 50 * time.Millisecond
-	// startupWait and a share of the objective are the longest that a call waits for a gate
-	// that starts.
+	// startupWait and the objective divided by startupWaitDivisor bound the wait of a call for
+	// a gate that is starting.
 	startupWait         = 250 * time.Millisecond
 	startupWaitDivisor  = 2
 	startupPollInterval = 20 * time.Millisecond
-	// maxUsesPerDatagram go into one datagram: a use is some 20 bytes.
+	// maxUsesPerDatagram is chosen for some 20 bytes per use.
 	maxUsesPerDatagram = 400
 )
 
@@ -33,7 +33,7 @@
 	return beechquota.Bounds{Window: time.Duration(q.Window), Overage: q.Overage, Slack: q.Slack}
 }
 
-// setQuotas puts the workspaces' quotas of a configuration in force.
+// setQuotas applies the workspaces' quotas of a configuration.
 func (g *Gate) setQuotas(c *beechcall.Configuration) {
 	limits := make(map[string]beechquota.Limit)
 	unknown := make(map[string]bool)
@@ -48,9 +48,9 @@
 	g.quotas.SetLimits(limits, unknown)
 }
 
-// askQuota asks whether a call may go on. A gate that has just started knows its own
-// share only; it will hear the others in a moment, which is sooner than its caller
-// would be back.
+// admitQuota decides whether the workspace's quota admits a call. A gate that has just started
+// knows only its own share, so a call that exceeds it waits until the other gates have sent
+// their usage, which takes less time than a retry of the caller.
 func (g *Gate) admitQuota(ctx context.Context, call *beechcall.Call) beechquota.Decision {
 	deadline := g.clock.Now().Add(min(startupWait, call.Route.Objective/startupWaitDivisor))
 	for {
@@ -67,7 +67,7 @@
 	}
 }
 
-// spend takes a call's size from its workspace's quota, or answers it.
+// chargeQuota charges a call to its workspace's quota, or refuses it.
 func (g *Gate) chargeQuota(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) bool {
 	switch decision := g.admitQuota(ctx, call).(type) {
 	case beechquota.Refused:
@@ -86,7 +86,7 @@
 	return true
 }
 
-// spent settles a call's size: each server that may have run it counts.
+// settleQuota corrects the charge for a call: each server that may have run it counts.
 func (g *Gate) settleQuota(call *beechcall.Call, attempts int) {
 	switch {
 	case attempts == 0:
@@ -96,16 +96,16 @@
 	}
 }
 
-// manyGates is how many gates there are, as far as this one knows.
+// gateCount returns the number of gates known to this one.
 func (g *Gate) gateCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gates
 }
 
-// tellSpent tells the other gates what this one has admitted.
+// sendUsage sends this gate's quota usage to the other gates.
 func (g *Gate) sendUsage(ctx context.Context) error {
-	for number := uint32(0); ; number++ {
+	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
 		case <-g.clock.After(beechquota.Interval(g.gateCount())):
@@ -115,11 +115,11 @@
 			return ctx.Err()
 		}
 		if !g.quotas.Limited() {
-			continue // there is nothing to agree on
+			continue // without quotas there is nothing to agree on
 		}
-		for _, spent := range packUsage(g.quotas.Word(), 1) {
-			g.sendToGates(number, urgent, func(pass bool) beechbeat.Message {
-				message := *spent
+		for _, usage := range packUsage(g.quotas.Word(), 1) {
+			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
+				message := *usage
 				message.Pass = pass
 				return beechbeat.Spent{Spent: &message}
 			})
@@ -128,7 +128,7 @@
 	}
 }
 
-// hearSpent takes in what another gate has admitted.
+// receiveUsage handles quota usage sent by another gate.
 func (g *Gate) receiveUsage(from netip.AddrPort, s beechbeat.Spent) {
 	if !g.isKnownGate(from) {
 		return
@@ -141,7 +141,7 @@
 	g.quotas.Hear(unpackUsage(s.Spent, 1))
 }
 
-// unpackUsage unpacks a word whose amounts are told as so many parts of one.
+// unpackUsage converts usage from the wire, where amounts are integers in units of 1/scale.
 func unpackUsage(s *beechwire.Spent, scale float64) beechquota.Word {
 	update := beechquota.Word{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
 	for _, u := range s.Uses {
@@ -150,19 +150,19 @@
 	return update
 }
 
-// packUsage packs a word into messages that go into a datagram each, amounts as so many
-// parts of one. Only one that holds all buckets may say so.
-func packUsage(w beechquota.Word, scale float64) []*beechwire.Spent {
-	var all []*beechwire.Spent
+// packUsage splits usage into messages that fit into a datagram each, with amounts in units of
+// 1/scale. Only a single message with all buckets may be marked as full.
+func packUsage(usage beechquota.Word, scale float64) []*beechwire.Spent {
+	var messages []*beechwire.Spent
 	for {
-		n := min(len(w.Uses), maxUsesPerDatagram)
-		message := &beechwire.Spent{Host: w.Host, Lifetime: w.Lifetime, Age: w.Age.Milliseconds(), Settled: w.Settled, Full: w.Full && n == len(w.Uses) && all == nil}
-		for _, u := range w.Uses[:n] {
+		n := min(len(usage.Uses), maxUsesPerDatagram)
+		message := &beechwire.Spent{Host: usage.Host, Lifetime: usage.Lifetime, Age: usage.Age.Milliseconds(), Settled: usage.Settled, Full: usage.Full && n == len(usage.Uses) && messages == nil}
+		for _, u := range usage.Uses[:n] {
 			message.Uses = append(message.Uses, beechwire.Use{Workspace: u.Workspace, Total: uint64(u.Total * scale), Level: int64(u.Level * scale)})
 		}
-		all = append(all, message)
-		if w.Uses = w.Uses[n:]; len(w.Uses) == 0 {
-			return all
+		messages = append(messages, message)
+		if usage.Uses = usage.Uses[n:]; len(usage.Uses) == 0 {
+			return messages
 		}
 	}
 }
--- a/internal/process/beechgate/recentmax.go
+++ b/internal/process/beechgate/recentmax.go
@@ -2,17 +2,16 @@
 
 import "time"
 
-// recentMaxPeriod is the shortest time for which the largest number counts; the longest is
-// twice that.
+// recentMaxPeriod is the shortest time for which a maximum counts; the longest is twice that.
 const recentMaxPeriod = 10 * time.Second
 
-// most is the largest number that was told lately. The zero value was told none.
+// recentMax tracks the maximum of recent values. The zero value has none.
 type recentMax struct {
 	current, previous int
 	periodStart       time.Time
 }
 
-// told takes in a number, and gives the largest of late.
+// add adds a value and returns the recent maximum.
 func (m *recentMax) add(n int, now time.Time) int {
 	switch age := now.Sub(m.periodStart); {
 	case age >= 2*recentMaxPeriod:
--- a/internal/process/beechgate/recentmax_test.go
+++ b/internal/process/beechgate/recentmax_test.go
@@ -10,9 +10,8 @@
 	"github.com/beechring/beechring/internal/decision/beechretry"
 )
 
-// Hosts are replaced one after the other, so that for some seconds there are more gates
-// than before and after. If the larger number stayed, each gate's share of retries
-// and quotas would be too small for good.
+// While hosts are replaced one by one, there are more gates than before and after. If the
+// maximum did not expire, each gate's share of retries and quotas would stay too small.
 func TestRecentMaximumExpires(t *testing.T) {
 	is := is.New(t)
 	var m recentMax
@@ -20,13 +19,13 @@
 	is.Equal(m.add(26, at), 26)
 	is.Equal(m.add(40, at.Add(time.Second)), 40)
 	is.Equal(m.add(26, at.Add(9*time.Second)), 40)
-	is.Equal(m.add(26, at.Add(12*time.Second)), 40) // keepers that see fewer may be cut off
+	is.Equal(m.add(26, at.Add(12*time.Second)), 40) // keepers with lower counts may be cut off
 	is.Equal(m.add(26, at.Add(23*time.Second)), 26)
 	is.Equal(m.add(5, at.Add(100*time.Second)), 5)
 }
 
-// A gate comes or goes while a service fails. The retries that were spent stay spent:
-// a new budget at each change would have servers that fail run everything again.
+// The number of gates changes while a service fails. Used retries must stay used: a new budget
+// at each change would have failing servers run all requests again.
 func TestChangingGateCountGrantsNoRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudgets(0.1, 80, 10*time.Second, clockwork.NewFakeClock())
@@ -43,5 +42,5 @@
 	b.SetGates(7)
 	is.Equal(spent(), 0)
 	b.SetGates(3)
-	is.Equal(spent(), 10) // twice the share, less what was spent
+	is.Equal(spent(), 10) // twice the share, minus the used retries
 }
--- a/internal/process/beechgate/retrybudget.go
+++ b/internal/process/beechgate/retrybudget.go
@@ -10,10 +10,9 @@
 	"github.com/beechring/beechring/internal/decision/beechretry"
 )
 
-// Budgets bounds the retries of each service over all gates, without a call for
-// each: every gate takes an equal share of the spare retries, and its own
-// requests' share of the rest, counted over the operators' window. It is safe for
-// concurrent use.
+// Budgets limits the retries of each service over all gates without communication per retry:
+// every gate has an equal share of the spare retries and may retry a ratio of its own
+// requests, both within the operators' window. It is safe for concurrent use.
 type Budgets struct {
 	ratio  float64
 	spare  float64
@@ -26,23 +25,23 @@
 }
 
 const (
-	// cautious is the part of the operators' bound that is used: gates that
-	// were just started do not know what others, or they themselves, have spent.
+	// budgetShare is the share of the operators' bound that is used: gates that have just
+	// started do not know how many retries others, or they themselves, have used.
 	budgetShare = 0.75
-	// defaultGates is assumed until keepers have told how many gates there are.
+	// defaultGates is assumed until keepers have reported the number of gates.
 	defaultGates = 6
 	percent      = 100
 	maxAttempts  = 8
 )
 
-// NewBudgets returns budgets for a ratio of requests and spare retries a
-// window, both over all gates.
+// NewBudgets returns budgets for a ratio of requests and a number of spare retries per window,
+// both over all gates.
 func NewBudgets(ratio, spare float64, window time.Duration, clock clockwork.Clock) *Budgets {
 	return &Budgets{ratio: ratio, spare: spare, window: window, clock: clock, gates: defaultGates, services: make(map[string]*beechretry.Budget)}
 }
 
-// SetGates tells how many gates share the budget. What was spent stays spent: the
-// number changes whenever one comes or goes.
+// SetGates sets how many gates share the budget. Used retries stay used, as the number changes
+// whenever a gate starts or stops.
 func (b *Budgets) SetGates(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,10 +54,10 @@
 	}
 }
 
-// share is this gate's part of the spare retries. The caller holds the lock.
+// share returns this gate's part of the spare retries. The caller holds the lock.
 func (b *Budgets) share() int { return max(int(b.spare*budgetShare)/b.gates, 1) }
 
-// SetBounds changes the operators' bounds.
+// SetBounds sets the operators' bounds.
 func (b *Budgets) SetBounds(ratio, spare float64, window time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/process/beechgate/rollout.go
+++ b/internal/process/beechgate/rollout.go
@@ -12,12 +12,13 @@
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
 
-// paceSettleTime a version was named the pace has seen what loads take now.
+// paceSettleTime is the time from the announcement of a version until the observed pace
+// reflects the current duration of loads.
 const paceSettleTime = 2 * time.Second
 
-// grantTurns tells the keepers whose turn has come now that another engine's
-// has ended. At the follow interval alone, turns of half a second would stand
-// empty for as long again.
+// grantTurns notifies the keepers whose engines may load weights now that another engine's
+// turn has ended. If it waited for the next round, turns of half a second would be followed by
+// idle time of the same length.
 func (g *Gate) grantTurns() {
 	targets := g.targets()
 	for _, s := range g.keeperServers() {
@@ -27,7 +28,7 @@
 	}
 }
 
-// targets gives the targets of each server.
+// targets returns the target versions of each server.
 func (g *Gate) targets() map[string][]beechwire.Target {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -35,8 +36,8 @@
 	now := g.clock.Now()
 	for model, version := range g.announced {
 		engines := g.placer.RolloutEngines(model)
-		bound := time.Duration(g.bounds.Load().Weights)
-		fleet := beechrollout.FleetOf(engines, version.Version, bound-outdatedMargin)
+		limit := time.Duration(g.bounds.Load().Weights)
+		fleet := beechrollout.FleetOf(engines, version.Version, limit-outdatedMargin)
 		granted := beechrollout.Turns(engines, version.Version, g.rolloutPace.Most(fleet))
 		if !version.lateLogged && now.Sub(version.learnedAt) > paceSettleTime && g.rolloutPace.Short(fleet) {
 			version.lateLogged = true
@@ -45,24 +46,25 @@
 			g.log.Warn("weights cannot be in all engines in time", zap.String("model", model), zap.Uint64("version", version.Version),
 				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.Left)), zap.Int("lost", fleet.Lost), zap.Float64("window", g.rolloutPace.Window()), zap.Duration("load", g.rolloutPace.Load()))
 		}
-		for id, alone := range beechrollout.Alone(engines, bound) {
+		for id, delay := range beechrollout.Alone(engines, limit) {
 			targets[id] = append(targets[id], beechwire.Target{
 				Model: model, Version: version.Version, Fence: version.Revision, Granted: slices.Contains(granted, id),
-				Alone: max(version.learnedAt.Add(alone).Sub(now), 0).Milliseconds(),
+				Alone: max(version.learnedAt.Add(delay).Sub(now), 0).Milliseconds(),
 			})
 		}
 	}
 	return targets
 }
 
-// sawPhase takes in an engine's phase. When its turn ends another one's comes.
+// observePhase records an engine's phase. When its turn to load weights ends, the next is
+// granted.
 func (g *Gate) observePhase(engine string, phase beechrollout.Phase, weights map[string]uint64, reported time.Duration) {
 	if engine == "" {
 		return
 	}
 	versions := uint64(0)
 	for _, version := range weights {
-		versions += version // any model's newer version is a load
+		versions += version // a newer version of any model counts as a load
 	}
 	g.mu.Lock()
 	took := g.rolloutPace.Saw(engine, phase, versions, reported, g.clock.Now())
@@ -73,7 +75,7 @@
 	}
 	level := zap.DebugLevel
 	if g.placer.InOwnZone(engine) {
-		level = zap.InfoLevel // each gate tells of its own zone's engines, or lines would grow with gates times engines
+		level = zap.InfoLevel // each gate logs its own zone's engines only, as the lines would otherwise grow with gates times engines
 	}
 	g.log.Log(level, "weights loaded", zap.String("server", engine), zap.Duration("took", took), zap.Duration("alone", load), zap.Float64("window", window))
 	beechtask.Wake(g.turnEnded)
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -13,25 +13,25 @@
 	"github.com/beechring/beechring/internal/link/beechbeat"
 )
 
-// rosterTTL is how long a gate of another zone that no keeper names any more is still
-// told: keepers forget one after about as long.
+// rosterTTL is how long messages are sent to a gate of another zone after keepers last listed
+// it. Keepers forget a gate after about the same time.
 const rosterTTL = 4 * time.Second
 
-// roster is the gates of the other availability zones, as keepers name them. It is safe
-// for concurrent use.
+// roster holds the gates of the other availability zones as listed by keepers. It is safe for
+// concurrent use.
 type roster struct {
 	mu    sync.Mutex
 	gates map[netip.AddrPort]rosterEntry
 }
 
 type rosterEntry struct {
-	zone    string
-	namedAt time.Time
+	zone     string
+	listedAt time.Time
 }
 
 func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]rosterEntry)} }
 
-// named takes in a keeper's word.
+// update adds the gates listed by a keeper.
 func (r *roster) update(message beechbeat.Roster, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,33 +43,33 @@
 			}
 		}
 	}
-	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, l rosterEntry) bool { return now.Sub(l.namedAt) > rosterTTL })
+	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, entry rosterEntry) bool { return now.Sub(entry.listedAt) > rosterTTL })
 }
 
-// hearRoster takes in a keeper's word on the gates of the other zones.
+// receiveRoster handles a keeper's list of the gates of other zones.
 func (g *Gate) receiveRoster(message beechbeat.Roster) {
 	now := g.clock.Now()
-	alone := len(g.otherZones.zones(now)) == 0
+	first := len(g.otherZones.zones(now)) == 0
 	g.otherZones.update(message, now)
-	if alone {
+	if first {
 		g.gatesDiscovered("other zones", len(g.otherZones.zones(now)))
 	}
 }
 
-// zones gives the gates of each other zone.
+// zones returns the gates of each other zone.
 func (r *roster) zones(now time.Time) [][]netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	byZone := make(map[string][]netip.AddrPort)
-	for gate, l := range r.gates {
-		if now.Sub(l.namedAt) <= rosterTTL {
-			byZone[l.zone] = append(byZone[l.zone], gate)
+	for gate, entry := range r.gates {
+		if now.Sub(entry.listedAt) <= rosterTTL {
+			byZone[entry.zone] = append(byZone[entry.zone], gate)
 		}
 	}
 	return slices.Collect(maps.Values(byZone))
 }
 
-// knows tells whether a gate is listed.
+// contains reports whether a gate is listed.
 func (r *roster) contains(gate netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,12 +77,12 @@
 	return ok
 }
 
-// toZone tells all other gates of this zone.
+// sendToZone sends a message to all other gates of this zone.
 func (g *Gate) sendToZone(m beechbeat.Message) { g.sendToPeers(g.peers.Peers(g.clock.Now()), m) }
 
-// toGates tells all other gates its n-th word: those of this zone directly, each other
-// zone through relays that pass it on there. One that must not be lost goes through all
-// relays.
+// sendToGates sends the message of the given round to all other gates: directly within this
+// zone, and through relays, which pass it on, in each other zone. An urgent message is sent to
+// all relays, so that it is not lost with one of them.
 func (g *Gate) sendToGates(round uint32, urgent bool, message func(pass bool) beechbeat.Message) {
 	g.sendToZone(message(false))
 	for _, zone := range g.otherZones.zones(g.clock.Now()) {
@@ -97,7 +97,8 @@
 	}
 }
 
-// knows tells whether a word is of a gate that keepers name. Others are counted.
+// isKnownGate reports whether the sender is a gate listed by keepers. Messages of others are
+// counted.
 func (g *Gate) isKnownGate(from netip.AddrPort) bool {
 	if g.peers.Knows(from) || g.otherZones.contains(from) {
 		return true
