--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -70,7 +70,7 @@
 		g.metrics.denied.Add("no workspace", 1)
 	case Undecided:
 		g.metrics.denied.Add("not known", 1)
-		g.log.Debug("request not let in", zap.String("host", request.Host), zap.String("path", request.Path), zap.Duration("age", g.freshness.Age()), zap.Duration("after", v.After))
+		g.log.Debug("request not admitted", zap.String("host", request.Host), zap.String("path", request.Path), zap.Duration("age", g.freshness.Age()), zap.Duration("after", v.After))
 	case Admitted:
 	}
 	return admission
--- a/internal/process/beechgate/configuration.go
+++ b/internal/process/beechgate/configuration.go
@@ -26,7 +26,7 @@
 func (g *Gate) setOperators(items []beechmirror.Item) {
 	c, named, err := g.deps.Operators(items)
 	if err != nil {
-		g.log.Error("operators' document passed over", zap.Error(err))
+		g.log.Error("invalid operator document ignored", zap.Error(err))
 	}
 	previous := g.configuration.Load()
 	if c != nil && (previous == nil || c.Revision > previous.Revision) {
@@ -79,7 +79,7 @@
 	g.mu.Unlock()
 	if text != "" && text != previous {
 		g.metrics.invalidEntries.Add(1)
-		g.log.Error("server's entry passed over", zap.Error(err))
+		g.log.Error("invalid server entry ignored", zap.Error(err))
 	}
 }
 
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -178,15 +178,15 @@
 		{Name: "read servers", Run: g.serverMirror.Read},
 		{Name: "watch servers", Run: g.serverMirror.Watch},
 		{Name: "follow keepers", Run: g.followKeepers},
-		{Name: "hear keepers", Run: func(ctx context.Context) error { return g.socket.Receive(ctx, g.receive) }},
-		{Name: "ask peers", Run: g.inquirePeers},
-		{Name: "tell spent", Run: g.sendUsage},
-		{Name: "tell paces", Run: g.sendPaces},
-		{Name: "tell limits", Run: g.sendLimits},
-		{Name: "tell full", Run: g.sendOverloads},
-		{Name: "tell traffic", Run: g.logTraffic},
+		{Name: "receive messages", Run: func(ctx context.Context) error { return g.socket.Receive(ctx, g.receive) }},
+		{Name: "inquire peers", Run: g.inquirePeers},
+		{Name: "send usage", Run: g.sendUsage},
+		{Name: "send paces", Run: g.sendPaces},
+		{Name: "send limits", Run: g.sendLimits},
+		{Name: "send overloads", Run: g.sendOverloads},
+		{Name: "log traffic", Run: g.logTraffic},
 		{Name: "tick", Run: g.tick},
-		{Name: "reach kept store", Run: g.probeKVStores},
+		{Name: "probe KV cache stores", Run: g.probeKVStores},
 	} {
 		g.supervisor.Add(task)
 	}
@@ -290,7 +290,7 @@
 		}
 		if previous := unreachable[store]; previous != (err != nil) {
 			unreachable[store] = err != nil
-			g.log.Info("kept store", zap.Bool("lost", unreachable[store]), zap.Stringer("peer", store), zap.Error(err))
+			g.log.Info("KV cache store reachability changed", zap.Bool("lost", unreachable[store]), zap.Stringer("peer", store), zap.Error(err))
 		}
 	})
 }
@@ -300,7 +300,7 @@
 func (g *Gate) logTraffic(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, trafficLogInterval, func() {
 		if slow := slowEngines(g.placer.Paces()); len(slow) > 0 {
-			g.log.Info("engines differ in pace", zap.Any("times", slow))
+			g.log.Info("engines slower than the median", zap.Any("times", slow))
 		}
 		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.Sent()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
 	})
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -87,7 +87,7 @@
 		follow.Gate, follow.Suspects = g.settings.Name, suspects
 	}
 	if err := g.socket.Send(address, g.wayTo(s), beechbeat.Follow{Follow: follow}); err != nil {
-		g.log.Debug("keeper not told", zap.String("server", s.ID), zap.Error(err))
+		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
 
@@ -95,7 +95,7 @@
 func (g *Gate) announcePrompt(s beechcall.Server, tokens int, parts []uint64, saved bool) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
 	if err := g.socket.Send(address, g.wayTo(s), beechbeat.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
-		g.log.Debug("keeper not told", zap.String("server", s.ID), zap.Error(err))
+		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
 
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -48,7 +48,7 @@
 	case beechthrottle.Ended:
 		g.logLimit("server's limit ended", v.Standing, zap.Float64("was", v.Rate))
 	case beechthrottle.PassedOver:
-		g.limitLog.Warn("server's limit passed over", zap.String("server", v.Server), zap.String("text", v.Text))
+		g.limitLog.Warn("invalid server limit ignored", zap.String("server", v.Server), zap.String("text", v.Text))
 	}
 }
 
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -65,7 +65,7 @@
 
 func (g *Gate) sendToPeers(peers []netip.AddrPort, m beechbeat.Message) {
 	if err := g.socket.SendAll(peers, beechbeat.Near, m); err != nil {
-		g.log.Debug("gate not told", zap.Error(err))
+		g.log.Debug("send to gate failed", zap.Error(err))
 	}
 }
 
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -92,7 +92,7 @@
 			targets = beechrelay.Take(relays, round, urgent)
 		}
 		if err := g.socket.SendAll(targets, beechbeat.Far, message(relays != nil)); err != nil {
-			g.log.Debug("gate not told", zap.Error(err))
+			g.log.Debug("send to gate failed", zap.Error(err))
 		}
 	}
 }
