--- a/internal/process/beechgate/idle_test.go
+++ b/internal/process/beechgate/idle_test.go
@@ -14,53 +14,53 @@
 	"github.com/matryer/is"
 )
 
-// waitingConn notes how often the wait for its next request was ended.
-type waitingConn struct {
+// deadlineConn counts how often the wait for its next request was ended.
+type deadlineConn struct {
 	net.Conn
-	ended atomic.Int32
+	expired atomic.Int32
 }
 
-func (c *waitingConn) SetReadDeadline(at time.Time) error {
+func (c *deadlineConn) SetReadDeadline(at time.Time) error {
 	if at.Before(time.Now()) {
-		c.ended.Add(1)
+		c.expired.Add(1)
 	}
 	return nil
 }
 
-// Operators change how long a caller's connection may be idle. With the bound of
-// the start, a caller that may still use its connection finds it closed just as
-// it sends, and does not know whether its request was read.
-func TestIdleConnectionsFollowTheConfiguration(t *testing.T) {
+// Operators change the idle timeout at runtime. With the initial timeout, a connection could
+// be closed just as a caller sends a request, and the caller could not know whether the
+// request was read.
+func TestIdleTimeoutFollowsConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		limit := 10 * time.Second
-		d := newIdlers(clockwork.NewRealClock(), func() time.Duration { return limit })
-		c := &waitingConn{}
-		d.state(c, http.StateNew)
-		d.state(c, http.StateActive)
-		d.state(c, http.StateIdle)
+		d := newIdleTimeouts(clockwork.NewRealClock(), func() time.Duration { return limit })
+		c := &deadlineConn{}
+		d.trackState(c, http.StateNew)
+		d.trackState(c, http.StateActive)
+		d.trackState(c, http.StateIdle)
 		limit = 30 * time.Second
 		time.Sleep(8 * time.Second)
-		d.state(c, http.StateActive) // used again
-		time.Sleep(time.Minute)      // a long answer is not idleness
-		d.state(c, http.StateIdle)
+		d.trackState(c, http.StateActive) // used again
+		time.Sleep(time.Minute)           // a long response does not count as idle
+		d.trackState(c, http.StateIdle)
 		time.Sleep(29 * time.Second)
-		is.Equal(c.ended.Load(), int32(0))
+		is.Equal(c.expired.Load(), int32(0))
 		time.Sleep(2 * time.Second)
-		is.Equal(c.ended.Load(), int32(1))
-		d.state(c, http.StateClosed)
+		is.Equal(c.expired.Load(), int32(1))
+		d.trackState(c, http.StateClosed)
 		is.Equal(len(d.timers), 0)
 	})
 }
 
-// The bound is reached on a real connection: the caller finds it closed, and one
-// that asks in time does not.
-func TestIdleConnectionIsClosed(t *testing.T) {
+// On a real connection, a request within the timeout is answered, and the connection is closed
+// after the timeout.
+func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	is := is.New(t)
-	d := newIdlers(clockwork.NewRealClock(), func() time.Duration { return 150 * time.Millisecond })
+	d := newIdleTimeouts(clockwork.NewRealClock(), func() time.Duration { return 150 * time.Millisecond })
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
-	server := &http.Server{Handler: http.NotFoundHandler(), ConnState: d.state, ReadHeaderTimeout: time.Minute}
+	server := &http.Server{Handler: http.NotFoundHandler(), ConnState: d.trackState, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(listener) }()
 	defer server.Close()
 	c, err := net.Dial("tcp4", listener.Addr().String())
@@ -69,7 +69,7 @@
 	is.NoErr(c.SetDeadline(time.Now().Add(10 * time.Second)))
 	_, err = c.Write([]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"))
 	is.NoErr(err)
-	answer, err := io.ReadAll(c) // to the end of the connection
+	answer, err := io.ReadAll(c) // until the connection is closed
 	is.NoErr(err)
 	is.True(strings.HasPrefix(string(answer), "HTTP/1.1 404"))
 }
--- /dev/null
+++ b/internal/process/beechgate/rollout.go
@@ -0,0 +1,82 @@
+package beechgate
+
+import (
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechtask"
+	"github.com/beechring/beechring/internal/request/beechrollout"
+)
+
+// paceSettleTime is the time from the announcement of a version until the observed pace
+// reflects the current duration of loads.
+const paceSettleTime = 2 * time.Second
+
+// grantTurns notifies the keepers whose engines may load weights now that another engine's
+// turn has ended. If it waited for the next round, turns of half a second would be followed by
+// idle time of the same length.
+func (g *Gate) grantTurns() {
+	targets := g.targets()
+	for _, s := range g.keeperServers() {
+		if slices.ContainsFunc(targets[s.ID], func(t beechwire.Target) bool { return t.Granted }) {
+			g.sendFollow(s, targets[s.ID], beechshare.WireSuspects(nil))
+		}
+	}
+}
+
+// targets returns the target versions of each server.
+func (g *Gate) targets() map[string][]beechwire.Target {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	targets := make(map[string][]beechwire.Target)
+	now := g.clock.Now()
+	for model, version := range g.announced {
+		engines := g.placer.RolloutEngines(model)
+		limit := time.Duration(g.bounds.Load().Weights)
+		fleet := beechrollout.SummarizeFleet(engines, version.Version, limit-outdatedMargin)
+		granted := beechrollout.NextUpdates(engines, version.Version, g.rolloutPace.Limit(fleet))
+		if !version.lateLogged && now.Sub(version.learnedAt) > paceSettleTime && g.rolloutPace.MissesDeadline(fleet) {
+			version.lateLogged = true
+			g.announced[model] = version
+			g.metrics.lateVersions.Add(1)
+			g.log.Warn("weights cannot be in all engines in time", zap.String("model", model), zap.Uint64("version", version.Version),
+				zap.Int("engines", fleet.Engines), zap.Int("behind", len(fleet.TimeLeft)), zap.Int("lost", fleet.Expired), zap.Float64("window", g.rolloutPace.Size()), zap.Duration("load", g.rolloutPace.BaseLoadTime()))
+		}
+		for id, delay := range beechrollout.FallbackDelays(engines, limit) {
+			targets[id] = append(targets[id], beechwire.Target{
+				Model: model, Version: version.Version, Fence: version.Revision, Granted: slices.Contains(granted, id),
+				Alone: max(version.learnedAt.Add(delay).Sub(now), 0).Milliseconds(),
+			})
+		}
+	}
+	return targets
+}
+
+// observePhase records an engine's phase. When its turn to load weights ends, the next is
+// granted.
+func (g *Gate) observePhase(engine string, phase beechrollout.Phase, weights map[string]uint64, reported time.Duration) {
+	if engine == "" {
+		return
+	}
+	versions := uint64(0)
+	for _, version := range weights {
+		versions += version // a newer version of any model counts as a load
+	}
+	g.mu.Lock()
+	took := g.rolloutPace.Observe(engine, phase, versions, reported, g.clock.Now())
+	window, load := g.rolloutPace.Size(), g.rolloutPace.BaseLoadTime()
+	g.mu.Unlock()
+	if took == 0 {
+		return
+	}
+	level := zap.DebugLevel
+	if g.placer.InOwnZone(engine) {
+		level = zap.InfoLevel // each gate logs its own zone's engines only, as the lines would otherwise grow with gates times engines
+	}
+	g.log.Log(level, "weights loaded", zap.String("server", engine), zap.Duration("took", took), zap.Duration("alone", load), zap.Float64("window", window))
+	beechtask.Wake(g.turnEnded)
+}
