--- a/internal/decision/beechquota/account.go
+++ b/internal/decision/beechquota/account.go
@@ -77,7 +77,7 @@
 
 // refill lets the bucket fill by the time that has passed. What silent gates may use
 // is left to them.
-func (a *account) refill(l *Ledger) {
+func (a *account) refill(l *Limiter) {
 	passed := l.now.Sub(a.at).Seconds()
 	if passed <= 0 || a.limit.Rate <= 0 {
 		return
@@ -95,7 +95,7 @@
 
 // setAside leaves gates that are not heard since this one started their part of the
 // level, and takes it back as they are heard: what they have used of it they tell.
-func (a *account) setAside(l *Ledger, missing float64) {
+func (a *account) setAside(l *Limiter, missing float64) {
 	was := l.missing
 	switch {
 	case l.settled:
@@ -109,13 +109,13 @@
 }
 
 // end takes the limit away. What was used stays known for a while.
-func (a *account) end(l *Ledger) {
+func (a *account) end(l *Limiter) {
 	a.refill(l)
 	a.limit, a.ended = Limit{}, l.now
 }
 
 // left is what may still be admitted; a request goes on while it is above 0.
-func (a *account) left(l *Ledger) float64 {
+func (a *account) left(l *Limiter) float64 {
 	grace := gracePart * l.tolerance(a.limit)
 	if l.alone {
 		return min(a.local+grace*l.share(a), a.level+grace)
@@ -124,12 +124,12 @@
 }
 
 // unread is what the other gates have probably admitted since their last words.
-func (a *account) unread(l *Ledger) float64 {
+func (a *account) unread(l *Limiter) float64 {
 	return max(a.speed*l.second()-a.speedAt, 0)
 }
 
 // sinceHeard is what was admitted since another gate was heard.
-func (a *account) sinceHeard(l *Ledger) float64 {
+func (a *account) sinceHeard(l *Limiter) float64 {
 	if a.words != l.words {
 		a.words, a.deaf = l.words, 0
 	}
@@ -155,13 +155,13 @@
 
 // spent takes off what another gate has admitted. A debt is bounded: one faulty
 // word must not shut a workspace out for long.
-func (a *account) spent(l *Ledger, size float64) {
+func (a *account) spent(l *Limiter, size float64) {
 	a.level = max(a.level-size, min(l.least(a), a.level))
 }
 
 // told takes in another gate's total. Baseline says that what it used so far is in the
 // level already. It is false for a total of an older word.
-func (a *account) told(l *Ledger, p *peer, total float64, baseline bool) bool {
+func (a *account) told(l *Limiter, p *peer, total float64, baseline bool) bool {
 	now := l.second()
 	u := a.uses[p.host]
 	if u == nil {
@@ -172,7 +172,7 @@
 		}
 	}
 	if total < u.total {
-		l.dropped.Falling++
+		l.dropped.Decreasing++
 		return false
 	}
 	more := total - u.total
@@ -187,7 +187,7 @@
 }
 
 // setPace takes in what a gate used since its last word.
-func (a *account) setPace(l *Ledger, u *use, more float64) {
+func (a *account) setPace(l *Limiter, u *use, more float64) {
 	now := l.second()
 	passed := max(now-u.heard, turnLeast.Seconds())
 	a.others -= u.usual
@@ -212,7 +212,7 @@
 
 // partOf is the part of what all use lately that one gate uses, with a little for each.
 // All have the same until it is known who uses what.
-func (a *account) partOf(l *Ledger, used float64) float64 {
+func (a *account) partOf(l *Limiter, used float64) float64 {
 	if !l.settled {
 		return 1 / float64(l.gates)
 	}
@@ -234,7 +234,7 @@
 }
 
 // fallSilent leaves a gate that is not heard its share of the rate.
-func (a *account) fallSilent(l *Ledger, u *use) {
+func (a *account) fallSilent(l *Limiter, u *use) {
 	a.rest(u)
 	a.spent(l, u.kept)
 	a.letGo(u)
@@ -246,7 +246,7 @@
 
 // settle gives back what was left to a gate while it was silent: what it has used of it, it
 // tells.
-func (a *account) settle(l *Ledger, u *use) {
+func (a *account) settle(l *Limiter, u *use) {
 	a.level = min(a.level+a.limit.Rate*u.withheld*(l.second()-u.since), a.limit.Burst)
 	a.speakAgain(u)
 }
--- a/internal/decision/beechquota/gates.go
+++ b/internal/decision/beechquota/gates.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 // tick takes over the time, and looks now and then who has fallen silent.
-func (l *Ledger) tick() {
+func (l *Limiter) tick() {
 	if now := l.clock.Now(); now.After(l.now) {
 		l.now = now
 	}
@@ -14,7 +14,7 @@
 	l.sweep()
 }
 
-func (l *Ledger) sweep() {
+func (l *Limiter) sweep() {
 	if !l.alone && l.now.Sub(l.heard) > aloneAfter && l.gates > 1 {
 		l.goAlone()
 	}
@@ -26,7 +26,7 @@
 	}
 	l.count()
 	for name, a := range l.accounts {
-		if a.limit.Rate <= 0 && l.now.Sub(a.ended) > cmp.Or(l.bounds.Remember, rememberFor) {
+		if a.limit.Rate <= 0 && l.now.Sub(a.ended) > cmp.Or(l.bounds.Retention, rememberFor) {
 			delete(l.accounts, name)
 			delete(l.byKey, a.key)
 		}
@@ -34,7 +34,7 @@
 }
 
 // settle ends that the levels are those of a gate that has just started.
-func (l *Ledger) settle() {
+func (l *Limiter) settle() {
 	l.settled = true
 	for _, a := range l.accounts {
 		a.aside = 0
@@ -42,7 +42,7 @@
 }
 
 // count works out which part of the gates is not heard.
-func (l *Ledger) count() {
+func (l *Limiter) count() {
 	present := 1
 	for _, p := range l.peers {
 		if !p.gone {
@@ -61,7 +61,7 @@
 }
 
 // goAlone keeps this gate to its share: it has lost the others.
-func (l *Ledger) goAlone() {
+func (l *Limiter) goAlone() {
 	for _, a := range l.accounts {
 		a.refill(l)
 		a.local = (a.level - a.unread(l)) * a.part
@@ -72,7 +72,7 @@
 // join ends that this gate is alone. The others have probably left as much of their
 // shares as it has of its own; but a debt is of one large request here, and those of the
 // others are told.
-func (l *Ledger) join() {
+func (l *Limiter) join() {
 	for _, a := range l.accounts {
 		if a.limit.Rate > 0 {
 			a.refill(l)
@@ -85,7 +85,7 @@
 // share is the part of a workspace's limit that is this gate's while it hears no
 // other. It is what it was when the others were last heard; a gate that has not heard
 // any has an equal one.
-func (l *Ledger) share(a *account) float64 {
+func (l *Limiter) share(a *account) float64 {
 	if !l.alone {
 		return l.sharedOut(a)
 	}
@@ -100,7 +100,7 @@
 }
 
 // sharedOut is this gate's part of what all use lately, with a little for each.
-func (l *Ledger) sharedOut(a *account) float64 {
+func (l *Limiter) sharedOut(a *account) float64 {
 	a.own.turn(l.now, shareTime)
 	return a.partOf(l, a.own.rate)
 }
--- a/internal/decision/beechquota/ledger.go
+++ b/internal/decision/beechquota/ledger.go
@@ -28,10 +28,10 @@
 		// Lots has gates draw who admits a request that is more than a gate's part of
 		// what may be admitted unheard. Where a limit is below a request a second and
 		// gate, every gate would otherwise let one in at the same moment.
-		Lots bool
+		RandomDraw bool
 		// Remember is how long an account without a limit keeps what was used; 0 is
 		// rememberFor.
-		Remember time.Duration
+		Retention time.Duration
 	}
 
 	// Decision is the answer to Admit: Admitted or Refused.
@@ -39,21 +39,21 @@
 
 	// Admitted lets a request go on. Tell says that the other gates are to hear of
 	// it at once.
-	Admitted struct{ Tell bool }
+	Admitted struct{ Urgent bool }
 
 	// Refused turns a request away, not run. The rest is what decided it.
 	Refused struct {
-		After  time.Duration // when to come back
-		Level  float64       // of the bucket, as believed
-		Unread float64       // reckoned to be admitted elsewhere since the last words
-		Limit  Limit
-		Alone  bool          // no other gate is heard
-		Starts bool          // this gate has just started, and will hear the others soon
-		Age    time.Duration // of the last word heard; 0 where there was none
+		After      time.Duration // when to come back
+		Level      float64       // of the bucket, as believed
+		Unreported float64       // reckoned to be admitted elsewhere since the last words
+		Limit      Limit
+		Isolated   bool          // no other gate is heard
+		Starting   bool          // this gate has just started, and will hear the others soon
+		UpdateAge  time.Duration // of the last word heard; 0 where there was none
 	}
 
-	// Ledger is one gate's view of all quotas. It is safe for concurrent use.
-	Ledger struct {
+	// Limiter is one gate's view of all quotas. It is safe for concurrent use.
+	Limiter struct {
 		host, lifetime uint64
 		clock          clockwork.Clock
 
@@ -71,35 +71,35 @@
 		accounts map[string]*account
 		byKey    map[uint64]*account
 		peers    map[uint64]*peer // by host
-		dropped  Dropped
+		dropped  Discarded
 		asked    bool // another gate does not know the levels
 	}
 
 	// State is what a ledger believes.
 	State struct {
-		Alone       bool // no other gate is heard
-		Settled     bool // levels stand on what others told
-		Gates       int
-		HeardMillis int64 // since the last word
-		PassedOver  Dropped
-		Buckets     []Bucket // those with most refusals first
+		Isolated        bool `json:"Alone"` // no other gate is heard
+		Settled         bool // levels stand on what others told
+		Gates           int
+		UpdateAgeMillis int64     `json:"HeardMillis"` // since the last word
+		Discarded       Discarded `json:"PassedOver"`
+		Buckets         []Bucket  // those with most refusals first
 	}
 
 	// Bucket is the state of a workspace's bucket.
 	Bucket struct {
 		Workspace         string
 		Level             float64 // believed to be left over all gates
-		Unread            float64 // reckoned to be admitted elsewhere since the last words
+		Unreported        float64 `json:"Unread"` // reckoned to be admitted elsewhere since the last words
 		Rate, Burst       float64
 		Used              float64 // here, in this lifetime
 		Admitted, Refused int     // requests here
 	}
 
-	// Dropped counts words and totals that were passed over.
-	Dropped struct {
-		Old     int // of a lifetime that another one has followed
-		Falling int // totals that fell
-		Own     int // this gate's own
+	// Discarded counts words and totals that were passed over.
+	Discarded struct {
+		Superseded int `json:"Old"`     // of a lifetime that another one has followed
+		Decreasing int `json:"Falling"` // totals that fell
+		Own        int `json:"Own"`     // this gate's own
 	}
 )
 
@@ -159,19 +159,19 @@
 func (Admitted) decision() {}
 func (Refused) decision()  {}
 
-// Interval is the time between words that are not urgent, of so many gates.
-func Interval(gates int) time.Duration {
+// UpdateInterval is the time between words that are not urgent, of so many gates.
+func UpdateInterval(gates int) time.Duration {
 	return wordInterval * time.Duration(max(gates, manyGates)) / manyGates
 }
 
 // lateAfter without a word a gate is late: a quarter of an interval covers its way.
-func lateAfter(gates int) time.Duration { return Interval(gates) * 5 / 4 }
+func lateAfter(gates int) time.Duration { return UpdateInterval(gates) * 5 / 4 }
 
 // New returns a ledger that knows no limits. Host names this gate, the same in all its
 // lifetimes; lifetime tells this one from the others.
-func New(host string, lifetime uint64, b Bounds, clock clockwork.Clock) *Ledger {
+func New(host string, lifetime uint64, b Bounds, clock clockwork.Clock) *Limiter {
 	now := clock.Now()
-	return &Ledger{
+	return &Limiter{
 		host: xxhash.Sum64String(host), lifetime: lifetime, bounds: b, clock: clock,
 		now: now, started: now, swept: now, alone: true, gates: gatesUnknown,
 		accounts: make(map[string]*account), byKey: make(map[uint64]*account), peers: make(map[uint64]*peer),
@@ -179,14 +179,14 @@
 }
 
 // SetBounds changes what the operators tolerate.
-func (l *Ledger) SetBounds(b Bounds) {
+func (l *Limiter) SetBounds(b Bounds) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bounds = b
 }
 
 // SetGates tells how many gates there are, this one included.
-func (l *Ledger) SetGates(n int) {
+func (l *Limiter) SetGates(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.gates = max(n, 1)
@@ -195,7 +195,7 @@
 // SetLimits puts the limits of a configuration in force. What was used stays used:
 // a lower limit cuts the level at once, a higher one gives no burst. A workspace
 // that is missing has no limit; one in unknown keeps what it has.
-func (l *Ledger) SetLimits(limits map[string]Limit, unknown map[string]bool) {
+func (l *Limiter) SetLimits(limits map[string]Limit, unknown map[string]bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick()
@@ -214,7 +214,7 @@
 
 // SetLimit puts the limit of one account in force, as SetLimits does for all. A limit
 // that is not valid takes it away.
-func (l *Ledger) SetLimit(name string, limit Limit) {
+func (l *Limiter) SetLimit(name string, limit Limit) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick()
@@ -227,7 +227,7 @@
 	}
 }
 
-func (l *Ledger) limit(name string, limit Limit) {
+func (l *Limiter) limit(name string, limit Limit) {
 	a := l.accounts[name]
 	if a == nil {
 		a = newAccount(name, l.now)
@@ -246,21 +246,21 @@
 }
 
 // start is the level of a bucket of which nobody knows what was used.
-func (l *Ledger) start(limit Limit) float64 { return startPart * l.tolerance(limit) }
+func (l *Limiter) start(limit Limit) float64 { return startPart * l.tolerance(limit) }
 
 // tolerance is what the operators tolerate beyond a limit in a window.
-func (l *Ledger) tolerance(limit Limit) float64 {
+func (l *Limiter) tolerance(limit Limit) float64 {
 	return l.bounds.Overage*(limit.Rate*l.bounds.Window.Seconds()+limit.Burst) + l.bounds.Slack
 }
 
 // least is the lowest level that is believed. More is a fault of who tells it.
-func (l *Ledger) least(a *account) float64 { return -(a.limit.Burst + l.tolerance(a.limit)) }
+func (l *Limiter) least(a *account) float64 { return -(a.limit.Burst + l.tolerance(a.limit)) }
 
 // Age is the time since this lifetime began.
-func (l *Ledger) Age() time.Duration { return l.clock.Since(l.started) }
+func (l *Limiter) Age() time.Duration { return l.clock.Since(l.started) }
 
-// Limited tells whether any workspace has a limit.
-func (l *Ledger) Limited() bool {
+// HasLimits tells whether any workspace has a limit.
+func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
@@ -272,13 +272,13 @@
 }
 
 // State gives the buckets that are asked most of, for metrics.
-func (l *Ledger) State() State {
+func (l *Limiter) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick()
-	s := State{Alone: l.alone, Settled: l.settled, Gates: l.gates, PassedOver: l.dropped}
+	s := State{Isolated: l.alone, Settled: l.settled, Gates: l.gates, Discarded: l.dropped}
 	if !l.heard.IsZero() {
-		s.HeardMillis = l.now.Sub(l.heard).Milliseconds()
+		s.UpdateAgeMillis = l.now.Sub(l.heard).Milliseconds()
 	}
 	for name, a := range l.accounts {
 		if a.limit.Rate <= 0 || a.admitted+a.refused == 0 {
@@ -286,7 +286,7 @@
 		}
 		a.refill(l)
 		s.Buckets = append(s.Buckets, Bucket{
-			Workspace: name, Level: a.level, Unread: a.unread(l), Rate: a.limit.Rate, Burst: a.limit.Burst,
+			Workspace: name, Level: a.level, Unreported: a.unread(l), Rate: a.limit.Rate, Burst: a.limit.Burst,
 			Used: a.total, Admitted: a.admitted, Refused: a.refused,
 		})
 	}
--- a/internal/decision/beechquota/ledger_test.go
+++ b/internal/decision/beechquota/ledger_test.go
@@ -16,8 +16,8 @@
 // tight tolerates little, so that a level is what a test expects.
 var tight = Bounds{Window: 8 * time.Second, Overage: 0.1}
 
-func newGates(n int, b Bounds, clock clockwork.Clock) []*Ledger {
-	var all []*Ledger
+func newGates(n int, b Bounds, clock clockwork.Clock) []*Limiter {
+	var all []*Limiter
 	for i := range n {
 		l := New(fmt.Sprintf("gate-%d", i), uint64(i+1), b, clock)
 		l.SetGates(n)
@@ -28,19 +28,19 @@
 }
 
 // tellAll has each gate tell all others.
-func tellAll(all []*Ledger) {
+func tellAll(all []*Limiter) {
 	for _, from := range all {
-		w := from.Word()
+		w := from.NextUpdate()
 		for _, to := range all {
 			if to != from {
-				to.Hear(w)
+				to.ApplyUpdate(w)
 			}
 		}
 	}
 }
 
 // settle lets gates that know nothing live for a while.
-func settle(all []*Ledger, clock *clockwork.FakeClock) {
+func settle(all []*Limiter, clock *clockwork.FakeClock) {
 	for range 30 {
 		tellAll(all)
 		clock.Advance(100 * time.Millisecond)
@@ -48,12 +48,12 @@
 	tellAll(all)
 }
 
-func admitted(l *Ledger, size float64) bool {
+func admitted(l *Limiter, size float64) bool {
 	_, ok := l.Admit("w", size).(Admitted)
 	return ok
 }
 
-func level(l *Ledger) float64 { return l.accounts["w"].level }
+func level(l *Limiter) float64 { return l.accounts["w"].level }
 
 // A workspace's callers all come to one gate. It gets its whole limit there.
 func TestFewCallersComeToOneGate(t *testing.T) {
@@ -96,16 +96,16 @@
 	all := newGates(2, tight, clock)
 	settle(all, clock)
 	admitted(all[0], 100)
-	early := all[0].Word()
+	early := all[0].NextUpdate()
 	admitted(all[0], 100)
-	_ = all[0].Word() // lost
-	late := all[0].Word()
+	_ = all[0].NextUpdate() // lost
+	late := all[0].NextUpdate()
 	before := level(all[1])
-	all[1].Hear(late)
-	all[1].Hear(late)
-	all[1].Hear(early)
+	all[1].ApplyUpdate(late)
+	all[1].ApplyUpdate(late)
+	all[1].ApplyUpdate(early)
 	is.True(math.Abs(before-200-level(all[1])) < 1)
-	is.Equal(all[1].State().PassedOver.Falling, 1)
+	is.Equal(all[1].State().Discarded.Decreasing, 1)
 }
 
 // A gate starts while the workspace has used its quota up. It takes the level
@@ -202,9 +202,9 @@
 	all := newGates(3, tight, clock)
 	settle(all, clock)
 	admitted(all[0], 10)
-	w := all[0].Word()
-	w.Uses[0].Level = -1e18
-	all[1].Hear(w)
+	w := all[0].NextUpdate()
+	w.Usages[0].Level = -1e18
+	all[1].ApplyUpdate(w)
 	is.True(level(all[1]) > 0)
 }
 
@@ -232,7 +232,7 @@
 	clock := clockwork.NewFakeClock()
 	loose := Bounds{Window: 8 * time.Second, Overage: 0.1, Slack: 20000}
 	all := newGates(100, loose, clock)
-	var lucky *Ledger
+	var lucky *Limiter
 	for _, l := range all { // the lot lets some do so
 		if lucky == nil && admitted(l, 1000) {
 			lucky = l
@@ -241,7 +241,7 @@
 	is.True(lucky != nil)
 	for _, l := range all {
 		if l != lucky {
-			lucky.Hear(l.Word())
+			lucky.ApplyUpdate(l.NextUpdate())
 		}
 	}
 	is.True(level(lucky) > -1000)
@@ -254,7 +254,7 @@
 	clock := clockwork.NewFakeClock()
 	all := newGates(4, tight, clock)
 	settle(all, clock)
-	ask := func(gates []*Ledger) float64 {
+	ask := func(gates []*Limiter) float64 {
 		got := 0.0
 		for _, l := range gates {
 			for range 5 {
@@ -280,8 +280,8 @@
 	t.Log(got, bound)
 	is.True(got <= bound)
 	is.True(got >= 0.8*8*usualLimit.Rate)
-	is.True(all[3].State().Alone)
-	is.True(!all[0].State().Alone)
+	is.True(all[3].State().Isolated)
+	is.True(!all[0].State().Isolated)
 }
 
 // A gate stands still for some seconds while others use the quota up. When it goes on,
@@ -292,7 +292,7 @@
 	all := newGates(3, tight, clock)
 	settle(all, clock)
 	got := 0.0
-	use := func(l *Ledger) {
+	use := func(l *Limiter) {
 		for admitted(l, 50) {
 			got += 50
 		}
@@ -355,7 +355,7 @@
 	settle(all, clock)
 	before := level(all[0])
 	is.True(admitted(all[0], 300))
-	all[0].GiveBack("w", 300)
+	all[0].Refund("w", 300)
 	is.Equal(level(all[0]), before)
 	total := all[0].accounts["w"].total
 	is.True(admitted(all[0], 300))
@@ -371,14 +371,14 @@
 	all := newGates(2, tight, clock)
 	settle(all, clock)
 	admitted(all[0], 100)
-	old := all[0].Word()
+	old := all[0].NextUpdate()
 	again := New("gate-0", 99, tight, clock)
-	all[1].Hear(again.Word())
+	all[1].ApplyUpdate(again.NextUpdate())
 	before := level(all[1])
-	all[1].Hear(old)
-	all[1].Hear(all[1].Word())
+	all[1].ApplyUpdate(old)
+	all[1].ApplyUpdate(all[1].NextUpdate())
 	is.Equal(level(all[1]), before)
-	is.Equal(all[1].State().PassedOver, Dropped{Old: 1, Own: 1})
+	is.Equal(all[1].State().Discarded, Discarded{Superseded: 1, Own: 1})
 }
 
 // A refused caller is told when there is something left again, and it holds.
@@ -462,7 +462,7 @@
 func TestRefusalOfAGateThatStarts(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	refusal := func(l *Ledger) Refused {
+	refusal := func(l *Limiter) Refused {
 		for {
 			if r, ok := l.Admit("w", 50).(Refused); ok {
 				return r
@@ -471,11 +471,11 @@
 	}
 	all := newGates(4, tight, clock)
 	first := refusal(all[0])
-	is.True(first.Starts)
+	is.True(first.Starting)
 	is.True(first.After <= 2*startAfter)
-	all[0].Hear(all[1].Word())
-	is.True(!refusal(all[0]).Starts)
+	all[0].ApplyUpdate(all[1].NextUpdate())
+	is.True(!refusal(all[0]).Starting)
 	clock.Advance(startTime)
-	is.True(!refusal(all[2]).Starts)
-	is.True(!refusal(newGates(1, tight, clock)[0]).Starts)
+	is.True(!refusal(all[2]).Starting)
+	is.True(!refusal(newGates(1, tight, clock)[0]).Starting)
 }
--- a/internal/decision/beechquota/lots_test.go
+++ b/internal/decision/beechquota/lots_test.go
@@ -10,7 +10,7 @@
 )
 
 // fewRequests are bounds for limits of few requests a second, as servers name them.
-var fewRequests = Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, Lots: true}
+var fewRequests = Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, RandomDraw: true}
 
 func one(*rand.Rand) float64 { return 1 }
 
--- a/internal/decision/beechquota/simulate_test.go
+++ b/internal/decision/beechquota/simulate_test.go
@@ -51,7 +51,7 @@
 		at   time.Duration
 		to   int
 		from int
-		word Word
+		word Update
 	}
 
 	simulation struct {
@@ -62,7 +62,7 @@
 		network *rand.Rand // apart, so that all ways are asked the same
 		clock   *clockwork.FakeClock
 		now     time.Duration
-		ledgers []*Ledger
+		ledgers []*Limiter
 		urgent  []bool
 		spoken  []time.Duration
 		lives   uint64
@@ -119,7 +119,7 @@
 	s := &simulation{
 		scene: c, way: w, seed: seed, demand: rand.New(rand.NewPCG(seed, 1)), network: rand.New(rand.NewPCG(seed, 2)), clock: clockwork.NewFakeClockAt(time.Unix(1000000, 0)),
 		urgent: make([]bool, c.gates), spoken: make([]time.Duration, c.gates), dead: make([]time.Duration, c.gates), cut: make([]bool, c.gates), born: make([]time.Duration, c.gates),
-		ledgers: make([]*Ledger, c.gates),
+		ledgers: make([]*Limiter, c.gates),
 	}
 	for i := range s.ledgers {
 		s.begin(i)
@@ -217,7 +217,7 @@
 		s.admitted = append(s.admitted, admission{s.now, a.size})
 		s.given += a.size
 		s.bySize[large][1]++
-		s.urgent[i] = s.urgent[i] || d.Tell
+		s.urgent[i] = s.urgent[i] || d.Urgent
 		if a.back {
 			s.waited = append(s.waited, s.now-a.first)
 		}
@@ -249,10 +249,10 @@
 			continue
 		}
 		s.urgent[i], s.spoken[i] = false, s.now
-		w := l.Word()
+		w := l.NextUpdate()
 		for to := range s.ledgers {
 			if to != i && s.met(to) && !s.cut[i] && !s.cut[to] && s.network.Float64() >= s.loss {
-				s.bytes += 20 + 22*len(w.Uses)
+				s.bytes += 20 + 22*len(w.Usages)
 				s.words = append(s.words, delivery{s.now + time.Duration(s.network.Float64()*float64(s.far)), to, i, w})
 			}
 		}
@@ -274,8 +274,8 @@
 
 // hear has a gate take in a word. Shares by use are those of a gate that is alone, which
 // it follows all the time.
-func (s *simulation) hear(l *Ledger, w Word) {
-	l.Hear(w)
+func (s *simulation) hear(l *Limiter, w Update) {
+	l.ApplyUpdate(w)
 	if s.way == sharesByUse {
 		for _, a := range l.accounts {
 			a.part = l.sharedOut(a)
--- a/internal/decision/beechquota/word.go
+++ b/internal/decision/beechquota/word.go
@@ -5,19 +5,19 @@
 )
 
 type (
-	// Word is what a gate tells the others.
-	Word struct {
+	// Update is what a gate tells the others.
+	Update struct {
 		Host     uint64 // the gate, in all its lifetimes
 		Lifetime uint64
 		Age      time.Duration // of this lifetime
 		Settled  bool          // its levels stand on what others told
 		Full     bool          // all buckets that are not nearly full are listed
-		Uses     []Use
+		Usages   []Usage
 	}
 
-	// Use is what a gate has admitted of a workspace in its lifetime, and how full
+	// Usage is what a gate has admitted of a workspace in its lifetime, and how full
 	// it believes the whole bucket to be.
-	Use struct {
+	Usage struct {
 		Workspace uint64 // hash of its name
 		Total     float64
 		Level     float64
@@ -50,12 +50,12 @@
 	paceLeast = 0.001
 )
 
-// Word gives what the other gates are to be told now.
-func (l *Ledger) Word() Word {
+// NextUpdate gives what the other gates are to be told now.
+func (l *Limiter) NextUpdate() Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tick()
-	w := Word{Host: l.host, Lifetime: l.lifetime, Age: l.now.Sub(l.started), Settled: l.settled, Full: l.asked && l.settled}
+	w := Update{Host: l.host, Lifetime: l.lifetime, Age: l.now.Sub(l.started), Settled: l.settled, Full: l.asked && l.settled}
 	l.asked = false
 	for _, a := range l.accounts {
 		if a.limit.Rate <= 0 {
@@ -66,7 +66,7 @@
 			a.part = l.sharedOut(a)
 		}
 		if a.repeats > 0 || w.Full && a.level < fullPart*a.limit.Burst {
-			w.Uses = append(w.Uses, Use{Workspace: a.key, Total: a.total, Level: a.level})
+			w.Usages = append(w.Usages, Usage{Workspace: a.key, Total: a.total, Level: a.level})
 			a.untold = 0
 			a.repeats = max(a.repeats-1, 0)
 		}
@@ -74,8 +74,8 @@
 	return w
 }
 
-// Hear takes in another gate's word.
-func (l *Ledger) Hear(w Word) {
+// ApplyUpdate takes in another gate's word.
+func (l *Limiter) ApplyUpdate(w Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.Host == l.host {
@@ -85,7 +85,7 @@
 	l.tick()
 	p := l.speaker(w)
 	if p == nil {
-		l.dropped.Old++
+		l.dropped.Superseded++
 		return
 	}
 	adopt := !l.settled && w.Settled && w.Full
@@ -96,7 +96,7 @@
 	l.heard, p.heard = l.now, l.now
 	l.lastWords(p)
 	l.words++
-	for _, u := range w.Uses {
+	for _, u := range w.Usages {
 		a := l.byKey[u.Workspace]
 		if a == nil || a.limit.Rate <= 0 || u.Total < 0 {
 			continue
@@ -117,7 +117,7 @@
 
 // speaker gives the gate that a word is of, nil where the word is of a lifetime that
 // is over.
-func (l *Ledger) speaker(w Word) *peer {
+func (l *Limiter) speaker(w Update) *peer {
 	p := l.peers[w.Host]
 	switch {
 	case p == nil:
@@ -148,13 +148,13 @@
 }
 
 // believable bounds a level that another gate tells.
-func (l *Ledger) believable(a *account, level float64) float64 {
+func (l *Limiter) believable(a *account, level float64) float64 {
 	return min(max(level, l.least(a)), a.limit.Burst)
 }
 
 // rested takes in that a gate has not used workspaces that its word does not list, and
 // that what was left to it while it was silent is free again.
-func (l *Ledger) rested(p *peer) {
+func (l *Limiter) rested(p *peer) {
 	now := l.second()
 	for key, u := range p.active {
 		a := l.byKey[key]
@@ -183,9 +183,9 @@
 }
 
 // adopt takes over the levels of a gate that knows them.
-func (l *Ledger) adopt(w Word) {
-	told := make(map[uint64]float64, len(w.Uses))
-	for _, u := range w.Uses {
+func (l *Limiter) adopt(w Update) {
+	told := make(map[uint64]float64, len(w.Usages))
+	for _, u := range w.Usages {
 		told[u.Workspace] = u.Level
 	}
 	for key, a := range l.byKey {
@@ -199,7 +199,7 @@
 }
 
 // lastWords takes back what was kept for a gate while its words were late.
-func (l *Ledger) lastWords(p *peer) {
+func (l *Limiter) lastWords(p *peer) {
 	if !p.late {
 		return
 	}
@@ -211,7 +211,7 @@
 	}
 }
 
-func (l *Ledger) sweepPeer(p *peer) {
+func (l *Limiter) sweepPeer(p *peer) {
 	quiet := l.now.Sub(p.heard)
 	if !p.late && quiet > lateAfter(l.gates) {
 		p.late = true
@@ -222,7 +222,7 @@
 			}
 		}
 	}
-	if !p.silent && quiet > silentWords*Interval(l.gates) {
+	if !p.silent && quiet > silentWords*UpdateInterval(l.gates) {
 		p.silent = true
 		for _, a := range l.accounts {
 			if a.limit.Rate <= 0 {
@@ -251,4 +251,4 @@
 }
 
 // second is the time since this ledger began.
-func (l *Ledger) second() float64 { return l.now.Sub(l.started).Seconds() }
+func (l *Limiter) second() float64 { return l.now.Sub(l.started).Seconds() }
--- a/internal/decision/beechroom/register.go
+++ b/internal/decision/beechroom/register.go
@@ -13,8 +13,8 @@
 )
 
 type (
-	// Register is what a gate knows of full servers. It is safe for concurrent use.
-	Register struct {
+	// Tracker is what a gate knows of full servers. It is safe for concurrent use.
+	Tracker struct {
 		clock clockwork.Clock
 		news  func()
 
@@ -23,18 +23,18 @@
 		state State
 	}
 
-	// Told says that a server is full, and for how long.
-	Told struct {
-		Server uint64
-		Left   time.Duration
+	// FullServer says that a server is full, and for how long.
+	FullServer struct {
+		Server    uint64
+		Remaining time.Duration
 	}
 
 	// State counts what has happened so far.
 	State struct {
-		Full       int // servers, now
-		TurnedAway int // requests of this gate, where it knew nothing
-		Again      int // those of servers that it had heard of
-		Heard      int // words on servers
+		Full            int // servers, now
+		Rejections      int `json:"TurnedAway"` // requests of this gate, where it knew nothing
+		KnownRejections int `json:"Again"`      // those of servers that it had heard of
+		Reports         int `json:"Heard"`      // words on servers
 	}
 
 	belief struct {
@@ -64,24 +64,24 @@
 
 // New returns a register. news is called when the other gates are to be told; it must not
 // block.
-func New(clock clockwork.Clock, news func()) *Register {
-	return &Register{clock: clock, news: news, full: make(map[uint64]belief)}
+func New(clock clockwork.Clock, news func()) *Tracker {
+	return &Tracker{clock: clock, news: news, full: make(map[uint64]belief)}
 }
 
-// Interval is the least time between words of one of so many gates.
-func Interval(gates int) time.Duration { return wordSpace * time.Duration(max(gates, 1)) }
+// UpdateInterval is the least time between words of one of so many gates.
+func UpdateInterval(gates int) time.Duration { return wordSpace * time.Duration(max(gates, 1)) }
 
-// TurnedAway takes in that a server turned a request away as it is full, and after which
+// Rejected takes in that a server turned a request away as it is full, and after which
 // time it asks to be tried again; 0 is not told.
-func (r *Register) TurnedAway(server string, after time.Duration) {
+func (r *Tracker) Rejected(server string, after time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key, now := xxhash.Sum64String(server), r.clock.Now()
 	if now.Before(r.full[key].until) {
-		r.state.Again++
+		r.state.KnownRejections++
 		return
 	}
-	r.state.TurnedAway++
+	r.state.Rejections++
 	if after > 0 {
 		after = min(max(after, fullFor), fullMost)
 	} else {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Took takes in that a server answered a request that was sent at a time.
-func (r *Register) Took(server string, sent time.Time) {
+// Answered takes in that a server answered a request that was sent at a time.
+func (r *Tracker) Answered(server string, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := xxhash.Sum64String(server)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Knows tells whether a server is believed to be full.
-func (r *Register) Knows(server string) bool {
+// IsFull tells whether a server is believed to be full.
+func (r *Tracker) IsFull(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.full) == 0 { // as it mostly is, and every choice asks for each server
@@ -113,40 +113,40 @@
 	return ok && r.clock.Now().Before(b.until)
 }
 
-// Word is what the other gates are to hear, the most lasting first. Each server is told
+// NextUpdate is what the other gates are to hear, the most lasting first. Each server is told
 // once.
-func (r *Register) Word() []Told {
+func (r *Tracker) NextUpdate() []FullServer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	var word []Told
+	var word []FullServer
 	for key, b := range r.full {
 		if left := b.told.Sub(now); !b.told.IsZero() && left > 0 {
-			word = append(word, Told{Server: key, Left: left})
+			word = append(word, FullServer{Server: key, Remaining: left})
 		}
 		b.told = time.Time{}
 		r.full[key] = b
 	}
-	slices.SortFunc(word, func(x, y Told) int {
-		return cmp.Or(cmp.Compare(y.Left, x.Left), cmp.Compare(x.Server, y.Server))
+	slices.SortFunc(word, func(x, y FullServer) int {
+		return cmp.Or(cmp.Compare(y.Remaining, x.Remaining), cmp.Compare(x.Server, y.Server))
 	})
 	return word
 }
 
-// Hear takes in another gate's word.
-func (r *Register) Hear(word []Told) {
+// ApplyUpdate takes in another gate's word.
+func (r *Tracker) ApplyUpdate(word []FullServer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, told := range word {
-		if told.Left > 0 {
-			r.state.Heard++
-			r.believe(told.Server, min(told.Left, fullMost), time.Time{})
+		if told.Remaining > 0 {
+			r.state.Reports++
+			r.believe(told.Server, min(told.Remaining, fullMost), time.Time{})
 		}
 	}
 }
 
 // State gives what has happened so far.
-func (r *Register) State() State {
+func (r *Tracker) State() State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, now := r.state, r.clock.Now()
@@ -159,7 +159,7 @@
 }
 
 // believe takes a server for full for a time and a random part of it. The caller holds the lock.
-func (r *Register) believe(key uint64, left time.Duration, told time.Time) bool {
+func (r *Tracker) believe(key uint64, left time.Duration, told time.Time) bool {
 	if len(r.full) >= serversMost {
 		r.sweep()
 	}
@@ -178,7 +178,7 @@
 
 // again is how often in a row a server has been full once more if it is full now. The
 // caller holds the lock.
-func (r *Register) again(key uint64) int {
+func (r *Tracker) again(key uint64) int {
 	b, known := r.full[key]
 	switch now := r.clock.Now(); {
 	case !known || now.Sub(b.until) > staysWithin:
@@ -190,7 +190,7 @@
 }
 
 // sweep drops what is over. The caller holds the lock.
-func (r *Register) sweep() {
+func (r *Tracker) sweep() {
 	now := r.clock.Now()
 	maps.DeleteFunc(r.full, func(_ uint64, b belief) bool { return now.Sub(b.until) > staysWithin })
 }
--- a/internal/decision/beechroom/register_test.go
+++ b/internal/decision/beechroom/register_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func newRegister(clock clockwork.Clock) (*Register, *int) {
+func newRegister(clock clockwork.Clock) (*Tracker, *int) {
 	news := 0
 	return New(clock, func() { news++ }), &news
 }
@@ -23,19 +23,19 @@
 	here, news := newRegister(clock)
 	there, _ := newRegister(clock)
 	for range 3 {
-		here.TurnedAway("s", 0)
+		here.Rejected("s", 0)
 	}
 	is.Equal(*news, 1)
-	word := here.Word()
+	word := here.NextUpdate()
 	is.Equal(len(word), 1)
-	is.Equal(len(here.Word()), 0)
-	there.Hear(word)
-	is.True(there.Knows("s"))
-	there.TurnedAway("s", 0) // it was on its way
-	is.Equal(len(there.Word()), 0)
+	is.Equal(len(here.NextUpdate()), 0)
+	there.ApplyUpdate(word)
+	is.True(there.IsFull("s"))
+	there.Rejected("s", 0) // it was on its way
+	is.Equal(len(there.NextUpdate()), 0)
 	clock.Advance(2 * fullFor)
-	is.True(!here.Knows("s") && !there.Knows("s"))
-	is.Equal(there.State(), State{Again: 1, Heard: 1})
+	is.True(!here.IsFull("s") && !there.IsFull("s"))
+	is.Equal(there.State(), State{KnownRejections: 1, Reports: 1})
 }
 
 // A server asks for a time. It is kept to, but not an hour.
@@ -43,11 +43,11 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	r, _ := newRegister(clock)
-	r.TurnedAway("s", time.Second)
+	r.Rejected("s", time.Second)
 	clock.Advance(999 * time.Millisecond)
-	is.True(r.Knows("s"))
-	r.TurnedAway("long", time.Hour)
-	r.Hear([]Told{{Server: 1, Left: 1 << 62}, {Server: 2, Left: -1}})
+	is.True(r.IsFull("s"))
+	r.Rejected("long", time.Hour)
+	r.ApplyUpdate([]FullServer{{Server: 1, Remaining: 1 << 62}, {Server: 2, Remaining: -1}})
 	clock.Advance(2 * fullMost)
 	is.Equal(r.State().Full, 0)
 }
@@ -60,12 +60,12 @@
 	r, _ := newRegister(clock)
 	before := clock.Now()
 	clock.Advance(time.Millisecond)
-	r.TurnedAway("s", time.Second)
-	r.Took("s", before)
-	is.True(r.Knows("s"))
+	r.Rejected("s", time.Second)
+	r.Answered("s", before)
+	is.True(r.IsFull("s"))
 	clock.Advance(time.Millisecond)
-	r.Took("s", clock.Now())
-	is.True(!r.Knows("s"))
+	r.Answered("s", clock.Now())
+	is.True(!r.IsFull("s"))
 }
 
 // Anybody may name servers. What is kept is bounded.
@@ -74,12 +74,12 @@
 	clock := clockwork.NewFakeClock()
 	r, _ := newRegister(clock)
 	for i := range uint64(2 * serversMost) {
-		r.Hear([]Told{{Server: i, Left: time.Second}})
+		r.ApplyUpdate([]FullServer{{Server: i, Remaining: time.Second}})
 	}
 	is.Equal(r.State().Full, serversMost)
 	clock.Advance(2 * fullMost)
-	r.TurnedAway("s", 0)
-	is.True(r.Knows("s"))
+	r.Rejected("s", 0)
+	is.True(r.IsFull("s"))
 }
 
 // Many gates have callers for some servers of which one is full, or all are. It is asked
@@ -93,7 +93,7 @@
 	for _, gates := range []int{1, 8, 26, 104} {
 		for _, servers := range []int{1, 20} {
 			clock := clockwork.NewFakeClock()
-			var all []*Register
+			var all []*Tracker
 			for range gates {
 				r, _ := newRegister(clock)
 				all = append(all, r)
@@ -112,20 +112,20 @@
 				}
 				for i, r := range all {
 					server := fmt.Sprint(rand.IntN(servers))
-					if rand.IntN(gates) < 4 && !r.Knows(server) { // 4,000 requests a second in all
+					if rand.IntN(gates) < 4 && !r.IsFull(server) { // 4,000 requests a second in all
 						asked++
-						dues = append(dues, due{at + wayTime, func() { r.TurnedAway(server, 0) }})
+						dues = append(dues, due{at + wayTime, func() { r.Rejected(server, 0) }})
 					}
 					if at < spoke[i] {
 						continue
 					}
-					if word := r.Word(); len(word) > 0 {
-						spoke[i] = at + Interval(gates)
+					if word := r.NextUpdate(); len(word) > 0 {
+						spoke[i] = at + UpdateInterval(gates)
 						words++
 						dues = append(dues, due{at + wayTime, func() {
 							for _, other := range all {
 								if other != r {
-									other.Hear(word)
+									other.ApplyUpdate(word)
 								}
 							}
 						}})
--- a/internal/decision/beechsuspect/register.go
+++ b/internal/decision/beechsuspect/register.go
@@ -31,9 +31,9 @@
 type (
 	// Settings of the register. Zero values are taken from Defaults.
 	Settings struct {
-		Keep   time.Duration // how long a suspicion or its clearing lasts
-		Refuse time.Duration // after the second crash; doubles with each more, up to half of Keep
-		Max    int           // records
+		Retention   time.Duration // how long a suspicion or its clearing lasts
+		RefusalTime time.Duration // after the second crash; doubles with each more, up to half of Keep
+		MaxRecords  int           // records
 	}
 
 	// Record is a request that was running when a server crashed. Age is the
@@ -48,19 +48,19 @@
 	// Verdict is the answer to Check: Clear, Alone or Refuse.
 	Verdict interface{ verdict() }
 
-	// Clear lets the request run as any other.
-	Clear struct{}
+	// Allow lets the request run as any other.
+	Allow struct{}
 
-	// Alone lets the request run beside no other suspect.
-	Alone struct{}
+	// Isolate lets the request run beside no other suspect.
+	Isolate struct{}
 
 	// Refuse turns the request away, not run. After says when it may be tried
 	// again.
 	Refuse struct{ After time.Duration }
 
-	// Register holds the suspects that one process knows. It is safe for
+	// Registry holds the suspects that one process knows. It is safe for
 	// concurrent use.
-	Register struct {
+	Registry struct {
 		mu       sync.Mutex
 		settings Settings
 		clock    clockwork.Clock
@@ -79,31 +79,31 @@
 
 // Defaults are the settings where none are given; the package comment says
 // why.
-var Defaults = Settings{Keep: 30 * time.Minute, Refuse: 5 * time.Minute, Max: 1024}
+var Defaults = Settings{Retention: 30 * time.Minute, RefusalTime: 5 * time.Minute, MaxRecords: 1024}
 
-func (Clear) verdict()  {}
-func (Alone) verdict()  {}
-func (Refuse) verdict() {}
+func (Allow) verdict()   {}
+func (Isolate) verdict() {}
+func (Refuse) verdict()  {}
 
 // New returns an empty register.
-func New(s Settings, c clockwork.Clock) *Register {
-	if s.Keep <= 0 {
-		s.Keep = Defaults.Keep
+func New(s Settings, c clockwork.Clock) *Registry {
+	if s.Retention <= 0 {
+		s.Retention = Defaults.Retention
 	}
-	if s.Refuse <= 0 {
-		s.Refuse = Defaults.Refuse
+	if s.RefusalTime <= 0 {
+		s.RefusalTime = Defaults.RefusalTime
 	}
-	if s.Max <= 0 {
-		s.Max = Defaults.Max
+	if s.MaxRecords <= 0 {
+		s.MaxRecords = Defaults.MaxRecords
 	}
-	return &Register{settings: s, clock: c, now: c.Now(), entries: make(map[uint64]*entry)}
+	return &Registry{settings: s, clock: c, now: c.Now(), entries: make(map[uint64]*entry)}
 }
 
-// Crashed tells what was running when a server crashed. A request that was let
+// RecordCrash tells what was running when a server crashed. A request that was let
 // run as a suspect has crashed once more than was known then. One that was let
 // run before anything was known has crashed once, however many processes tell
 // of that crash, so that none is refused for a single one.
-func (r *Register) Crashed(running []uint64) {
+func (r *Registry) RecordCrash(running []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
@@ -122,10 +122,10 @@
 	r.shrink()
 }
 
-// Finished clears a request that ran to its end. It is no poison, and a
+// RecordSuccess clears a request that ran to its end. It is no poison, and a
 // process that has not heard so yet must not bring the suspicion back; so the
 // record stays, as cleared.
-func (r *Register) Finished(fingerprint uint64) {
+func (r *Registry) RecordSuccess(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
@@ -137,25 +137,25 @@
 }
 
 // Check says how a request may run, and is asked before each attempt.
-func (r *Register) Check(fingerprint uint64) Verdict {
+func (r *Registry) Check(fingerprint uint64) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
 	e := r.live(fingerprint)
 	if e == nil || e.cleared {
-		return Clear{}
+		return Allow{}
 	}
 	if left := e.at.Add(r.refusal(e.crashes)).Sub(r.now); left > 0 {
 		return Refuse{After: left}
 	}
 	e.tried = e.crashes
-	return Alone{}
+	return Isolate{}
 }
 
-// Tried tells that another process lets the request run, and how many crashes
+// RecordAttempt tells that another process lets the request run, and how many crashes
 // it knows of. Merged as a record, whose crash is of now, a request that may be
 // tried again after its refusal would be refused anew by each process it comes to.
-func (r *Register) Tried(fingerprint uint64, crashes int) {
+func (r *Registry) RecordAttempt(fingerprint uint64, crashes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
@@ -175,20 +175,20 @@
 
 // List gives all records, for a process that starts; the most dangerous first,
 // then the latest.
-func (r *Register) List() []Record { return r.list(0) }
+func (r *Registry) List() []Record { return r.list(0) }
 
-// News gives the records that changed lately, for heartbeats. The whole list
+// RecentChanges gives the records that changed lately, for heartbeats. The whole list
 // on each would cost more than all else that heartbeats carry.
-func (r *Register) News() []Record { return r.list(news) }
+func (r *Registry) RecentChanges() []Record { return r.list(news) }
 
 // Merge takes in other processes' records. The later event counts, and of one
 // crash that both know the higher number.
-func (r *Register) Merge(records []Record) {
+func (r *Registry) Merge(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
 	for _, n := range records {
-		if n.Fingerprint == 0 || n.Crashes <= 0 || n.Age >= r.settings.Keep {
+		if n.Fingerprint == 0 || n.Crashes <= 0 || n.Age >= r.settings.Retention {
 			continue
 		}
 		r.merge(n)
@@ -196,11 +196,11 @@
 	r.shrink()
 }
 
-func (r *Register) merge(n Record) {
+func (r *Registry) merge(n Record) {
 	crashes := min(n.Crashes, maxCrashes)
 	at := r.now.Add(-max(n.Age, 0))
 	e := r.live(n.Fingerprint)
-	if e == nil && n.Age >= r.settings.Keep-r.settings.Keep/lastPart {
+	if e == nil && n.Age >= r.settings.Retention-r.settings.Retention/lastPart {
 		return
 	}
 	if e == nil {
@@ -232,9 +232,9 @@
 }
 
 // live gives a record that has not expired.
-func (r *Register) live(fingerprint uint64) *entry {
+func (r *Registry) live(fingerprint uint64) *entry {
 	e := r.entries[fingerprint]
-	if e != nil && r.now.Sub(e.at) >= r.settings.Keep {
+	if e != nil && r.now.Sub(e.at) >= r.settings.Retention {
 		delete(r.entries, fingerprint)
 		return nil
 	}
@@ -242,14 +242,14 @@
 }
 
 // refusal is how long a request is refused after its last crash.
-func (r *Register) refusal(crashes int) time.Duration {
+func (r *Registry) refusal(crashes int) time.Duration {
 	if crashes < 2 {
 		return 0
 	}
-	return min(r.settings.Refuse<<(crashes-2), r.settings.Keep/2)
+	return min(r.settings.RefusalTime<<(crashes-2), r.settings.Retention/2)
 }
 
-func (r *Register) list(changed time.Duration) []Record {
+func (r *Registry) list(changed time.Duration) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tick()
@@ -276,8 +276,8 @@
 
 // shrink keeps the number of records within Max. A crash of a large batch must not
 // push out what has crashed twice.
-func (r *Register) shrink() {
-	if len(r.entries) <= r.settings.Max {
+func (r *Registry) shrink() {
+	if len(r.entries) <= r.settings.MaxRecords {
 		return
 	}
 	type kept struct {
@@ -291,7 +291,7 @@
 	slices.SortFunc(all, func(a, b kept) int {
 		return cmp.Or(b.entry.rank()-a.entry.rank(), b.entry.at.Compare(a.entry.at), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
-	for _, k := range all[r.settings.Max:] {
+	for _, k := range all[r.settings.MaxRecords:] {
 		delete(r.entries, k.fingerprint)
 	}
 }
@@ -299,7 +299,7 @@
 func (e *entry) rank() int { return Record{Crashes: e.crashes, Cleared: e.cleared}.rank() }
 
 // tick takes over the time, which stands still while the clock steps back.
-func (r *Register) tick() {
+func (r *Registry) tick() {
 	if now := r.clock.Now(); now.After(r.now) {
 		r.now = now
 	}
--- a/internal/decision/beechsuspect/register_test.go
+++ b/internal/decision/beechsuspect/register_test.go
@@ -10,9 +10,9 @@
 
 const poison = 666
 
-func registers(n int) ([]*Register, *clockwork.FakeClock) {
+func registers(n int) ([]*Registry, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	var out []*Register
+	var out []*Registry
 	for range n {
 		out = append(out, New(Settings{}, clock))
 	}
@@ -34,7 +34,7 @@
 				for range 2 {
 					for _, from := range r {
 						for _, to := range r {
-							to.Merge(from.News())
+							to.Merge(from.RecentChanges())
 						}
 					}
 				}
@@ -45,39 +45,39 @@
 				batch = append(batch, f+1)
 			}
 			for _, f := range batch {
-				is.Equal(r[0].Check(f), Clear{})
-				is.Equal(r[2].Check(f), Clear{})
+				is.Equal(r[0].Check(f), Allow{})
+				is.Equal(r[2].Check(f), Allow{})
 			}
-			r[2].Crashed(batch)
+			r[2].RecordCrash(batch)
 			r[2].Merge(nil)
-			r[0].Merge(r[2].News()) // the heartbeat comes before the failed replies
-			r[0].Crashed(batch)
+			r[0].Merge(r[2].RecentChanges()) // the heartbeat comes before the failed replies
+			r[0].RecordCrash(batch)
 			gossip()
 			crashes := 1
 			for _, f := range batch {
-				is.Equal(r[c.entry].Check(f), Alone{}) // one crash, told twice
-				is.Equal(r[3].Check(f), Alone{})
+				is.Equal(r[c.entry].Check(f), Isolate{}) // one crash, told twice
+				is.Equal(r[3].Check(f), Isolate{})
 				if f == poison {
-					r[3].Crashed([]uint64{f})
-					r[c.entry].Crashed([]uint64{f})
+					r[3].RecordCrash([]uint64{f})
+					r[c.entry].RecordCrash([]uint64{f})
 					crashes++
 				} else {
-					r[3].Finished(f)
-					r[c.entry].Finished(f)
+					r[3].RecordSuccess(f)
+					r[c.entry].RecordSuccess(f)
 				}
 			}
 			gossip()
 			for _, each := range r {
-				is.Equal(each.Check(poison), Refuse{After: Defaults.Refuse - time.Second})
+				is.Equal(each.Check(poison), Refuse{After: Defaults.RefusalTime - time.Second})
 				for f := range uint64(19) {
-					is.Equal(each.Check(f+1), Clear{})
+					is.Equal(each.Check(f+1), Allow{})
 				}
 			}
 			is.Equal(crashes, 2)
-			clock.Advance(Defaults.Refuse)
-			is.Equal(r[0].Check(poison), Alone{})
-			r[0].Crashed([]uint64{poison})
-			is.Equal(r[0].Check(poison), Refuse{After: 2 * Defaults.Refuse})
+			clock.Advance(Defaults.RefusalTime)
+			is.Equal(r[0].Check(poison), Isolate{})
+			r[0].RecordCrash([]uint64{poison})
+			is.Equal(r[0].Check(poison), Refuse{After: 2 * Defaults.RefusalTime})
 		})
 	}
 }
@@ -87,7 +87,7 @@
 func TestGossipDoesNotKeepSuspicionsAlive(t *testing.T) {
 	is := is.New(t)
 	r, clock := registers(2)
-	r[0].Crashed([]uint64{1})
+	r[0].RecordCrash([]uint64{1})
 	for range 40 * 60 {
 		news := r[0].List()
 		clock.Advance(500 * time.Millisecond)
@@ -96,8 +96,8 @@
 		clock.Advance(500 * time.Millisecond)
 		r[0].Merge(news)
 	}
-	is.Equal(r[0].Check(1), Clear{})
-	is.Equal(r[1].Check(1), Clear{})
+	is.Equal(r[0].Check(1), Allow{})
+	is.Equal(r[1].Check(1), Allow{})
 	is.Equal(len(r[0].List())+len(r[1].List()), 0)
 }
 
@@ -106,20 +106,20 @@
 func TestLaterEventCounts(t *testing.T) {
 	is := is.New(t)
 	r, clock := registers(2)
-	r[0].Crashed([]uint64{1})
+	r[0].RecordCrash([]uint64{1})
 	r[1].Merge(r[0].List())
 	clock.Advance(500 * time.Millisecond)
-	r[1].Finished(1)
+	r[1].RecordSuccess(1)
 	r[1].Merge(r[0].List()) // old news
-	is.Equal(r[1].Check(1), Clear{})
+	is.Equal(r[1].Check(1), Allow{})
 	r[0].Merge(r[1].List())
-	is.Equal(r[0].Check(1), Clear{})
+	is.Equal(r[0].Check(1), Allow{})
 	clock.Advance(time.Minute)
-	r[0].Crashed([]uint64{1})
+	r[0].RecordCrash([]uint64{1})
 	r[1].Merge(r[0].List())
-	is.Equal(r[1].Check(1), Alone{})
+	is.Equal(r[1].Check(1), Isolate{})
 	clock.Advance(news + time.Second)
-	is.Equal(len(r[0].News()), 0)
+	is.Equal(len(r[0].RecentChanges()), 0)
 	is.Equal(len(r[0].List()), 1)
 }
 
@@ -130,26 +130,26 @@
 	is := is.New(t)
 	r, clock := registers(2)
 	entry, agent := r[0], r[1]
-	entry.Crashed([]uint64{poison})
-	is.Equal(entry.Check(poison), Alone{})
-	entry.Crashed([]uint64{poison})
-	clock.Advance(Defaults.Refuse)
-	is.Equal(entry.Check(poison), Alone{})
+	entry.RecordCrash([]uint64{poison})
+	is.Equal(entry.Check(poison), Isolate{})
+	entry.RecordCrash([]uint64{poison})
+	clock.Advance(Defaults.RefusalTime)
+	is.Equal(entry.Check(poison), Isolate{})
 	for range 3 { // tries that were turned away for other reasons
-		agent.Tried(poison, 2)
-		is.Equal(agent.Check(poison), Alone{})
-		entry.Merge(agent.News())
-		is.Equal(entry.Check(poison), Alone{})
+		agent.RecordAttempt(poison, 2)
+		is.Equal(agent.Check(poison), Isolate{})
+		entry.Merge(agent.RecentChanges())
+		is.Equal(entry.Check(poison), Isolate{})
 	}
-	agent.Crashed([]uint64{poison})
-	is.Equal(agent.Check(poison), Refuse{After: 2 * Defaults.Refuse})
-	entry.Merge(agent.News())
-	is.Equal(entry.Check(poison), Refuse{After: 2 * Defaults.Refuse})
-	agent.Tried(0, 1)
-	agent.Tried(1, -1)
-	agent.Tried(2, 1<<40)
+	agent.RecordCrash([]uint64{poison})
+	is.Equal(agent.Check(poison), Refuse{After: 2 * Defaults.RefusalTime})
+	entry.Merge(agent.RecentChanges())
+	is.Equal(entry.Check(poison), Refuse{After: 2 * Defaults.RefusalTime})
+	agent.RecordAttempt(0, 1)
+	agent.RecordAttempt(1, -1)
+	agent.RecordAttempt(2, 1<<40)
 	is.Equal(len(agent.List()), 2)
-	is.Equal(agent.Check(2), Alone{})
+	is.Equal(agent.Check(2), Isolate{})
 }
 
 // Large batches crash again and again, and a process sends records that make no
@@ -157,13 +157,13 @@
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	r := New(Settings{Max: 100, Keep: -1, Refuse: -1}, clock)
-	r.Crashed([]uint64{poison})
-	is.Equal(r.Check(poison), Alone{})
-	r.Crashed([]uint64{poison, 0})
+	r := New(Settings{MaxRecords: 100, Retention: -1, RefusalTime: -1}, clock)
+	r.RecordCrash([]uint64{poison})
+	is.Equal(r.Check(poison), Isolate{})
+	r.RecordCrash([]uint64{poison, 0})
 	for f := range uint64(2000) {
 		clock.Advance(time.Millisecond)
-		r.Crashed([]uint64{1000 + f})
+		r.RecordCrash([]uint64{1000 + f})
 	}
 	is.Equal(len(r.List()), 100)
 	is.Equal(r.List()[0].Fingerprint, uint64(poison))
@@ -174,20 +174,20 @@
 		{Fingerprint: 2, Crashes: 2, Age: 1 << 62},
 		{Fingerprint: 3, Crashes: 1 << 40, Age: -time.Hour},
 	})
-	is.Equal(r.Check(0), Clear{})
-	is.Equal(r.Check(1), Clear{})
-	is.Equal(r.Check(2), Clear{})
-	is.Equal(r.Check(3), Refuse{After: Defaults.Keep / 2})
+	is.Equal(r.Check(0), Allow{})
+	is.Equal(r.Check(1), Allow{})
+	is.Equal(r.Check(2), Allow{})
+	is.Equal(r.Check(3), Refuse{After: Defaults.Retention / 2})
 	clock.Advance(-time.Hour)
-	is.Equal(r.Check(3), Refuse{After: Defaults.Keep / 2})
-	r.Finished(99)
+	is.Equal(r.Check(3), Refuse{After: Defaults.Retention / 2})
+	r.RecordSuccess(99)
 	is.Equal(len(r.List()), 1)
 }
 
 func BenchmarkCheck(b *testing.B) {
 	r := New(Settings{}, clockwork.NewRealClock())
 	for f := range uint64(1000) {
-		r.Crashed([]uint64{f})
+		r.RecordCrash([]uint64{f})
 	}
 	b.ReportAllocs()
 	i := uint64(0)
--- a/internal/decision/beechthrottle/register.go
+++ b/internal/decision/beechthrottle/register.go
@@ -6,29 +6,29 @@
 )
 
 type (
-	// Said is what an answer says of its server's limit: Silent, Names or Faulty.
-	Said interface{ said() }
+	// ServerLimit is what an answer says of its server's limit: Silent, Names or Faulty.
+	ServerLimit interface{ said() }
 
-	// Silent says that the answer names no limit.
-	Silent struct{}
+	// NoLimit says that the answer names no limit.
+	NoLimit struct{}
 
-	// Names says how many requests a second the server takes from all gates
+	// RateLimit says how many requests a second the server takes from all gates
 	// together. Rate is finite and not below 0.
-	Names struct {
-		Rate  float64
-		Field string // of the answer that named it, for logs
+	RateLimit struct {
+		Rate   float64
+		Header string // of the answer that named it, for logs
 	}
 
-	// Faulty says that the answer names a limit that cannot be used.
-	Faulty struct{ Text string }
+	// InvalidLimit says that the answer names a limit that cannot be used.
+	InvalidLimit struct{ Text string }
 
-	// Notice is what is known of a server's limit from one answer. The server said so
+	// Observation is what is known of a server's limit from one answer. The server said so
 	// at some moment from Sent to Received, by a clock that counts suspensions.
-	Notice struct {
-		Born     uint64 // of the server's lifetime; 0 is not told
-		Rate     float64
-		Sent     time.Duration
-		Received time.Duration
+	Observation struct {
+		StartTime uint64 // of the server's lifetime; 0 is not told
+		Rate      float64
+		Sent      time.Duration
+		Received  time.Duration
 	}
 
 	// register is what is believed of servers' limits, by the hash of their IDs.
@@ -36,7 +36,7 @@
 
 	// belief is what is believed of one server.
 	belief struct {
-		Notice
+		Observation
 		named     time.Duration // when it was last confirmed
 		firsthand bool          // the server itself said so to this gate
 		repeats   int           // words that still tell it
@@ -51,9 +51,9 @@
 // unlimited is the rate of a server that names none any more.
 var unlimited = math.Inf(1)
 
-func (Silent) said() {}
-func (Names) said()  {}
-func (Faulty) said() {}
+func (NoLimit) said()      {}
+func (RateLimit) said()    {}
+func (InvalidLimit) said() {}
 
 // limited tells whether the server is believed to have a limit.
 func (b *belief) limited() bool { return b != nil && !math.IsInf(b.Rate, 1) }
@@ -63,28 +63,28 @@
 // Answers overtake one another, so the last to arrive is not always the newest. Of two
 // that may have been given in either order the stricter counts, until one comes whose
 // request was sent after the other had arrived.
-func (r *register) take(key uint64, n Notice) (b *belief, changed bool) {
+func (r *register) take(key uint64, n Observation) (b *belief, changed bool) {
 	b = r.beliefs[key]
 	if b == nil {
 		if math.IsInf(n.Rate, 1) || len(r.beliefs) >= serversMost {
 			return nil, false
 		}
-		b = &belief{Notice: n, named: n.Received}
+		b = &belief{Observation: n, named: n.Received}
 		r.beliefs[key] = b
 		return b, true
 	}
-	if n.Born != 0 && b.Born != 0 && n.Born != b.Born {
-		if n.Born < b.Born {
+	if n.StartTime != 0 && b.StartTime != 0 && n.StartTime != b.StartTime {
+		if n.StartTime < b.StartTime {
 			return b, false // word of a lifetime that is over
 		}
 		changed = n.Rate != b.Rate
 		b.replace(n)
 		return b, changed
 	}
-	n.Born = max(n.Born, b.Born)
+	n.StartTime = max(n.StartTime, b.StartTime)
 	switch {
 	case n.Rate == b.Rate:
-		b.Born = n.Born
+		b.StartTime = n.StartTime
 		b.Sent, b.Received = max(b.Sent, n.Sent), max(b.Received, n.Received)
 		b.named = max(b.named, n.Received)
 		return b, false
@@ -95,7 +95,7 @@
 	return b, false
 }
 
-func (b *belief) replace(n Notice) {
-	b.Notice = n
+func (b *belief) replace(n Observation) {
+	b.Observation = n
 	b.named = n.Received
 }
--- a/internal/decision/beechthrottle/register_test.go
+++ b/internal/decision/beechthrottle/register_test.go
@@ -33,7 +33,7 @@
 			is := is.New(t)
 			r := register{make(map[uint64]*belief)}
 			for _, s := range steps {
-				r.take(key, Notice{Rate: s.rate, Sent: seconds(s.sent), Received: seconds(s.received)})
+				r.take(key, Observation{Rate: s.rate, Sent: seconds(s.sent), Received: seconds(s.received)})
 				is.Equal(r.beliefs[key].Rate, s.want)
 			}
 		})
@@ -45,11 +45,11 @@
 func TestNewLifetimeHasNoLimit(t *testing.T) {
 	is := is.New(t)
 	r := register{make(map[uint64]*belief)}
-	r.take(key, Notice{Born: 5, Rate: 2, Received: 1})
-	r.take(key, Notice{Born: 9, Rate: unlimited, Sent: 0, Received: 2})
+	r.take(key, Observation{StartTime: 5, Rate: 2, Received: 1})
+	r.take(key, Observation{StartTime: 9, Rate: unlimited, Sent: 0, Received: 2})
 	is.True(!r.beliefs[key].limited())
-	r.take(key, Notice{Born: 5, Rate: 2, Sent: 3, Received: 4})
+	r.take(key, Observation{StartTime: 5, Rate: 2, Sent: 3, Received: 4})
 	is.True(!r.beliefs[key].limited())
-	r.take(key, Notice{Born: 9, Rate: 3, Sent: 5, Received: 6})
+	r.take(key, Observation{StartTime: 9, Rate: 3, Sent: 5, Received: 6})
 	is.Equal(r.beliefs[key].Rate, 3.0)
 }
--- a/internal/decision/beechthrottle/throttle.go
+++ b/internal/decision/beechthrottle/throttle.go
@@ -23,40 +23,40 @@
 	// Event is something that a gate's log tells: Began, Changed, Ended or PassedOver.
 	Event interface{ event() }
 
-	// Began says that a server is known to have a limit now.
-	Began struct{ Standing }
+	// LimitStarted says that a server is known to have a limit now.
+	LimitStarted struct{ LimitStatus }
 
-	// Changed says that its limit is another one now.
-	Changed struct {
-		Standing
-		Was float64
+	// LimitChanged says that its limit is another one now.
+	LimitChanged struct {
+		LimitStatus
+		Previous float64
 	}
 
-	// Ended says that it has none any more.
-	Ended struct{ Standing }
+	// LimitEnded says that it has none any more.
+	LimitEnded struct{ LimitStatus }
 
-	// PassedOver says that an answer named a limit that cannot be used.
-	PassedOver struct{ Server, Text string }
+	// LimitIgnored says that an answer named a limit that cannot be used.
+	LimitIgnored struct{ Server, Text string }
 
-	// Standing is how it stands with a server's limit.
-	Standing struct {
-		Server string  // ID, or its hash where no server is listed that has it
-		Rate   float64 // requests a second
-		From   string  // the gate that told it; empty where the server itself did
-		Field  string  // of the answer that named it
-		Age    time.Duration
-		Given  int // requests that this gate has sent there since the limit is known
-		Held   int // and those that it sent elsewhere, or refused, for the limit
+	// LimitStatus is how it stands with a server's limit.
+	LimitStatus struct {
+		Server   string  // ID, or its hash where no server is listed that has it
+		Rate     float64 // requests a second
+		Source   string  `json:"From"`  // the gate that told it; empty where the server itself did
+		Header   string  `json:"Field"` // of the answer that named it
+		Age      time.Duration
+		Sent     int `json:"Given"` // requests that this gate has sent there since the limit is known
+		Withheld int `json:"Held"`  // and those that it sent elsewhere, or refused, for the limit
 	}
 
 	// State is what is believed, for metrics.
 	State struct {
-		Limited    int // servers that name a limit
-		Given      int // requests to such servers
-		Held       int // those that went elsewhere, or were refused, for a limit
-		PassedOver int // answers with limits that could not be used
-		Counting   beechquota.State
-		Servers    []Standing
+		Limited  int              // servers that name a limit
+		Sent     int              `json:"Given"`      // requests to such servers
+		Withheld int              `json:"Held"`       // those that went elsewhere, or were refused, for a limit
+		Invalid  int              `json:"PassedOver"` // answers with limits that could not be used
+		Quota    beechquota.State `json:"Counting"`
+		Servers  []LimitStatus
 	}
 
 	// Throttle is one gate's view of all servers' limits. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 		clock   Clock
 		note    func(Event)
 		news    func()
-		ledger  *beechquota.Ledger
+		ledger  *beechquota.Limiter
 		limited atomic.Int64 // servers that name a limit
 
 		mu          sync.Mutex
@@ -109,12 +109,12 @@
 // some requests, one and a half of which are the burst's. What was counted is remembered
 // for longer than needs come and go: counted from nothing at some gates and not at others,
 // the totals that they tell would seem to fall and be passed over.
-var bounds = beechquota.Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, Lots: true, Remember: 10 * time.Minute}
+var bounds = beechquota.Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, RandomDraw: true, Retention: 10 * time.Minute}
 
-func (Began) event()      {}
-func (Changed) event()    {}
-func (Ended) event()      {}
-func (PassedOver) event() {}
+func (LimitStarted) event() {}
+func (LimitChanged) event() {}
+func (LimitEnded) event()   {}
+func (LimitIgnored) event() {}
 
 // New returns a throttle that knows no limit. Host names this gate, the same in all its
 // lifetimes; lifetime tells this one from the others. Note is told what has changed, and
@@ -143,24 +143,24 @@
 	t.mu.Unlock()
 }
 
-// Any tells whether any server names a limit.
-func (t *Throttle) Any() bool { return t.limited.Load() > 0 }
+// HasLimits tells whether any server names a limit.
+func (t *Throttle) HasLimits() bool { return t.limited.Load() > 0 }
 
-// Heard takes in what an answer of a server said, whose request was sent then.
-func (t *Throttle) Heard(server string, born uint64, said Said, sent time.Duration) {
-	notice := Notice{Born: born, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
+// Observe takes in what an answer of a server said, whose request was sent then.
+func (t *Throttle) Observe(server string, born uint64, said ServerLimit, sent time.Duration) {
+	notice := Observation{StartTime: born, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
 	field := ""
 	switch v := said.(type) {
-	case Names:
-		notice.Rate, field = v.Rate, v.Field
-	case Faulty:
+	case RateLimit:
+		notice.Rate, field = v.Rate, v.Header
+	case InvalidLimit:
 		t.mu.Lock()
 		t.faulty++
 		t.mu.Unlock()
-		t.note(PassedOver{Server: server, Text: v.Text})
+		t.note(LimitIgnored{Server: server, Text: v.Text})
 		return
-	case Silent:
-		if !t.Any() {
+	case NoLimit:
+		if !t.HasLimits() {
 			return
 		}
 	default:
@@ -175,10 +175,10 @@
 	t.tell(event, field)
 }
 
-// Anew tells that a server has begun another lifetime under its ID, or is gone: it has
+// ServerRestarted tells that a server has begun another lifetime under its ID, or is gone: it has
 // no limit until it names one.
-func (t *Throttle) Anew(server string, born uint64) {
-	if !t.Any() {
+func (t *Throttle) ServerRestarted(server string, born uint64) {
+	if !t.HasLimits() {
 		return
 	}
 	now := t.clock.Now()
@@ -187,7 +187,7 @@
 	var event Event
 	if b := t.register.beliefs[key]; b.limited() {
 		was := b.Rate
-		b.replace(Notice{Born: max(born, b.Born), Rate: unlimited, Sent: now, Received: now})
+		b.replace(Observation{StartTime: max(born, b.StartTime), Rate: unlimited, Sent: now, Received: now})
 		event = t.changed(key, b, was, now, "")
 	}
 	t.mu.Unlock()
@@ -197,7 +197,7 @@
 // take takes in a notice on a server; from is the gate that told it, empty for the
 // server's own answer. It gives what the log tells of it, and whether a limit is sure
 // again that was not. The caller holds the lock.
-func (t *Throttle) take(key uint64, n Notice, from string) (e Event, sure bool) {
+func (t *Throttle) take(key uint64, n Observation, from string) (e Event, sure bool) {
 	now := t.clock.Now()
 	was, unsure := unlimited, false
 	if old := t.register.beliefs[key]; old != nil {
@@ -226,7 +226,7 @@
 // the lock.
 func (t *Throttle) changed(key uint64, b *belief, was float64, now time.Duration, from string) Event {
 	s := t.standing(key, b, now)
-	s.From = from
+	s.Source = from
 	b.repeats, b.firsthand = repeats, from == ""
 	t.enforce(key, b, now)
 	switch {
@@ -236,12 +236,12 @@
 		t.limited.Add(-1)
 		b.given, b.held = 0, 0
 		s.Rate = was
-		return Ended{s}
+		return LimitEnded{s}
 	case math.IsInf(was, 1):
 		t.limited.Add(1)
-		return Began{s}
+		return LimitStarted{s}
 	}
-	return Changed{Standing: s, Was: was}
+	return LimitChanged{LimitStatus: s, Previous: was}
 }
 
 // enforce has the counting keep to a limit as far as it is believed now. The caller holds
@@ -272,28 +272,28 @@
 // tell logs an event, if there is one.
 func (t *Throttle) tell(e Event, field string) {
 	switch v := e.(type) {
-	case Began:
-		v.Field = field
+	case LimitStarted:
+		v.Header = field
 		t.note(v)
-	case Changed:
-		v.Field = field
+	case LimitChanged:
+		v.Header = field
 		t.note(v)
-	case Ended:
+	case LimitEnded:
 		t.note(v)
 	}
 }
 
-// Room tells whether a server may be sent a request now, and takes nothing.
-func (t *Throttle) Room(server string) beechquota.Decision {
+// Check tells whether a server may be sent a request now, and takes nothing.
+func (t *Throttle) Check(server string) beechquota.Decision {
 	b := t.belief(server)
 	if b == nil {
 		return beechquota.Admitted{}
 	}
-	return t.ledger.Ask(b.account, 1)
+	return t.ledger.Check(b.account, 1)
 }
 
-// Take takes a request from what a server may be sent, if there is something left.
-func (t *Throttle) Take(server string) beechquota.Decision {
+// Acquire takes a request from what a server may be sent, if there is something left.
+func (t *Throttle) Acquire(server string) beechquota.Decision {
 	b := t.belief(server)
 	if b == nil {
 		return beechquota.Admitted{}
@@ -304,22 +304,22 @@
 		b.given++
 		t.given++
 		t.mu.Unlock()
-		if admitted.Tell {
+		if admitted.Urgent {
 			t.news()
 		}
 	}
 	return d
 }
 
-// GiveBack returns a request that was not sent.
-func (t *Throttle) GiveBack(server string) {
+// Refund returns a request that was not sent.
+func (t *Throttle) Refund(server string) {
 	if b := t.belief(server); b != nil {
-		t.ledger.GiveBack(b.account, 1)
+		t.ledger.Refund(b.account, 1)
 	}
 }
 
-// Held counts a request that did not go to a server for its limit.
-func (t *Throttle) Held(server string) {
+// CountWithheld counts a request that did not go to a server for its limit.
+func (t *Throttle) CountWithheld(server string) {
 	b := t.belief(server)
 	if b == nil {
 		return
@@ -330,9 +330,9 @@
 	t.held++
 }
 
-// Due tells whether this gate is to ask a server again, as its limit has not been named
+// ProbeDue tells whether this gate is to ask a server again, as its limit has not been named
 // for a while. If all gates asked at once, a server in need would be sent a burst.
-func (t *Throttle) Due(server string) bool {
+func (t *Throttle) ProbeDue(server string) bool {
 	b := t.belief(server)
 	if b == nil {
 		return false
@@ -358,7 +358,7 @@
 
 // belief gives what is believed of a server that has a limit, nil of others.
 func (t *Throttle) belief(server string) *belief {
-	if !t.Any() {
+	if !t.HasLimits() {
 		return nil
 	}
 	key := xxhash.Sum64String(server)
@@ -393,9 +393,9 @@
 	}
 }
 
-func (t *Throttle) standing(key uint64, b *belief, now time.Duration) Standing {
+func (t *Throttle) standing(key uint64, b *belief, now time.Duration) LimitStatus {
 	name := cmp.Or(t.names[key], strconv.FormatUint(key, 16))
-	return Standing{Server: name, Rate: b.Rate, Age: max(now-b.named, 0), Given: b.given, Held: b.held}
+	return LimitStatus{Server: name, Rate: b.Rate, Age: max(now-b.named, 0), Sent: b.given, Withheld: b.held}
 }
 
 // State gives what is believed, those that were asked most first.
@@ -404,15 +404,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	s := State{Given: t.given, Held: t.held, PassedOver: t.faulty, Counting: counting}
+	s := State{Sent: t.given, Withheld: t.held, Invalid: t.faulty, Quota: counting}
 	for key, b := range t.register.beliefs {
 		if b.limited() {
 			s.Limited++
 			s.Servers = append(s.Servers, t.standing(key, b, now))
 		}
 	}
-	slices.SortFunc(s.Servers, func(x, y Standing) int {
-		return cmp.Or(cmp.Compare(y.Given+y.Held, x.Given+x.Held), cmp.Compare(x.Server, y.Server))
+	slices.SortFunc(s.Servers, func(x, y LimitStatus) int {
+		return cmp.Or(cmp.Compare(y.Sent+y.Withheld, x.Sent+x.Withheld), cmp.Compare(x.Server, y.Server))
 	})
 	s.Servers = s.Servers[:min(len(s.Servers), standingMost)]
 	return s
--- a/internal/decision/beechthrottle/throttle_test.go
+++ b/internal/decision/beechthrottle/throttle_test.go
@@ -74,23 +74,23 @@
 
 func (f *fleet) tell(i int) {
 	f.urgent[i] = false
-	if !f.gates[i].Speaks() {
+	if !f.gates[i].HasUpdate() {
 		return
 	}
-	w := f.gates[i].Word()
+	w := f.gates[i].NextUpdate()
 	for j, to := range f.gates {
 		if j != i {
-			to.Hear(w, fmt.Sprint("gate-", i))
+			to.ApplyUpdate(w, fmt.Sprint("gate-", i))
 		}
 	}
 }
 
 // ask has a gate send a request to the server, which answers at once with a limit.
-func (f *fleet) ask(i int, said Said) bool {
-	if _, ok := f.gates[i].Take(server).(beechquota.Admitted); !ok {
+func (f *fleet) ask(i int, said ServerLimit) bool {
+	if _, ok := f.gates[i].Acquire(server).(beechquota.Admitted); !ok {
 		return false
 	}
-	f.gates[i].Heard(server, 0, said, f.now())
+	f.gates[i].Observe(server, 0, said, f.now())
 	return true
 }
 
@@ -99,20 +99,20 @@
 func TestGateThatWasNotToldItself(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
-	is.True(f.ask(0, Names{Rate: 2}))
+	is.True(f.ask(0, RateLimit{Rate: 2}))
 	f.speak()
 	for i, g := range f.gates {
 		is.True(g.Limited(server))
-		began, ok := f.events[i][0].(Began)
+		began, ok := f.events[i][0].(LimitStarted)
 		is.True(ok)
-		is.Equal(began.From != "", i != 0)
+		is.Equal(began.Source != "", i != 0)
 		is.Equal(began.Rate, 2.0)
 		is.Equal(began.Server, server)
 	}
 	var sent []time.Duration
 	f.live(30*time.Second, func() {
 		for i := range f.gates {
-			if f.ask(i, Names{Rate: 2}) {
+			if f.ask(i, RateLimit{Rate: 2}) {
 				sent = append(sent, f.now())
 			}
 		}
@@ -134,7 +134,7 @@
 func TestGateThatStartsIsToldOfLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
-	is.True(f.ask(0, Names{Rate: 1}))
+	is.True(f.ask(0, RateLimit{Rate: 1}))
 	f.speak()
 	f.live(2*time.Second, nil)
 	fresh := f.add(4)
@@ -147,14 +147,14 @@
 func TestNeedThatIsOver(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
-	is.True(f.ask(0, Names{Rate: 1}))
+	is.True(f.ask(0, RateLimit{Rate: 1}))
 	f.speak()
 	f.live(3*time.Second, nil)
-	is.True(f.ask(1, Silent{}))
+	is.True(f.ask(1, NoLimit{}))
 	f.speak()
 	for i, g := range f.gates {
 		is.True(!g.Limited(server))
-		_, ended := f.events[i][len(f.events[i])-1].(Ended)
+		_, ended := f.events[i][len(f.events[i])-1].(LimitEnded)
 		is.True(ended)
 	}
 }
@@ -164,12 +164,12 @@
 func TestLimitOfNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	is.True(f.ask(0, Names{Rate: 0}))
+	is.True(f.ask(0, RateLimit{Rate: 0}))
 	f.speak()
 	sent := 0
 	f.live(40*time.Second, func() {
 		for i := range f.gates {
-			if f.ask(i, Names{Rate: 0}) {
+			if f.ask(i, RateLimit{Rate: 0}) {
 				sent++
 			}
 		}
@@ -183,20 +183,20 @@
 func TestServerThatIsSeldomAsked(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	is.True(f.ask(0, Names{Rate: 0.5}))
+	is.True(f.ask(0, RateLimit{Rate: 0.5}))
 	f.live(sureFor-50*time.Millisecond, nil)
-	is.True(!f.gates[0].Due(server) && !f.gates[1].Due(server))
+	is.True(!f.gates[0].ProbeDue(server) && !f.gates[1].ProbeDue(server))
 	f.live(sureFor+50*time.Millisecond, nil)
-	is.True(f.gates[0].Due(server) && f.gates[1].Due(server))
-	is.True(f.ask(0, Names{Rate: 0.5}))
+	is.True(f.gates[0].ProbeDue(server) && f.gates[1].ProbeDue(server))
+	is.True(f.ask(0, RateLimit{Rate: 0.5}))
 	f.speak()
-	is.True(!f.gates[0].Due(server) && !f.gates[1].Due(server))
+	is.True(!f.gates[0].ProbeDue(server) && !f.gates[1].ProbeDue(server))
 	f.live(20*time.Second, nil)
 	is.True(f.gates[0].Rate(server) > 0.5)
 	is.True(f.gates[0].Rate(server) <= riseMost*0.5+askRate)
 	f.live(time.Minute, nil)
-	is.True(!f.gates[0].Any())
-	is.True(!f.gates[1].Any())
+	is.True(!f.gates[0].HasLimits())
+	is.True(!f.gates[1].HasLimits())
 }
 
 // A server begins another lifetime under its ID. It has no limit, and what others say of
@@ -204,10 +204,10 @@
 func TestServerThatStartsAnew(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	f.gates[0].Heard(server, 5, Names{Rate: 1}, f.now())
+	f.gates[0].Observe(server, 5, RateLimit{Rate: 1}, f.now())
 	f.speak()
 	f.live(time.Second, nil)
-	f.gates[0].Anew(server, 9)
+	f.gates[0].ServerRestarted(server, 9)
 	is.True(!f.gates[0].Limited(server))
 	f.speak()
 	f.live(3*time.Second, nil)
@@ -220,15 +220,15 @@
 func TestOldBeliefDoesNotLiftALimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
-	is.True(f.ask(1, Names{Rate: 1}))
+	is.True(f.ask(1, RateLimit{Rate: 1}))
 	f.speak()
 	f.live(time.Second, nil)
-	is.True(f.ask(1, Silent{}))
-	old := f.gates[1].Word()
+	is.True(f.ask(1, NoLimit{}))
+	old := f.gates[1].NextUpdate()
 	f.speak()
 	f.live(2*time.Second, nil)
-	is.True(f.ask(0, Names{Rate: 1}))
-	f.gates[0].Hear(old, "gate-1") // it comes seconds late
+	is.True(f.ask(0, RateLimit{Rate: 1}))
+	f.gates[0].ApplyUpdate(old, "gate-1") // it comes seconds late
 	is.True(f.gates[0].Limited(server))
 }
 
@@ -238,19 +238,19 @@
 	is := is.New(t)
 	f := newFleet(1)
 	g := f.gates[0]
-	g.Heard(server, 0, Faulty{Text: "-1"}, f.now())
+	g.Observe(server, 0, InvalidLimit{Text: "-1"}, f.now())
 	is.True(!g.Limited(server))
-	g.Heard(server, 0, Names{Rate: 1}, f.now())
-	g.Heard(server, 0, Faulty{Text: "many"}, f.now())
+	g.Observe(server, 0, RateLimit{Rate: 1}, f.now())
+	g.Observe(server, 0, InvalidLimit{Text: "many"}, f.now())
 	is.True(g.Limited(server))
-	is.Equal(g.State().PassedOver, 2)
-	f.live(lasts+time.Second, func() { g.Heard(server, 0, Faulty{Text: "many"}, f.now()) })
+	is.Equal(g.State().Invalid, 2)
+	f.live(lasts+time.Second, func() { g.Observe(server, 0, InvalidLimit{Text: "many"}, f.now()) })
 	is.True(!g.Limited(server))
-	for _, bad := range []Told{{Rate: -5, Sent: -1}, {Rate: 1e300, Sent: 2, Received: 1}, {Rate: 1, Sent: 1, Received: 2}, {Rate: 1, Sent: 25 * time.Hour}} {
+	for _, bad := range []LimitUpdate{{Rate: -5, SentAge: -1}, {Rate: 1e300, SentAge: 2, ReceivedAge: 1}, {Rate: 1, SentAge: 1, ReceivedAge: 2}, {Rate: 1, SentAge: 25 * time.Hour}} {
 		bad.Server = 77
-		g.Hear(Word{Limits: []Told{bad}}, "gate-1")
+		g.ApplyUpdate(Update{Limits: []LimitUpdate{bad}}, "gate-1")
 	}
-	is.True(!g.Any())
+	is.True(!g.HasLimits())
 }
 
 // A gate hears no other. It keeps to a share of the limit.
@@ -258,13 +258,13 @@
 	is := is.New(t)
 	f := newFleet(4)
 	alone := f.gates[3]
-	alone.Heard(server, 0, Names{Rate: 4}, f.now())
+	alone.Observe(server, 0, RateLimit{Rate: 4}, f.now())
 	f.gates = f.gates[3:]
 	sent := 0
 	f.live(20*time.Second, func() {
-		if _, ok := alone.Take(server).(beechquota.Admitted); ok {
+		if _, ok := alone.Acquire(server).(beechquota.Admitted); ok {
 			sent++
-			alone.Heard(server, 0, Names{Rate: 4}, f.now())
+			alone.Observe(server, 0, RateLimit{Rate: 4}, f.now())
 		}
 	})
 	t.Log(sent)
@@ -275,7 +275,7 @@
 func BenchmarkTake(b *testing.B) {
 	f := newFleet(2)
 	for n := range 1000 {
-		f.gates[0].Heard(fmt.Sprintf("i-%d", n), 0, Names{Rate: 2}, f.now())
+		f.gates[0].Observe(fmt.Sprintf("i-%d", n), 0, RateLimit{Rate: 2}, f.now())
 	}
 	f.speak()
 	names := make([]string, 4000)
@@ -284,6 +284,6 @@
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		f.gates[0].Take(names[n%len(names)])
+		f.gates[0].Acquire(names[n%len(names)])
 	}
 }
--- a/internal/decision/beechthrottle/word.go
+++ b/internal/decision/beechthrottle/word.go
@@ -8,20 +8,20 @@
 )
 
 type (
-	// Word is what a gate tells the others: which servers name limits, and what it has
+	// Update is what a gate tells the others: which servers name limits, and what it has
 	// sent them.
-	Word struct {
-		Counting beechquota.Word
-		Limits   []Told
+	Update struct {
+		Quota  beechquota.Update
+		Limits []LimitUpdate
 	}
 
-	// Told is a server's limit as a gate knows it.
-	Told struct {
-		Server   uint64 // hash of its ID
-		Born     uint64
-		Rate     float64 // below 0: it names none any more
-		Sent     time.Duration
-		Received time.Duration // both ago
+	// LimitUpdate is a server's limit as a gate knows it.
+	LimitUpdate struct {
+		Server      uint64 // hash of its ID
+		StartTime   uint64
+		Rate        float64 // below 0: it names none any more
+		SentAge     time.Duration
+		ReceivedAge time.Duration // both ago
 	}
 )
 
@@ -39,9 +39,9 @@
 	oldest = time.Hour
 )
 
-// Speaks tells whether there is something to tell the other gates, or to ask them.
-func (t *Throttle) Speaks() bool {
-	if t.Any() || t.ledger.Age() < askFor {
+// HasUpdate tells whether there is something to tell the other gates, or to ask them.
+func (t *Throttle) HasUpdate() bool {
+	if t.HasLimits() || t.ledger.Age() < askFor {
 		return true
 	}
 	t.mu.Lock()
@@ -54,9 +54,9 @@
 	return false
 }
 
-// Word gives what the other gates are to be told now.
-func (t *Throttle) Word() Word {
-	w := Word{Counting: t.ledger.Word()}
+// NextUpdate gives what the other gates are to be told now.
+func (t *Throttle) NextUpdate() Update {
+	w := Update{Quota: t.ledger.NextUpdate()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
@@ -66,11 +66,11 @@
 		t.refreshed = now
 	}
 	for key, b := range t.register.beliefs {
-		if b.repeats == 0 && !(refresh && b.firsthand) && !w.Counting.Full {
+		if b.repeats == 0 && !(refresh && b.firsthand) && !w.Quota.Full {
 			continue
 		}
 		b.repeats = max(b.repeats-1, 0)
-		told := Told{Server: key, Born: b.Born, Rate: b.Rate, Sent: now - b.Sent, Received: now - b.Received}
+		told := LimitUpdate{Server: key, StartTime: b.StartTime, Rate: b.Rate, SentAge: now - b.Sent, ReceivedAge: now - b.Received}
 		if !b.limited() {
 			told.Rate = -1
 		}
@@ -79,15 +79,15 @@
 	return w
 }
 
-// Hear takes in another gate's word.
-func (t *Throttle) Hear(w Word, from string) {
+// ApplyUpdate takes in another gate's word.
+func (t *Throttle) ApplyUpdate(w Update, from string) {
 	for _, told := range w.Limits {
-		if told.Received < 0 || told.Sent < told.Received || told.Sent > oldest || math.IsNaN(told.Rate) || told.Rate > math.MaxInt32 {
+		if told.ReceivedAge < 0 || told.SentAge < told.ReceivedAge || told.SentAge > oldest || math.IsNaN(told.Rate) || told.Rate > math.MaxInt32 {
 			continue
 		}
 		t.mu.Lock()
 		now := t.clock.Now()
-		n := Notice{Born: told.Born, Rate: told.Rate, Sent: now - told.Sent - wayMost, Received: now - told.Received}
+		n := Observation{StartTime: told.StartTime, Rate: told.Rate, Sent: now - told.SentAge - wayMost, Received: now - told.ReceivedAge}
 		if told.Rate < 0 {
 			n.Rate = unlimited
 		}
@@ -95,5 +95,5 @@
 		t.mu.Unlock()
 		t.tell(event, "")
 	}
-	t.ledger.Hear(w.Counting)
+	t.ledger.ApplyUpdate(w.Quota)
 }
--- a/internal/process/beechagent/admission.go
+++ b/internal/process/beechagent/admission.go
@@ -103,12 +103,12 @@
 // admitSuspect keeps apart requests that were running when an engine crashed.
 func (a *Agent) admitSuspect(r *beechwire.Request) beechlink.Reply {
 	if r.Crashes > 0 {
-		a.suspects.Tried(r.Fingerprint, r.Crashes)
+		a.suspects.RecordAttempt(r.Fingerprint, r.Crashes)
 	}
 	switch v := a.suspects.Check(r.Fingerprint).(type) {
 	case beechsuspect.Refuse:
 		return a.refusal(beechwire.ReasonSuspect, v.After, "the request was running each time an engine crashed")
-	case beechsuspect.Alone:
+	case beechsuspect.Isolate:
 		r.Alone = true
 	}
 	return nil
--- a/internal/process/beechagent/agent.go
+++ b/internal/process/beechagent/agent.go
@@ -53,7 +53,7 @@
 		listener   net.Listener
 		records    *beechrecord.Records
 		index      *beechindex.Index
-		suspects   *beechsuspect.Register
+		suspects   *beechsuspect.Registry
 		scheduler  *scheduler
 		library    *library
 		view       *backendView
--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -197,7 +197,7 @@
 // learn takes in what a whole answer showed.
 func (t *attempt) learn() {
 	r := &t.generation.request
-	t.agent.suspects.Finished(r.Fingerprint)
+	t.agent.suspects.RecordSuccess(r.Fingerprint)
 	if !t.usageKnown {
 		return
 	}
--- a/internal/process/beechagent/fleet.go
+++ b/internal/process/beechagent/fleet.go
@@ -112,7 +112,7 @@
 		Entries:     a.entryCount(),
 		Load:        a.wireLoad(),
 		Models:      a.offered(),
-		Suspects:    beechshare.WireSuspects(a.suspects.News()),
+		Suspects:    beechshare.WireSuspects(a.suspects.RecentChanges()),
 	}
 }
 
--- a/internal/process/beechagent/view.go
+++ b/internal/process/beechagent/view.go
@@ -239,7 +239,7 @@
 		return
 	}
 	a.numbers.Crashes.Add(1)
-	a.suspects.Crashed(fingerprints)
+	a.suspects.RecordCrash(fingerprints)
 	a.scheduler.queue.CacheLost()
 	a.server.Push()
 	a.log.Warn("engine crashed", beechlog.Step("report"), beechlog.Peer(a.settings.Backend), zap.Int("running", len(fingerprints)))
--- a/internal/process/beechentry/dispatch.go
+++ b/internal/process/beechentry/dispatch.go
@@ -150,7 +150,7 @@
 	switch v := e.suspects.Check(j.request.Fingerprint).(type) {
 	case beechsuspect.Refuse:
 		return refused{beechwire.Refused{Reason: beechwire.ReasonSuspect, AfterMillis: v.After.Milliseconds()}}
-	case beechsuspect.Alone:
+	case beechsuspect.Isolate:
 		j.request.Alone = true
 		j.request.Crashes = e.knownCrashes(j.request.Fingerprint)
 	}
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -56,7 +56,7 @@
 		limiter   *beechlimit.Limiter
 		budget    *beechretry.Budget
 		health    *beechhealth.Tracker
-		suspects  *beechsuspect.Register
+		suspects  *beechsuspect.Registry
 		burn      *beechburn.Burn
 		signer    *streamSigner
 		estimator beechprefix.Estimator
--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -206,7 +206,7 @@
 		Generation:  f.entry.holder.Generation(),
 		Leaving:     f.entry.leaving.Load(),
 		Ready:       f.entry.ready(),
-		Suspects:    beechshare.WireSuspects(f.entry.suspects.News()),
+		Suspects:    beechshare.WireSuspects(f.entry.suspects.RecentChanges()),
 	}
 }
 
--- a/internal/process/beechentry/learn.go
+++ b/internal/process/beechentry/learn.go
@@ -25,7 +25,7 @@
 }
 
 func (e *Entry) learn(j *job, server netip.AddrPort, end beechwire.End) {
-	e.suspects.Finished(j.request.Fingerprint)
+	e.suspects.RecordSuccess(j.request.Fingerprint)
 	firstToken := time.Duration(end.FirstTokenMicros) * time.Microsecond
 	queued := time.Duration(end.QueueMicros) * time.Microsecond
 	e.health.Observe(beechhealth.Sample{
--- a/internal/process/beechgate/full.go
+++ b/internal/process/beechgate/full.go
@@ -28,8 +28,8 @@
 			return ctx.Err()
 		}
 		var list []beechwire.FullServer
-		for _, told := range g.full.Word() {
-			list = append(list, beechwire.FullServer{Server: told.Server, Left: told.Left.Milliseconds()})
+		for _, told := range g.full.NextUpdate() {
+			list = append(list, beechwire.FullServer{Server: told.Server, Left: told.Remaining.Milliseconds()})
 		}
 		list = list[:min(len(list), fullListMost)]
 		if len(list) > 0 {
@@ -38,7 +38,7 @@
 			})
 		}
 		select {
-		case <-g.clock.After(beechroom.Interval(g.manyGates())):
+		case <-g.clock.After(beechroom.UpdateInterval(g.manyGates())):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -53,9 +53,9 @@
 	if f.Pass {
 		g.toZone(beechbeat.Full{Full: &beechwire.Full{List: f.List}})
 	}
-	word := make([]beechroom.Told, 0, len(f.List))
+	word := make([]beechroom.FullServer, 0, len(f.List))
 	for _, s := range f.List {
-		word = append(word, beechroom.Told{Server: s.Server, Left: time.Duration(s.Left) * time.Millisecond})
+		word = append(word, beechroom.FullServer{Server: s.Server, Remaining: time.Duration(s.Left) * time.Millisecond})
 	}
-	g.full.Hear(word)
+	g.full.ApplyUpdate(word)
 }
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -68,11 +68,11 @@
 		belief        *beechfresh.Belief // in what operators wrote
 		placer        *beechplace.Placer
 		health        *beechhealth.Tracker
-		suspects      *beechsuspect.Register
+		suspects      *beechsuspect.Registry
 		budgets       *Budgets
-		quotas        *beechquota.Ledger
+		quotas        *beechquota.Limiter
 		limits        *beechthrottle.Throttle // of servers
-		full          *beechroom.Register     // servers
+		full          *beechroom.Tracker      // servers
 		others        *roster                 // gates of the other zones
 		core          *beechattempt.Core
 		socket        *beechbeat.Socket
--- a/internal/process/beechgate/keepers.go
+++ b/internal/process/beechgate/keepers.go
@@ -46,7 +46,7 @@
 // followOnce has a word with the keepers of this zone, or of all zones.
 func (g *Gate) followOnce(farthest beechbeat.Way) {
 	targets := g.targets()
-	suspects := beechshare.WireSuspects(beechshare.Worst(g.suspects.News()))
+	suspects := beechshare.WireSuspects(beechshare.Worst(g.suspects.RecentChanges()))
 	for _, s := range g.keptServers() {
 		if farthest == beechbeat.Far || g.way(s) == beechbeat.Near || g.placer.Unheard(s.ID) {
 			g.follow(s, targets[s.ID], suspects)
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -39,20 +39,20 @@
 // noteLimit logs what has changed in a server's limit, or in what is known of it.
 func (g *Gate) noteLimit(e beechthrottle.Event) {
 	switch v := e.(type) {
-	case beechthrottle.Began:
-		g.logLimit("server's limit known", v.Standing, zap.Float64("rate", v.Rate))
-	case beechthrottle.Changed:
-		g.logLimit("server's limit changed", v.Standing, zap.Float64("rate", v.Rate), zap.Float64("was", v.Was))
-	case beechthrottle.Ended:
-		g.logLimit("server's limit ended", v.Standing, zap.Float64("was", v.Rate))
-	case beechthrottle.PassedOver:
+	case beechthrottle.LimitStarted:
+		g.logLimit("server's limit known", v.LimitStatus, zap.Float64("rate", v.Rate))
+	case beechthrottle.LimitChanged:
+		g.logLimit("server's limit changed", v.LimitStatus, zap.Float64("rate", v.Rate), zap.Float64("was", v.Previous))
+	case beechthrottle.LimitEnded:
+		g.logLimit("server's limit ended", v.LimitStatus, zap.Float64("was", v.Rate))
+	case beechthrottle.LimitIgnored:
 		g.limitLog.Warn("server's limit passed over", zap.String("server", v.Server), zap.String("text", v.Text))
 	}
 }
 
-func (g *Gate) logLimit(what string, s beechthrottle.Standing, fields ...zap.Field) {
-	g.limitLog.Info(what, append(fields, zap.String("server", s.Server), zap.String("from", s.From), zap.String("field", s.Field),
-		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Given))...)
+func (g *Gate) logLimit(what string, s beechthrottle.LimitStatus, fields ...zap.Field) {
+	g.limitLog.Info(what, append(fields, zap.String("server", s.Server), zap.String("from", s.Source), zap.String("field", s.Header),
+		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Sent))...)
 }
 
 // tellLimits tells the other gates which servers name limits, and what this one has sent
@@ -61,16 +61,16 @@
 	for number := uint32(0); ; number++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.Interval(g.manyGates())):
+		case <-g.clock.After(beechquota.UpdateInterval(g.manyGates())):
 		case <-g.limitNews:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !g.limits.Speaks() {
+		if !g.limits.HasUpdate() {
 			continue
 		}
-		for _, limits := range wireLimits(g.limits.Word()) {
+		for _, limits := range wireLimits(g.limits.NextUpdate()) {
 			g.toGates(number, urgent, func(pass bool) beechbeat.Message {
 				word := *limits
 				word.Sent.Pass = pass
@@ -96,20 +96,20 @@
 		passed.Sent.Pass = false
 		g.toZone(beechbeat.Limits{Limits: &passed})
 	}
-	word := beechthrottle.Word{Counting: spentWord(&l.Sent, thousand)}
+	word := beechthrottle.Update{Quota: spentWord(&l.Sent, thousand)}
 	for _, told := range l.List {
-		word.Limits = append(word.Limits, beechthrottle.Told{
-			Server: told.Server, Born: told.Born, Rate: float64(told.Rate) / thousand,
-			Sent: time.Duration(told.Sent) * time.Millisecond, Received: time.Duration(told.Received) * time.Millisecond,
+		word.Limits = append(word.Limits, beechthrottle.LimitUpdate{
+			Server: told.Server, StartTime: told.Born, Rate: float64(told.Rate) / thousand,
+			SentAge: time.Duration(told.Sent) * time.Millisecond, ReceivedAge: time.Duration(told.Received) * time.Millisecond,
 		})
 	}
-	g.limits.Hear(word, from.String())
+	g.limits.ApplyUpdate(word, from.String())
 }
 
 // wireLimits packs a word into messages that go into a datagram each.
-func wireLimits(w beechthrottle.Word) []*beechwire.Limits {
+func wireLimits(w beechthrottle.Update) []*beechwire.Limits {
 	var all []*beechwire.Limits
-	for _, spent := range wireSpent(w.Counting, thousand) {
+	for _, spent := range wireSpent(w.Quota, thousand) {
 		all = append(all, &beechwire.Limits{Sent: *spent})
 	}
 	for n, list := range slices.Collect(slices.Chunk(w.Limits, limitsMost)) {
@@ -120,7 +120,7 @@
 		}
 		for _, told := range list {
 			all[n].List = append(all[n].List, beechwire.Limit{
-				Server: told.Server, Born: told.Born, Rate: int64(told.Rate * thousand), Sent: told.Sent.Milliseconds(), Received: told.Received.Milliseconds(),
+				Server: told.Server, Born: told.StartTime, Rate: int64(told.Rate * thousand), Sent: told.SentAge.Milliseconds(), Received: told.ReceivedAge.Milliseconds(),
 			})
 		}
 	}
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -56,7 +56,7 @@
 	for {
 		d := g.quotas.Admit(call.Workspace.Name, call.Size())
 		refused, ok := d.(beechquota.Refused)
-		if !ok || !refused.Starts || !g.clock.Now().Before(until) {
+		if !ok || !refused.Starting || !g.clock.Now().Before(until) {
 			return d
 		}
 		select {
@@ -74,12 +74,12 @@
 		g.metrics.denied.Add("over quota", 1)
 		g.log.Warn("request refused", zap.String("request", call.ID), zap.String("route", call.Route.Name), zap.String("reason", "over quota"),
 			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", d.After),
-			zap.Float64("left", d.Level), zap.Float64("unread", d.Unread), zap.Float64("rate", d.Limit.Rate), zap.Float64("burst", d.Limit.Burst),
-			zap.Bool("alone", d.Alone), zap.Duration("age", d.Age))
+			zap.Float64("left", d.Level), zap.Float64("unread", d.Unreported), zap.Float64("rate", d.Limit.Rate), zap.Float64("burst", d.Limit.Burst),
+			zap.Bool("alone", d.Isolated), zap.Duration("age", d.UpdateAge))
 		out.Refuse(beechattempt.OverQuota{After: d.After})
 		return false
 	case beechquota.Admitted:
-		if d.Tell {
+		if d.Urgent {
 			beechtask.Wake(g.spentNews)
 		}
 	}
@@ -90,7 +90,7 @@
 func (g *Gate) spent(call *beechcall.Call, runs int) {
 	switch {
 	case runs == 0:
-		g.quotas.GiveBack(call.Workspace.Name, call.Size())
+		g.quotas.Refund(call.Workspace.Name, call.Size())
 	case runs > 1:
 		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(runs-1))
 	}
@@ -108,16 +108,16 @@
 	for number := uint32(0); ; number++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.Interval(g.manyGates())):
+		case <-g.clock.After(beechquota.UpdateInterval(g.manyGates())):
 		case <-g.spentNews:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !g.quotas.Limited() {
+		if !g.quotas.HasLimits() {
 			continue // there is nothing to agree on
 		}
-		for _, spent := range wireSpent(g.quotas.Word(), 1) {
+		for _, spent := range wireSpent(g.quotas.NextUpdate(), 1) {
 			g.toGates(number, urgent, func(pass bool) beechbeat.Message {
 				word := *spent
 				word.Pass = pass
@@ -138,30 +138,30 @@
 		passed.Pass = false
 		g.toZone(beechbeat.Spent{Spent: &passed})
 	}
-	g.quotas.Hear(spentWord(s.Spent, 1))
+	g.quotas.ApplyUpdate(spentWord(s.Spent, 1))
 }
 
 // spentWord unpacks a word whose amounts are told as so many parts of one.
-func spentWord(s *beechwire.Spent, parts float64) beechquota.Word {
-	word := beechquota.Word{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
+func spentWord(s *beechwire.Spent, parts float64) beechquota.Update {
+	word := beechquota.Update{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
 	for _, u := range s.Uses {
-		word.Uses = append(word.Uses, beechquota.Use{Workspace: u.Workspace, Total: float64(u.Total) / parts, Level: float64(u.Level) / parts})
+		word.Usages = append(word.Usages, beechquota.Usage{Workspace: u.Workspace, Total: float64(u.Total) / parts, Level: float64(u.Level) / parts})
 	}
 	return word
 }
 
 // wireSpent packs a word into messages that go into a datagram each, amounts as so many
 // parts of one. Only one that holds all buckets may say so.
-func wireSpent(w beechquota.Word, parts float64) []*beechwire.Spent {
+func wireSpent(w beechquota.Update, parts float64) []*beechwire.Spent {
 	var all []*beechwire.Spent
 	for {
-		n := min(len(w.Uses), usesMost)
-		spent := &beechwire.Spent{Host: w.Host, Lifetime: w.Lifetime, Age: w.Age.Milliseconds(), Settled: w.Settled, Full: w.Full && n == len(w.Uses) && all == nil}
-		for _, u := range w.Uses[:n] {
+		n := min(len(w.Usages), usesMost)
+		spent := &beechwire.Spent{Host: w.Host, Lifetime: w.Lifetime, Age: w.Age.Milliseconds(), Settled: w.Settled, Full: w.Full && n == len(w.Usages) && all == nil}
+		for _, u := range w.Usages[:n] {
 			spent.Uses = append(spent.Uses, beechwire.Use{Workspace: u.Workspace, Total: uint64(u.Total * parts), Level: int64(u.Level * parts)})
 		}
 		all = append(all, spent)
-		if w.Uses = w.Uses[n:]; len(w.Uses) == 0 {
+		if w.Usages = w.Usages[n:]; len(w.Usages) == 0 {
 			return all
 		}
 	}
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -60,7 +60,7 @@
 		beechrollout.Report
 		CacheUsed  int
 		CacheTotal int
-		Limit      beechthrottle.Said // nil is not known
+		Limit      beechthrottle.ServerLimit // nil is not known
 	}
 
 	// Dependencies of a keeper.
@@ -76,7 +76,7 @@
 		needs      Dependencies
 		socket     *beechbeat.Socket
 		supervisor *suture.Supervisor
-		suspects   *beechsuspect.Register
+		suspects   *beechsuspect.Registry
 		metrics    *metrics
 		wake       chan struct{}
 
@@ -272,9 +272,9 @@
 }
 
 // names tells whether an answer named a limit, be it one that cannot be used.
-func names(said beechthrottle.Said) bool {
+func names(said beechthrottle.ServerLimit) bool {
 	switch said.(type) {
-	case beechthrottle.Names, beechthrottle.Faulty:
+	case beechthrottle.RateLimit, beechthrottle.InvalidLimit:
 		return true
 	}
 	return false
--- a/internal/process/beechkeeper/tell.go
+++ b/internal/process/beechkeeper/tell.go
@@ -183,7 +183,7 @@
 		Number: k.number, Port: k.settings.Engine.Port(), Phase: int(k.phase), Run: k.last.Running, Wait: k.last.Waiting,
 		Used: k.last.CacheUsed, Room: k.last.CacheTotal, Read: k.reading.Left(at), Gates: len(k.followers),
 		Born: k.last.Born, Tries: k.turn.Tries(), Old: k.turn.Old(at).Milliseconds(), Took: k.turn.Took().Milliseconds(),
-		Parts: a.parts.take(), Gone: a.gone.take(), Kept: a.kept.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.News())),
+		Parts: a.parts.take(), Gone: a.gone.take(), Kept: a.kept.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.RecentChanges())),
 	}
 	for _, model := range slices.Sorted(maps.Keys(k.last.Versions)) {
 		word.Have = append(word.Have, beechwire.Weights{Model: model, Version: k.last.Versions[model]})
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -115,7 +115,7 @@
 	clock    *clockwork.FakeClock
 	backend  *backend
 	budget   *budget
-	suspects *beechsuspect.Register
+	suspects *beechsuspect.Registry
 	standing standing
 }
 
@@ -466,7 +466,7 @@
 	w.clock.Advance(time.Millisecond)
 	is.Equal(<-ended, again)
 	is.Equal(w.clock.Since(r.started), choice.Begin)
-	_, suspect := w.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
+	_, suspect := w.suspects.Check(r.call.Fingerprint()).(beechsuspect.Allow)
 	is.True(suspect)
 	choice, _ = w.core.placer.Choose(r.call, r.tried)
 	is.Equal(r.attempt(t.Context(), choice), over)
--- a/internal/request/beechattempt/blame.go
+++ b/internal/request/beechattempt/blame.go
@@ -25,7 +25,7 @@
 	// many callers refused everywhere, for minutes. It is safe for concurrent use.
 	blamer struct {
 		prober   Prober
-		suspects *beechsuspect.Register
+		suspects *beechsuspect.Registry
 		clock    clockwork.Clock
 		log      *zap.Logger
 
@@ -40,7 +40,7 @@
 // which a crashed server is back.
 const lookPatience = 400 * time.Millisecond
 
-func newBlamer(prober Prober, suspects *beechsuspect.Register, clock clockwork.Clock, log *zap.Logger) *blamer {
+func newBlamer(prober Prober, suspects *beechsuspect.Registry, clock clockwork.Clock, log *zap.Logger) *blamer {
 	return &blamer{prober: prober, suspects: suspects, clock: clock, log: log, waiting: make(map[netip.AddrPort][]uint64)}
 }
 
@@ -69,5 +69,5 @@
 		return
 	}
 	b.log.Info("server gone with requests under way", zap.Stringer("peer", server), zap.Int("requests", len(running)), zap.Error(err))
-	b.suspects.Crashed(running)
+	b.suspects.RecordCrash(running)
 }
--- a/internal/request/beechattempt/core.go
+++ b/internal/request/beechattempt/core.go
@@ -21,7 +21,7 @@
 		placer   *beechplace.Placer
 		backend  beechcall.Backend
 		budget   Budget
-		suspects *beechsuspect.Register
+		suspects *beechsuspect.Registry
 		blamer   *blamer
 		observer Observer
 		clock    clockwork.Clock
@@ -93,7 +93,7 @@
 func (Overdue) refusal()   {}
 
 // New returns a core. The dependencies are used until the last call ends.
-func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget Budget, suspects *beechsuspect.Register,
+func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget Budget, suspects *beechsuspect.Registry,
 	observer Observer, clock clockwork.Clock, log *zap.Logger,
 ) *Core {
 	return &Core{
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -233,7 +233,7 @@
 		r.note("answered otherwise", choice, zap.Int("status", answer.Status))
 		return stop // it is not the rest of what the caller has
 	}
-	r.core.suspects.Finished(r.call.Fingerprint())
+	r.core.suspects.RecordSuccess(r.call.Fingerprint())
 	r.out.Plain(answer.Status, answer.Header, body)
 	return over
 }
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -154,7 +154,7 @@
 			watch.stop()
 			ticket.Done(beechplace.Answered)
 			r.begin(answer)
-			r.core.suspects.Finished(r.call.Fingerprint())
+			r.core.suspects.RecordSuccess(r.call.Fingerprint())
 			r.out.End()
 			return over
 		case err == io.EOF:
--- a/internal/request/beechcall/call.go
+++ b/internal/request/beechcall/call.go
@@ -64,7 +64,7 @@
 		Body    io.ReadCloser
 		Weights uint64 // version that made it; 0 where not told
 		Load    Load
-		Limit   beechthrottle.Said // nil is not known
+		Limit   beechthrottle.ServerLimit // nil is not known
 	}
 
 	// Load is what a server said of itself with an answer.
@@ -104,8 +104,8 @@
 		Other    bool
 		Weights  uint64 // that it has, where told
 		Load     Load
-		Limit    beechthrottle.Said // nil is not known
-		After    time.Duration      // when it asks to be tried again; 0 is not told
+		Limit    beechthrottle.ServerLimit // nil is not known
+		After    time.Duration             // when it asks to be tried again; 0 is not told
 	}
 
 	// Unknown says that the request was sent and may have run.
--- a/internal/request/beechplace/choose.go
+++ b/internal/request/beechplace/choose.go
@@ -63,7 +63,7 @@
 // with one that are cheaper and have room.
 func (p *Placer) amongLimited(best Choice, found bool, limited []Choice) (Choice, bool) {
 	for i := range limited {
-		if p.limits.Due(limited[i].Server.ID) {
+		if p.limits.ProbeDue(limited[i].Server.ID) {
 			limited[i].Cost -= askAgain
 		}
 	}
@@ -73,12 +73,12 @@
 		if found && best.Cost < c.Cost {
 			break
 		}
-		switch d := p.limits.Room(c.Server.ID).(type) {
+		switch d := p.limits.Check(c.Server.ID).(type) {
 		case beechquota.Admitted:
 			c.Passed = passed
 			return c, true
 		case beechquota.Refused:
-			p.limits.Held(c.Server.ID)
+			p.limits.CountWithheld(c.Server.ID)
 			passed, back = cmp.Or(passed, c.Server.ID), min(back, d.After)
 		}
 	}
@@ -161,7 +161,7 @@
 		c.Cost += p.settings.Crossing + p.settings.CrossingByte*float64(len(call.Body))
 	}
 	c.Cost += doubtCost * (1 - p.health.Weight(s.Address))
-	if !s.fresh(now) && p.full.Knows(s.ID) {
+	if !s.fresh(now) && p.full.IsFull(s.ID) {
 		c.Cost += fullCost
 	}
 	return c, true
--- a/internal/request/beechplace/full_test.go
+++ b/internal/request/beechplace/full_test.go
@@ -20,15 +20,15 @@
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 	for _, s := range f.servers {
 		if s.Service == "app" && s.Zone == "a" {
-			other.TurnedAway(s.ID, 0)
+			other.Rejected(s.ID, 0)
 		}
 	}
-	f.Placer.full.Hear(other.Word())
+	f.Placer.full.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "b")
 	for _, s := range f.servers {
-		other.TurnedAway(s.ID, 0)
+		other.Rejected(s.ID, 0)
 	}
-	f.Placer.full.Hear(other.Word())
+	f.Placer.full.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 }
 
@@ -61,7 +61,7 @@
 	ticket := f.Sent(call, c)
 	ticket.Done(TurnedAway)
 	f.Refused(c.Server.ID, beechcall.NotRun{Status: 503}, "m")
-	is.Equal(len(f.Placer.full.Word()), 0)
+	is.Equal(len(f.Placer.full.NextUpdate()), 0)
 }
 
 // A server says with its answers that it is busy with others' requests. The next request
--- a/internal/request/beechplace/limit_test.go
+++ b/internal/request/beechplace/limit_test.go
@@ -11,9 +11,9 @@
 
 // full has a server name a limit and be sent what it takes.
 func (f *fleet) full(id string, rate float64) {
-	f.limits.Heard(id, 0, beechthrottle.Names{Rate: rate}, f.limits.Now())
+	f.limits.Observe(id, 0, beechthrottle.RateLimit{Rate: rate}, f.limits.Now())
 	for range 8 {
-		f.limits.Take(id)
+		f.limits.Acquire(id)
 	}
 }
 
@@ -77,7 +77,7 @@
 
 	f = newFleet(1)
 	f.tellAll(nil)
-	f.limits.Heard(choice.Server.ID, 0, beechthrottle.Names{Rate: 0.1}, f.limits.Now())
+	f.limits.Observe(choice.Server.ID, 0, beechthrottle.RateLimit{Rate: 0.1}, f.limits.Now())
 	for range 20 { // a connection is never made
 		attempt := f.Sent(call, choice)
 		is.True(attempt.Send())
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -24,7 +24,7 @@
 		clock    clockwork.Clock
 		health   Health
 		limits   *beechthrottle.Throttle
-		full     *beechroom.Register
+		full     *beechroom.Tracker
 		announce Announce
 
 		mu       sync.Mutex
@@ -104,7 +104,7 @@
 )
 
 // New returns a placer that knows no server.
-func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, full *beechroom.Register, announce Announce) *Placer {
+func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, full *beechroom.Tracker, announce Announce) *Placer {
 	holders, err := lru.New[uint64, *holding](holdersKept)
 	if err != nil {
 		panic(err) // the size is a constant above zero
@@ -149,7 +149,7 @@
 	}
 	for id := range old {
 		if _, listed := p.byID[id]; !listed {
-			p.limits.Anew(id, 0)
+			p.limits.ServerRestarted(id, 0)
 		}
 	}
 	for _, servers := range p.services {
@@ -231,7 +231,7 @@
 		return // not told, known, or late word of a lifetime before
 	}
 	if s.Born != 0 {
-		p.limits.Anew(s.ID, at)
+		p.limits.ServerRestarted(s.ID, at)
 		s.empty = p.clock.Now()
 		s.weights = make(map[string]uint64)
 		s.unread, s.fails = 0, 0
--- a/internal/request/beechplace/ticket.go
+++ b/internal/request/beechplace/ticket.go
@@ -64,19 +64,19 @@
 		return true
 	}
 	t.asked = t.placer.limits.Now()
-	_, ok := t.placer.limits.Take(t.server.ID).(beechquota.Admitted)
+	_, ok := t.placer.limits.Acquire(t.server.ID).(beechquota.Admitted)
 	return ok
 }
 
 // Said takes in what the server's answer says of its limit.
-func (t *Ticket) Said(limit beechthrottle.Said) {
+func (t *Ticket) Said(limit beechthrottle.ServerLimit) {
 	if t.server == nil {
 		return
 	}
 	t.placer.mu.Lock()
 	born := t.server.Born
 	t.placer.mu.Unlock()
-	t.placer.limits.Heard(t.server.ID, born, limit, t.asked)
+	t.placer.limits.Observe(t.server.ID, born, limit, t.asked)
 }
 
 // Load takes in what the server's answer says of its load.
@@ -137,7 +137,7 @@
 		}
 		t.placer.judge(t.server, o, t.sent)
 		if o == Unreached {
-			t.placer.limits.GiveBack(t.server.ID)
+			t.placer.limits.Refund(t.server.ID)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 	now := p.clock.Now()
 	switch o {
 	case Answered:
-		p.full.Took(s.ID, sent)
+		p.full.Answered(s.ID, sent)
 		s.fails = 0
 		s.downTil = time.Time{}
 	case TurnedAway:
@@ -201,6 +201,6 @@
 	case f.Other && f.Weights == 0:
 		s.darkTil = p.clock.Now().Add(refusalDark)
 	case !f.Other && !s.fresh(p.clock.Now()):
-		p.full.TurnedAway(id, f.After)
+		p.full.Rejected(id, f.After)
 	}
 }
