--- a/internal/decision/beechroom/doc.go
+++ b/internal/decision/beechsaturation/doc.go
@@ -1,4 +1,4 @@
-// Package beechroom has gates tell one another which servers are full.
+// Package beechsaturation has gates tell one another which servers are full.
 //
 // # Load it answers
 //
@@ -29,10 +29,10 @@
 //
 // # Usage
 //
-//	r := beechroom.New(clock, news)
+//	r := beechsaturation.New(clock, news)
 //	r.TurnedAway(server, retryAfter) // by its answer
 //	r.Took(server, sent)             // an answer to a request that was sent then
 //	if r.Knows(server) { ... }        // while choosing
 //	word := r.Word()                 // when news is called: tell the other gates
 //	r.Hear(word)                     // another gate's
-package beechroom
+package beechsaturation
--- a/internal/decision/beechroom/register_test.go
+++ b/internal/decision/beechsaturation/tracker_test.go
@@ -1,4 +1,4 @@
-package beechroom
+package beechsaturation
 
 import (
 	"fmt"
--- a/internal/process/beechgate/full.go
+++ b/internal/process/beechgate/full.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/link/beechbeat"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
@@ -38,7 +38,7 @@
 			})
 		}
 		select {
-		case <-g.clock.After(beechroom.UpdateInterval(g.manyGates())):
+		case <-g.clock.After(beechsaturation.UpdateInterval(g.manyGates())):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -53,9 +53,9 @@
 	if f.Pass {
 		g.toZone(beechbeat.Full{Full: &beechwire.Full{List: f.List}})
 	}
-	word := make([]beechroom.FullServer, 0, len(f.List))
+	word := make([]beechsaturation.FullServer, 0, len(f.List))
 	for _, s := range f.List {
-		word = append(word, beechroom.FullServer{Server: s.Server, Remaining: time.Duration(s.Left) * time.Millisecond})
+		word = append(word, beechsaturation.FullServer{Server: s.Server, Remaining: time.Duration(s.Left) * time.Millisecond})
 	}
 	g.full.ApplyUpdate(word)
 }
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -19,7 +19,7 @@
 
 	"github.com/beechring/beechring/internal/decision/beechhealth"
 	"github.com/beechring/beechring/internal/decision/beechquota"
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/link/beechbeat"
@@ -71,9 +71,9 @@
 		suspects      *beechsuspect.Registry
 		budgets       *Budgets
 		quotas        *beechquota.Limiter
-		limits        *beechthrottle.Throttle // of servers
-		full          *beechroom.Tracker      // servers
-		others        *roster                 // gates of the other zones
+		limits        *beechthrottle.Throttle  // of servers
+		full          *beechsaturation.Tracker // servers
+		others        *roster                  // gates of the other zones
 		core          *beechattempt.Core
 		socket        *beechbeat.Socket
 		circle        *beechvouch.Circle // of gates that share their reads of the store
@@ -162,7 +162,7 @@
 	g.metrics = newMetrics(g)
 	g.limitLog = sampled(needs.Log, g.metrics.linesDropped)
 	weights := time.Duration(s.Bounds.Weights)
-	g.full = beechroom.New(needs.Clock, g.foundFull)
+	g.full = beechsaturation.New(needs.Clock, g.foundFull)
 	g.placer = beechplace.New(beechplace.Settings{
 		Zone: s.Zone, OldMost: max(weights-oldMargin, weights/2), OldBegin: max(weights-beginMargin, weights/2),
 	}, needs.Clock, g.health, g.limits, g.full, g.announce)
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/decision/beechretry"
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/request/beechcall"
@@ -124,7 +124,7 @@
 func newWorld(servers, retries int, script ...step) *world {
 	w := &world{clock: clockwork.NewFakeClock(), backend: &backend{script: script}, budget: &budget{left: retries}, standing: standing{}}
 	w.suspects = beechsuspect.New(beechsuspect.Settings{}, w.clock)
-	placer := beechplace.New(beechplace.Settings{Zone: "a"}, w.clock, trusting{}, beechthrottle.New("gate", 1, beechfresh.Boot{}, w.clock, func(beechthrottle.Event) {}, func() {}), beechroom.New(w.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
+	placer := beechplace.New(beechplace.Settings{Zone: "a"}, w.clock, trusting{}, beechthrottle.New("gate", 1, beechfresh.Boot{}, w.clock, func(beechthrottle.Event) {}, func() {}), beechsaturation.New(w.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
 	var list []beechcall.Server
 	for i := range servers {
 		list = append(list, beechcall.Server{
--- a/internal/request/beechplace/full_test.go
+++ b/internal/request/beechplace/full_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
-	other := beechroom.New(f.clock, func() {})
+	other := beechsaturation.New(f.clock, func() {})
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 	for _, s := range f.servers {
 		if s.Service == "app" && s.Zone == "a" {
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -11,7 +11,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 	"github.com/jonboulle/clockwork"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/request/beechcall"
 	"github.com/beechring/beechring/internal/request/beechrollout"
@@ -24,7 +24,7 @@
 		clock    clockwork.Clock
 		health   Health
 		limits   *beechthrottle.Throttle
-		full     *beechroom.Tracker
+		full     *beechsaturation.Tracker
 		announce Announce
 
 		mu       sync.Mutex
@@ -104,7 +104,7 @@
 )
 
 // New returns a placer that knows no server.
-func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, full *beechroom.Tracker, announce Announce) *Placer {
+func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, full *beechsaturation.Tracker, announce Announce) *Placer {
 	holders, err := lru.New[uint64, *holding](holdersKept)
 	if err != nil {
 		panic(err) // the size is a constant above zero
