--- a/internal/decision/beechsaturation/tracker.go
+++ b/internal/decision/beechsaturation/tracker.go
@@ -15,12 +15,12 @@
 type (
 	// Tracker is what a gate knows of full servers. It is safe for concurrent use.
 	Tracker struct {
-		clock clockwork.Clock
-		news  func()
+		clock    clockwork.Clock
+		onUpdate func()
 
-		mu    sync.Mutex
-		full  map[uint64]belief // by the hash of a server's ID
-		state State
+		mu      sync.Mutex
+		entries map[uint64]fullEntry // by the hash of a server's ID
+		state   State
 	}
 
 	// FullServer says that a server is full, and for how long.
@@ -37,39 +37,39 @@
 		Reports         int `json:"Heard"`      // words on servers
 	}
 
-	belief struct {
-		since time.Time
-		until time.Time
-		told  time.Time // until when others are to believe it; zero: they need not be told
-		again int       // times that it was full once more, one after the other
+	fullEntry struct {
+		since         time.Time
+		until         time.Time
+		announceUntil time.Time // until when others are to believe it; zero: they need not be told
+		repeats       int       // times that it was full once more, one after the other
 	}
 )
 
 const (
 	// fullFor is how long a server that names no time is taken to be full.
-	fullFor = 150 * time.Millisecond
+	defaultFullTime = 150 * time.Millisecond
 	// fullShift doublings of it at most are for one that stays full.
-	fullShift = 2
+	maxDoublings = 2
 	// staysWithin is the time after a belief in which a server that is full again has
 	// stayed so.
-	staysWithin = time.Second
+	repeatWindow = time.Second
 	// fullMost bounds the time that a server asks for.
-	fullMost = 2 * time.Second
+	maxFullTime = 2 * time.Second
 	// serversMost bounds memory.
-	serversMost = 4096
+	maxServers = 4096
 	// wordSpace between words of a gate, times the number of gates: all of them together
 	// send 50 a second.
-	wordSpace = 20 * time.Millisecond
+	updateSpacing = 20 * time.Millisecond
 )
 
 // New returns a register. news is called when the other gates are to be told; it must not
 // block.
 func New(clock clockwork.Clock, news func()) *Tracker {
-	return &Tracker{clock: clock, news: news, full: make(map[uint64]belief)}
+	return &Tracker{clock: clock, onUpdate: news, entries: make(map[uint64]fullEntry)}
 }
 
 // UpdateInterval is the least time between words of one of so many gates.
-func UpdateInterval(gates int) time.Duration { return wordSpace * time.Duration(max(gates, 1)) }
+func UpdateInterval(gates int) time.Duration { return updateSpacing * time.Duration(max(gates, 1)) }
 
 // Rejected takes in that a server turned a request away as it is full, and after which
 // time it asks to be tried again; 0 is not told.
@@ -77,18 +77,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key, now := xxhash.Sum64String(server), r.clock.Now()
-	if now.Before(r.full[key].until) {
+	if now.Before(r.entries[key].until) {
 		r.state.KnownRejections++
 		return
 	}
 	r.state.Rejections++
 	if after > 0 {
-		after = min(max(after, fullFor), fullMost)
+		after = min(max(after, defaultFullTime), maxFullTime)
 	} else {
-		after = fullFor << min(r.again(key), fullShift)
+		after = defaultFullTime << min(r.repeatCount(key), maxDoublings)
 	}
-	if r.believe(key, after, now.Add(after)) {
-		r.news()
+	if r.markFull(key, after, now.Add(after)) {
+		r.onUpdate()
 	}
 }
 
@@ -97,8 +97,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := xxhash.Sum64String(server)
-	if b, ok := r.full[key]; ok && sent.After(b.since) {
-		delete(r.full, key)
+	if b, ok := r.entries[key]; ok && sent.After(b.since) {
+		delete(r.entries, key)
 	}
 }
 
@@ -106,10 +106,10 @@
 func (r *Tracker) IsFull(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.full) == 0 { // as it mostly is, and every choice asks for each server
+	if len(r.entries) == 0 { // as it mostly is, and every choice asks for each server
 		return false
 	}
-	b, ok := r.full[xxhash.Sum64String(server)]
+	b, ok := r.entries[xxhash.Sum64String(server)]
 	return ok && r.clock.Now().Before(b.until)
 }
 
@@ -120,12 +120,12 @@
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	var word []FullServer
-	for key, b := range r.full {
-		if left := b.told.Sub(now); !b.told.IsZero() && left > 0 {
+	for key, b := range r.entries {
+		if left := b.announceUntil.Sub(now); !b.announceUntil.IsZero() && left > 0 {
 			word = append(word, FullServer{Server: key, Remaining: left})
 		}
-		b.told = time.Time{}
-		r.full[key] = b
+		b.announceUntil = time.Time{}
+		r.entries[key] = b
 	}
 	slices.SortFunc(word, func(x, y FullServer) int {
 		return cmp.Or(cmp.Compare(y.Remaining, x.Remaining), cmp.Compare(x.Server, y.Server))
@@ -140,7 +140,7 @@
 	for _, told := range word {
 		if told.Remaining > 0 {
 			r.state.Reports++
-			r.believe(told.Server, min(told.Remaining, fullMost), time.Time{})
+			r.markFull(told.Server, min(told.Remaining, maxFullTime), time.Time{})
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s, now := r.state, r.clock.Now()
-	for _, b := range r.full {
+	for _, b := range r.entries {
 		if now.Before(b.until) {
 			s.Full++
 		}
@@ -159,12 +159,12 @@
 }
 
 // believe takes a server for full for a time and a random part of it. The caller holds the lock.
-func (r *Tracker) believe(key uint64, left time.Duration, told time.Time) bool {
-	if len(r.full) >= serversMost {
+func (r *Tracker) markFull(key uint64, left time.Duration, told time.Time) bool {
+	if len(r.entries) >= maxServers {
 		r.sweep()
 	}
-	old, known := r.full[key]
-	if !known && len(r.full) >= serversMost {
+	old, known := r.entries[key]
+	if !known && len(r.entries) >= maxServers {
 		return false
 	}
 	now := r.clock.Now()
@@ -172,25 +172,25 @@
 	if old.until.After(until) {
 		until = old.until
 	}
-	r.full[key] = belief{since: now, until: until, told: told, again: r.again(key)}
+	r.entries[key] = fullEntry{since: now, until: until, announceUntil: told, repeats: r.repeatCount(key)}
 	return true
 }
 
 // again is how often in a row a server has been full once more if it is full now. The
 // caller holds the lock.
-func (r *Tracker) again(key uint64) int {
-	b, known := r.full[key]
+func (r *Tracker) repeatCount(key uint64) int {
+	b, known := r.entries[key]
 	switch now := r.clock.Now(); {
-	case !known || now.Sub(b.until) > staysWithin:
+	case !known || now.Sub(b.until) > repeatWindow:
 		return 0
 	case now.Before(b.until):
-		return b.again
+		return b.repeats
 	}
-	return min(b.again+1, fullShift)
+	return min(b.repeats+1, maxDoublings)
 }
 
 // sweep drops what is over. The caller holds the lock.
 func (r *Tracker) sweep() {
 	now := r.clock.Now()
-	maps.DeleteFunc(r.full, func(_ uint64, b belief) bool { return now.Sub(b.until) > staysWithin })
+	maps.DeleteFunc(r.entries, func(_ uint64, b fullEntry) bool { return now.Sub(b.until) > repeatWindow })
 }
--- a/internal/decision/beechsaturation/tracker_test.go
+++ b/internal/decision/beechsaturation/tracker_test.go
@@ -10,18 +10,18 @@
 	"github.com/matryer/is"
 )
 
-func newRegister(clock clockwork.Clock) (*Tracker, *int) {
+func newTracker(clock clockwork.Clock) (*Tracker, *int) {
 	news := 0
 	return New(clock, func() { news++ }), &news
 }
 
 // A server turns several requests of one gate away. The others are told once, and believe
 // it for a while.
-func TestFullServerIsToldOnce(t *testing.T) {
+func TestFullServerIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	here, news := newRegister(clock)
-	there, _ := newRegister(clock)
+	here, news := newTracker(clock)
+	there, _ := newTracker(clock)
 	for range 3 {
 		here.Rejected("s", 0)
 	}
@@ -33,31 +33,31 @@
 	is.True(there.IsFull("s"))
 	there.Rejected("s", 0) // it was on its way
 	is.Equal(len(there.NextUpdate()), 0)
-	clock.Advance(2 * fullFor)
+	clock.Advance(2 * defaultFullTime)
 	is.True(!here.IsFull("s") && !there.IsFull("s"))
 	is.Equal(there.State(), State{KnownRejections: 1, Reports: 1})
 }
 
 // A server asks for a time. It is kept to, but not an hour.
-func TestTimeThatAServerAsksFor(t *testing.T) {
+func TestRetryTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	r, _ := newRegister(clock)
+	r, _ := newTracker(clock)
 	r.Rejected("s", time.Second)
 	clock.Advance(999 * time.Millisecond)
 	is.True(r.IsFull("s"))
 	r.Rejected("long", time.Hour)
 	r.ApplyUpdate([]FullServer{{Server: 1, Remaining: 1 << 62}, {Server: 2, Remaining: -1}})
-	clock.Advance(2 * fullMost)
+	clock.Advance(2 * maxFullTime)
 	is.Equal(r.State().Full, 0)
 }
 
 // A server answers a request. It has room, unless the request was sent before it turned
 // another one away.
-func TestAnswerEndsABelief(t *testing.T) {
+func TestAnswerClearsFullState(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	r, _ := newRegister(clock)
+	r, _ := newTracker(clock)
 	before := clock.Now()
 	clock.Advance(time.Millisecond)
 	r.Rejected("s", time.Second)
@@ -69,22 +69,22 @@
 }
 
 // Anybody may name servers. What is kept is bounded.
-func TestServersAreBounded(t *testing.T) {
+func TestEntriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	r, _ := newRegister(clock)
-	for i := range uint64(2 * serversMost) {
+	r, _ := newTracker(clock)
+	for i := range uint64(2 * maxServers) {
 		r.ApplyUpdate([]FullServer{{Server: i, Remaining: time.Second}})
 	}
-	is.Equal(r.State().Full, serversMost)
-	clock.Advance(2 * fullMost)
+	is.Equal(r.State().Full, maxServers)
+	clock.Advance(2 * maxFullTime)
 	r.Rejected("s", 0)
 	is.True(r.IsFull("s"))
 }
 
 // Many gates have callers for some servers of which one is full, or all are. It is asked
 // about as often as one gate alone would ask, and words stay few.
-func TestFullServerIsAskedAsByOneGate(t *testing.T) {
+func TestFullServerIsProbedAsByOneGate(t *testing.T) {
 	const (
 		wayTime = 2 * time.Millisecond // of an answer, and of a word
 		length  = 10 * time.Second
@@ -95,7 +95,7 @@
 			clock := clockwork.NewFakeClock()
 			var all []*Tracker
 			for range gates {
-				r, _ := newRegister(clock)
+				r, _ := newTracker(clock)
 				all = append(all, r)
 			}
 			type due struct {
--- a/internal/decision/beechsuspect/register.go
+++ b/internal/decision/beechsuspect/registry.go
@@ -13,16 +13,16 @@
 	// sameTime is how far apart two reports of one event may be. Each hop between
 	// processes makes a record look younger by its transit; were that believed, two
 	// processes that tell each other would keep a suspicion alive for ever.
-	sameTime = 2 * time.Second
+	sameEventWithin = 2 * time.Second
 
 	// lastPart: a record in the last tenth of its time is not taken in as new.
 	// Two processes whose records are a little apart would else give it back to
 	// each other each time it expires at one of them.
-	lastPart = 10
+	nearExpiryDivisor = 10
 
 	// news is how long a change is passed on with heartbeats: several of them,
 	// so that one that is lost does no harm.
-	news = 5 * time.Second
+	recentTime = 5 * time.Second
 
 	// maxCrashes bounds what is told of a request.
 	maxCrashes = 16
@@ -69,11 +69,11 @@
 	}
 
 	entry struct {
-		crashes int
-		at      time.Time // of the last crash or the clearing
-		cleared bool
-		tried   int       // crashes that were known when it was last let run
-		changed time.Time // when this process learned of it
+		crashes      int
+		lastEvent    time.Time // of the last crash or the clearing
+		cleared      bool
+		triedCrashes int       // crashes that were known when it was last let run
+		changed      time.Time // when this process learned of it
 	}
 )
 
@@ -106,20 +106,20 @@
 func (r *Registry) RecordCrash(running []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
+	r.updateTime()
 	for _, f := range running {
 		if f == 0 {
 			continue
 		}
-		e := r.live(f)
+		e := r.lookup(f)
 		if e == nil || e.cleared {
 			e = &entry{}
 			r.entries[f] = e
 		}
-		e.crashes = min(max(e.crashes, e.tried+1), maxCrashes)
-		e.at, e.changed = r.now, r.now
+		e.crashes = min(max(e.crashes, e.triedCrashes+1), maxCrashes)
+		e.lastEvent, e.changed = r.now, r.now
 	}
-	r.shrink()
+	r.evict()
 }
 
 // RecordSuccess clears a request that ran to its end. It is no poison, and a
@@ -128,27 +128,27 @@
 func (r *Registry) RecordSuccess(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
-	e := r.live(fingerprint)
+	r.updateTime()
+	e := r.lookup(fingerprint)
 	if e == nil || e.cleared {
 		return
 	}
-	*e = entry{crashes: e.crashes, at: r.now, cleared: true, changed: r.now}
+	*e = entry{crashes: e.crashes, lastEvent: r.now, cleared: true, changed: r.now}
 }
 
 // Check says how a request may run, and is asked before each attempt.
 func (r *Registry) Check(fingerprint uint64) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
-	e := r.live(fingerprint)
+	r.updateTime()
+	e := r.lookup(fingerprint)
 	if e == nil || e.cleared {
 		return Allow{}
 	}
-	if left := e.at.Add(r.refusal(e.crashes)).Sub(r.now); left > 0 {
+	if left := e.lastEvent.Add(r.refusalTime(e.crashes)).Sub(r.now); left > 0 {
 		return Refuse{After: left}
 	}
-	e.tried = e.crashes
+	e.triedCrashes = e.crashes
 	return Isolate{}
 }
 
@@ -158,19 +158,19 @@
 func (r *Registry) RecordAttempt(fingerprint uint64, crashes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
+	r.updateTime()
 	crashes = min(crashes, maxCrashes)
 	if fingerprint == 0 || crashes <= 0 {
 		return
 	}
-	e := r.live(fingerprint)
+	e := r.lookup(fingerprint)
 	if e == nil || e.cleared {
-		e = &entry{at: r.now.Add(-r.refusal(crashes))}
+		e = &entry{lastEvent: r.now.Add(-r.refusalTime(crashes))}
 		r.entries[fingerprint] = e
 	}
 	e.crashes = max(e.crashes, crashes)
-	e.tried = max(e.tried, crashes)
-	r.shrink()
+	e.triedCrashes = max(e.triedCrashes, crashes)
+	r.evict()
 }
 
 // List gives all records, for a process that starts; the most dangerous first,
@@ -179,45 +179,45 @@
 
 // RecentChanges gives the records that changed lately, for heartbeats. The whole list
 // on each would cost more than all else that heartbeats carry.
-func (r *Registry) RecentChanges() []Record { return r.list(news) }
+func (r *Registry) RecentChanges() []Record { return r.list(recentTime) }
 
 // Merge takes in other processes' records. The later event counts, and of one
 // crash that both know the higher number.
 func (r *Registry) Merge(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
+	r.updateTime()
 	for _, n := range records {
 		if n.Fingerprint == 0 || n.Crashes <= 0 || n.Age >= r.settings.Retention {
 			continue
 		}
-		r.merge(n)
+		r.mergeRecord(n)
 	}
-	r.shrink()
+	r.evict()
 }
 
-func (r *Registry) merge(n Record) {
+func (r *Registry) mergeRecord(n Record) {
 	crashes := min(n.Crashes, maxCrashes)
 	at := r.now.Add(-max(n.Age, 0))
-	e := r.live(n.Fingerprint)
-	if e == nil && n.Age >= r.settings.Retention-r.settings.Retention/lastPart {
+	e := r.lookup(n.Fingerprint)
+	if e == nil && n.Age >= r.settings.Retention-r.settings.Retention/nearExpiryDivisor {
 		return
 	}
 	if e == nil {
-		r.entries[n.Fingerprint] = &entry{crashes: crashes, at: at, cleared: n.Cleared, changed: r.now}
+		r.entries[n.Fingerprint] = &entry{crashes: crashes, lastEvent: at, cleared: n.Cleared, changed: r.now}
 		return
 	}
-	later := at.Sub(e.at)
+	later := at.Sub(e.lastEvent)
 	switch {
 	case e.cleared == n.Cleared && crashes > e.crashes:
 		e.crashes, e.changed = crashes, r.now
 		if later > 0 {
-			e.at = at
+			e.lastEvent = at
 		}
-	case e.cleared == n.Cleared && later > sameTime:
-		e.at, e.changed = at, r.now
+	case e.cleared == n.Cleared && later > sameEventWithin:
+		e.lastEvent, e.changed = at, r.now
 	case e.cleared != n.Cleared && overrides(n.Cleared, later):
-		*e = entry{crashes: crashes, at: at, cleared: n.Cleared, changed: r.now}
+		*e = entry{crashes: crashes, lastEvent: at, cleared: n.Cleared, changed: r.now}
 	}
 }
 
@@ -226,15 +226,15 @@
 // time the clearing is the later of the two.
 func overrides(cleared bool, later time.Duration) bool {
 	if cleared {
-		return later > -sameTime
+		return later > -sameEventWithin
 	}
-	return later > sameTime
+	return later > sameEventWithin
 }
 
 // live gives a record that has not expired.
-func (r *Registry) live(fingerprint uint64) *entry {
+func (r *Registry) lookup(fingerprint uint64) *entry {
 	e := r.entries[fingerprint]
-	if e != nil && r.now.Sub(e.at) >= r.settings.Retention {
+	if e != nil && r.now.Sub(e.lastEvent) >= r.settings.Retention {
 		delete(r.entries, fingerprint)
 		return nil
 	}
@@ -242,7 +242,7 @@
 }
 
 // refusal is how long a request is refused after its last crash.
-func (r *Registry) refusal(crashes int) time.Duration {
+func (r *Registry) refusalTime(crashes int) time.Duration {
 	if crashes < 2 {
 		return 0
 	}
@@ -252,22 +252,22 @@
 func (r *Registry) list(changed time.Duration) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.tick()
+	r.updateTime()
 	var out []Record
 	for f, e := range r.entries {
-		if r.live(f) == nil || (changed > 0 && r.now.Sub(e.changed) > changed) {
+		if r.lookup(f) == nil || (changed > 0 && r.now.Sub(e.changed) > changed) {
 			continue
 		}
-		out = append(out, Record{Fingerprint: f, Crashes: e.crashes, Age: r.now.Sub(e.at), Cleared: e.cleared})
+		out = append(out, Record{Fingerprint: f, Crashes: e.crashes, Age: r.now.Sub(e.lastEvent), Cleared: e.cleared})
 	}
 	slices.SortFunc(out, func(a, b Record) int {
-		return cmp.Or(b.rank()-a.rank(), cmp.Compare(a.Age, b.Age), cmp.Compare(a.Fingerprint, b.Fingerprint))
+		return cmp.Or(b.severity()-a.severity(), cmp.Compare(a.Age, b.Age), cmp.Compare(a.Fingerprint, b.Fingerprint))
 	})
 	return out
 }
 
 // rank orders records by the harm that forgetting them would do.
-func (n Record) rank() int {
+func (n Record) severity() int {
 	if n.Cleared {
 		return 0
 	}
@@ -276,7 +276,7 @@
 
 // shrink keeps the number of records within Max. A crash of a large batch must not
 // push out what has crashed twice.
-func (r *Registry) shrink() {
+func (r *Registry) evict() {
 	if len(r.entries) <= r.settings.MaxRecords {
 		return
 	}
@@ -289,17 +289,17 @@
 		all = append(all, kept{f, e})
 	}
 	slices.SortFunc(all, func(a, b kept) int {
-		return cmp.Or(b.entry.rank()-a.entry.rank(), b.entry.at.Compare(a.entry.at), cmp.Compare(a.fingerprint, b.fingerprint))
+		return cmp.Or(b.entry.severity()-a.entry.severity(), b.entry.lastEvent.Compare(a.entry.lastEvent), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	for _, k := range all[r.settings.MaxRecords:] {
 		delete(r.entries, k.fingerprint)
 	}
 }
 
-func (e *entry) rank() int { return Record{Crashes: e.crashes, Cleared: e.cleared}.rank() }
+func (e *entry) severity() int { return Record{Crashes: e.crashes, Cleared: e.cleared}.severity() }
 
 // tick takes over the time, which stands still while the clock steps back.
-func (r *Registry) tick() {
+func (r *Registry) updateTime() {
 	if now := r.clock.Now(); now.After(r.now) {
 		r.now = now
 	}
--- a/internal/decision/beechsuspect/register_test.go
+++ b/internal/decision/beechsuspect/registry_test.go
@@ -10,7 +10,7 @@
 
 const poison = 666
 
-func registers(n int) ([]*Registry, *clockwork.FakeClock) {
+func newRegistries(n int) ([]*Registry, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	var out []*Registry
 	for range n {
@@ -29,7 +29,7 @@
 	}{{"same entry", 0}, {"other entry", 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r, clock := registers(4) // two entries, two agents
+			r, clock := newRegistries(4) // two entries, two agents
 			gossip := func() {
 				for range 2 {
 					for _, from := range r {
@@ -84,9 +84,9 @@
 
 // Two processes tell each other of a crash on every heartbeat, each a little
 // late. The suspicion must still end.
-func TestGossipDoesNotKeepSuspicionsAlive(t *testing.T) {
+func TestUpdatesDoNotExtendSuspicions(t *testing.T) {
 	is := is.New(t)
-	r, clock := registers(2)
+	r, clock := newRegistries(2)
 	r[0].RecordCrash([]uint64{1})
 	for range 40 * 60 {
 		news := r[0].List()
@@ -105,7 +105,7 @@
 // and one that was cleared may crash a server later. The later event counts.
 func TestLaterEventCounts(t *testing.T) {
 	is := is.New(t)
-	r, clock := registers(2)
+	r, clock := newRegistries(2)
 	r[0].RecordCrash([]uint64{1})
 	r[1].Merge(r[0].List())
 	clock.Advance(500 * time.Millisecond)
@@ -118,7 +118,7 @@
 	r[0].RecordCrash([]uint64{1})
 	r[1].Merge(r[0].List())
 	is.Equal(r[1].Check(1), Isolate{})
-	clock.Advance(news + time.Second)
+	clock.Advance(recentTime + time.Second)
 	is.Equal(len(r[0].RecentChanges()), 0)
 	is.Equal(len(r[0].List()), 1)
 }
@@ -126,9 +126,9 @@
 // The refusal of a request has ended and its caller tries again: the entry host
 // lets it run alone, and the agent, which may never have heard of it, must too.
 // If it crashes once more, the agent knows that it was not the first time.
-func TestTrialAfterRefusalReachesTheAgent(t *testing.T) {
+func TestRetryAfterRefusalReachesAgent(t *testing.T) {
 	is := is.New(t)
-	r, clock := registers(2)
+	r, clock := newRegistries(2)
 	entry, agent := r[0], r[1]
 	entry.RecordCrash([]uint64{poison})
 	is.Equal(entry.Check(poison), Isolate{})
--- a/internal/decision/beechthrottle/register.go
+++ b/internal/decision/beechthrottle/table.go
@@ -7,7 +7,7 @@
 
 type (
 	// ServerLimit is what an answer says of its server's limit: Silent, Names or Faulty.
-	ServerLimit interface{ said() }
+	ServerLimit interface{ serverLimit() }
 
 	// NoLimit says that the answer names no limit.
 	NoLimit struct{}
@@ -32,45 +32,45 @@
 	}
 
 	// register is what is believed of servers' limits, by the hash of their IDs.
-	register struct{ beliefs map[uint64]*belief }
+	limitTable struct{ entries map[uint64]*limitEntry }
 
 	// belief is what is believed of one server.
-	belief struct {
+	limitEntry struct {
 		Observation
-		named     time.Duration // when it was last confirmed
-		firsthand bool          // the server itself said so to this gate
-		repeats   int           // words that still tell it
-		account   string        // of the counting
-		enforced  float64       // the rate that is kept to
-		turn      float64       // 0 to 1: when this gate asks a server again
-		given     int
-		held      int
+		confirmedAt time.Duration // when it was last confirmed
+		direct      bool          // the server itself said so to this gate
+		sendsLeft   int           // words that still tell it
+		account     string        // of the counting
+		enforced    float64       // the rate that is kept to
+		probeOffset float64       // 0 to 1: when this gate asks a server again
+		sent        int
+		withheld    int
 	}
 )
 
 // unlimited is the rate of a server that names none any more.
 var unlimited = math.Inf(1)
 
-func (NoLimit) said()      {}
-func (RateLimit) said()    {}
-func (InvalidLimit) said() {}
+func (NoLimit) serverLimit()      {}
+func (RateLimit) serverLimit()    {}
+func (InvalidLimit) serverLimit() {}
 
 // limited tells whether the server is believed to have a limit.
-func (b *belief) limited() bool { return b != nil && !math.IsInf(b.Rate, 1) }
+func (b *limitEntry) limited() bool { return b != nil && !math.IsInf(b.Rate, 1) }
 
 // take takes in a notice, and tells whether what is believed has changed.
 //
 // Answers overtake one another, so the last to arrive is not always the newest. Of two
 // that may have been given in either order the stricter counts, until one comes whose
 // request was sent after the other had arrived.
-func (r *register) take(key uint64, n Observation) (b *belief, changed bool) {
-	b = r.beliefs[key]
+func (r *limitTable) observe(key uint64, n Observation) (b *limitEntry, changed bool) {
+	b = r.entries[key]
 	if b == nil {
-		if math.IsInf(n.Rate, 1) || len(r.beliefs) >= serversMost {
+		if math.IsInf(n.Rate, 1) || len(r.entries) >= maxServers {
 			return nil, false
 		}
-		b = &belief{Observation: n, named: n.Received}
-		r.beliefs[key] = b
+		b = &limitEntry{Observation: n, confirmedAt: n.Received}
+		r.entries[key] = b
 		return b, true
 	}
 	if n.StartTime != 0 && b.StartTime != 0 && n.StartTime != b.StartTime {
@@ -86,7 +86,7 @@
 	case n.Rate == b.Rate:
 		b.StartTime = n.StartTime
 		b.Sent, b.Received = max(b.Sent, n.Sent), max(b.Received, n.Received)
-		b.named = max(b.named, n.Received)
+		b.confirmedAt = max(b.confirmedAt, n.Received)
 		return b, false
 	case n.Sent > b.Received, n.Rate < b.Rate && n.Received >= b.Sent:
 		b.replace(n)
@@ -95,7 +95,7 @@
 	return b, false
 }
 
-func (b *belief) replace(n Observation) {
+func (b *limitEntry) replace(n Observation) {
 	b.Observation = n
-	b.named = n.Received
+	b.confirmedAt = n.Received
 }
--- a/internal/decision/beechthrottle/register_test.go
+++ b/internal/decision/beechthrottle/table_test.go
@@ -16,7 +16,7 @@
 
 // A server names a limit, another one, and none; answers overtake one another on their
 // way. Taken as they arrive, an older one would lift a limit that is in force.
-func TestAnswersThatOvertakeOneAnother(t *testing.T) {
+func TestReorderedAnswers(t *testing.T) {
 	type step struct{ sent, received, rate, want float64 }
 	for name, steps := range map[string][]step{
 		"rises":                      {{0, 1, 2, 2}, {1.1, 1.5, 4, 4}},
@@ -31,10 +31,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := register{make(map[uint64]*belief)}
+			r := limitTable{make(map[uint64]*limitEntry)}
 			for _, s := range steps {
-				r.take(key, Observation{Rate: s.rate, Sent: seconds(s.sent), Received: seconds(s.received)})
-				is.Equal(r.beliefs[key].Rate, s.want)
+				r.observe(key, Observation{Rate: s.rate, Sent: seconds(s.sent), Received: seconds(s.received)})
+				is.Equal(r.entries[key].Rate, s.want)
 			}
 		})
 	}
@@ -42,14 +42,14 @@
 
 // A server starts anew under its ID. It has no limit until it says so, and late word of
 // the lifetime before does not give it one.
-func TestNewLifetimeHasNoLimit(t *testing.T) {
+func TestRestartedServerIgnoresOldLimit(t *testing.T) {
 	is := is.New(t)
-	r := register{make(map[uint64]*belief)}
-	r.take(key, Observation{StartTime: 5, Rate: 2, Received: 1})
-	r.take(key, Observation{StartTime: 9, Rate: unlimited, Sent: 0, Received: 2})
-	is.True(!r.beliefs[key].limited())
-	r.take(key, Observation{StartTime: 5, Rate: 2, Sent: 3, Received: 4})
-	is.True(!r.beliefs[key].limited())
-	r.take(key, Observation{StartTime: 9, Rate: 3, Sent: 5, Received: 6})
-	is.Equal(r.beliefs[key].Rate, 3.0)
+	r := limitTable{make(map[uint64]*limitEntry)}
+	r.observe(key, Observation{StartTime: 5, Rate: 2, Received: 1})
+	r.observe(key, Observation{StartTime: 9, Rate: unlimited, Sent: 0, Received: 2})
+	is.True(!r.entries[key].limited())
+	r.observe(key, Observation{StartTime: 5, Rate: 2, Sent: 3, Received: 4})
+	is.True(!r.entries[key].limited())
+	r.observe(key, Observation{StartTime: 9, Rate: 3, Sent: 5, Received: 6})
+	is.Equal(r.entries[key].Rate, 3.0)
 }
--- a/internal/decision/beechthrottle/throttle.go
+++ b/internal/decision/beechthrottle/throttle.go
@@ -61,48 +61,48 @@
 
 	// Throttle is one gate's view of all servers' limits. It is safe for concurrent use.
 	Throttle struct {
-		clock   Clock
-		note    func(Event)
-		news    func()
-		ledger  *beechquota.Limiter
-		limited atomic.Int64 // servers that name a limit
-
-		mu          sync.Mutex
-		register    register
-		names       map[uint64]string // IDs of the listed servers, by hash
-		swept       time.Duration
-		refreshed   time.Duration
-		given, held int
-		faulty      int
+		clock          Clock
+		onEvent        func(Event)
+		onUrgent       func()
+		quotas         *beechquota.Limiter
+		limitedServers atomic.Int64 // servers that name a limit
+
+		mu             sync.Mutex
+		table          limitTable
+		serverIDs      map[uint64]string // IDs of the listed servers, by hash
+		lastSweep      time.Duration
+		lastRefresh    time.Duration
+		sent, withheld int
+		invalid        int
 	}
 )
 
 const (
 	// serversMost are remembered: more than name a limit at once in any fleet.
-	serversMost = 16384
+	maxServers = 16384
 	// standingMost are shown in metrics.
-	standingMost = 32
+	maxStatuses = 32
 	// burst is the requests that a server which was sent none for a while may be sent at
 	// once.
 	burst = 1
 	// sureFor a limit is believed without being named again. Then a server that is asked
 	// seldom is asked again, lest nobody hears that its need is over: each gate in turn,
 	// within as long again.
-	sureFor = 2 * time.Second
+	freshFor = 2 * time.Second
 	// riseAfter a limit that is not named again rises, doubling in each riseTime to riseMost
 	// times its rate at the most, and by askRate a second: one of 0 would never be asked for
 	// otherwise.
-	riseAfter = 8 * time.Second
-	riseTime  = 4 * time.Second
-	riseMost  = 4
-	askRate   = 0.25
+	relaxAfter     = 8 * time.Second
+	relaxDoubling  = 4 * time.Second
+	maxRelaxFactor = 4
+	probeRate      = 0.25
 	// leastRate stands for a limit of 0, which the counting does not know.
-	leastRate = 0.001
+	minRate = 0.001
 	// lasts is how long a limit is remembered that is never named again, or one that has
 	// ended, so that late word of it is known to be old.
-	lasts = time.Minute
+	retention = time.Minute
 	// sweepEvery limits that are not named again rise, and old ones are forgotten.
-	sweepEvery = 500 * time.Millisecond
+	sweepInterval = 500 * time.Millisecond
 )
 
 // bounds are what is tolerated beyond a limit: half of it, for what was under way, and
@@ -121,13 +121,13 @@
 // news is called where the other gates must hear at once; neither may call the throttle.
 func New(host string, lifetime uint64, clock Clock, steady clockwork.Clock, note func(Event), news func()) *Throttle {
 	return &Throttle{
-		clock: clock, note: note, news: news, ledger: beechquota.New(host, lifetime, bounds, steady),
-		register: register{make(map[uint64]*belief)},
+		clock: clock, onEvent: note, onUrgent: news, quotas: beechquota.New(host, lifetime, bounds, steady),
+		table: limitTable{make(map[uint64]*limitEntry)},
 	}
 }
 
 // SetGates tells how many gates there are, this one included.
-func (t *Throttle) SetGates(n int) { t.ledger.SetGates(n) }
+func (t *Throttle) SetGates(n int) { t.quotas.SetGates(n) }
 
 // Now is the time by the throttle's clock.
 func (t *Throttle) Now() time.Duration { return t.clock.Now() }
@@ -139,12 +139,12 @@
 		names[xxhash.Sum64String(id)] = id
 	}
 	t.mu.Lock()
-	t.names = names
+	t.serverIDs = names
 	t.mu.Unlock()
 }
 
 // HasLimits tells whether any server names a limit.
-func (t *Throttle) HasLimits() bool { return t.limited.Load() > 0 }
+func (t *Throttle) HasLimits() bool { return t.limitedServers.Load() > 0 }
 
 // Observe takes in what an answer of a server said, whose request was sent then.
 func (t *Throttle) Observe(server string, born uint64, said ServerLimit, sent time.Duration) {
@@ -155,9 +155,9 @@
 		notice.Rate, field = v.Rate, v.Header
 	case InvalidLimit:
 		t.mu.Lock()
-		t.faulty++
+		t.invalid++
 		t.mu.Unlock()
-		t.note(LimitIgnored{Server: server, Text: v.Text})
+		t.onEvent(LimitIgnored{Server: server, Text: v.Text})
 		return
 	case NoLimit:
 		if !t.HasLimits() {
@@ -167,12 +167,12 @@
 		return // not known
 	}
 	t.mu.Lock()
-	event, sure := t.take(xxhash.Sum64String(server), notice, "")
+	event, sure := t.apply(xxhash.Sum64String(server), notice, "")
 	t.mu.Unlock()
 	if event != nil || sure {
-		t.news()
+		t.onUrgent()
 	}
-	t.tell(event, field)
+	t.emit(event, field)
 }
 
 // ServerRestarted tells that a server has begun another lifetime under its ID, or is gone: it has
@@ -185,60 +185,60 @@
 	t.mu.Lock()
 	key := xxhash.Sum64String(server)
 	var event Event
-	if b := t.register.beliefs[key]; b.limited() {
+	if b := t.table.entries[key]; b.limited() {
 		was := b.Rate
 		b.replace(Observation{StartTime: max(born, b.StartTime), Rate: unlimited, Sent: now, Received: now})
-		event = t.changed(key, b, was, now, "")
+		event = t.applyChange(key, b, was, now, "")
 	}
 	t.mu.Unlock()
-	t.tell(event, "")
+	t.emit(event, "")
 }
 
 // take takes in a notice on a server; from is the gate that told it, empty for the
 // server's own answer. It gives what the log tells of it, and whether a limit is sure
 // again that was not. The caller holds the lock.
-func (t *Throttle) take(key uint64, n Observation, from string) (e Event, sure bool) {
+func (t *Throttle) apply(key uint64, n Observation, from string) (e Event, sure bool) {
 	now := t.clock.Now()
 	was, unsure := unlimited, false
-	if old := t.register.beliefs[key]; old != nil {
-		was, unsure = old.Rate, old.limited() && now-old.named > sureFor
+	if old := t.table.entries[key]; old != nil {
+		was, unsure = old.Rate, old.limited() && now-old.confirmedAt > freshFor
 	}
-	b, changed := t.register.take(key, n)
+	b, changed := t.table.observe(key, n)
 	if b == nil {
 		return nil, false
 	}
 	if from == "" && b.Received == n.Received {
-		b.firsthand = true
+		b.direct = true
 	}
 	if changed {
-		return t.changed(key, b, was, now, from), false
+		return t.applyChange(key, b, was, now, from), false
 	}
-	if sure = unsure && now-b.named <= sureFor; sure {
+	if sure = unsure && now-b.confirmedAt <= freshFor; sure {
 		t.enforce(key, b, now)
 	}
 	if sure && from == "" {
-		b.repeats = repeats
+		b.sendsLeft = updateSends
 	}
 	return nil, sure
 }
 
 // changed puts a belief in force, and gives what the log tells of it. The caller holds
 // the lock.
-func (t *Throttle) changed(key uint64, b *belief, was float64, now time.Duration, from string) Event {
-	s := t.standing(key, b, now)
+func (t *Throttle) applyChange(key uint64, b *limitEntry, was float64, now time.Duration, from string) Event {
+	s := t.status(key, b, now)
 	s.Source = from
-	b.repeats, b.firsthand = repeats, from == ""
+	b.sendsLeft, b.direct = updateSends, from == ""
 	t.enforce(key, b, now)
 	switch {
 	case !b.limited() && math.IsInf(was, 1):
 		return nil
 	case !b.limited():
-		t.limited.Add(-1)
-		b.given, b.held = 0, 0
+		t.limitedServers.Add(-1)
+		b.sent, b.withheld = 0, 0
 		s.Rate = was
 		return LimitEnded{s}
 	case math.IsInf(was, 1):
-		t.limited.Add(1)
+		t.limitedServers.Add(1)
 		return LimitStarted{s}
 	}
 	return LimitChanged{LimitStatus: s, Previous: was}
@@ -246,66 +246,66 @@
 
 // enforce has the counting keep to a limit as far as it is believed now. The caller holds
 // the lock.
-func (t *Throttle) enforce(key uint64, b *belief, now time.Duration) {
+func (t *Throttle) enforce(key uint64, b *limitEntry, now time.Duration) {
 	if b.account == "" {
 		b.account = strconv.FormatUint(key, 16)
-		b.turn = rand.Float64()
+		b.probeOffset = rand.Float64()
 	}
 	if !b.limited() {
-		t.ledger.SetLimit(b.account, beechquota.Limit{})
+		t.quotas.SetLimit(b.account, beechquota.Limit{})
 		return
 	}
-	b.enforced = b.believed(now)
-	t.ledger.SetLimit(b.account, beechquota.Limit{Rate: max(b.enforced, leastRate), Burst: burst})
+	b.enforced = b.effectiveRate(now)
+	t.quotas.SetLimit(b.account, beechquota.Limit{Rate: max(b.enforced, minRate), Burst: burst})
 }
 
 // believed is the limit as far as it is believed still: what is not named again rises.
-func (b *belief) believed(now time.Duration) float64 {
-	unsure := now - b.named - riseAfter
+func (b *limitEntry) effectiveRate(now time.Duration) float64 {
+	unsure := now - b.confirmedAt - relaxAfter
 	if unsure <= 0 {
 		return b.Rate
 	}
-	rise := min(math.Exp2(float64(unsure)/float64(riseTime)), riseMost)
-	return b.Rate*rise + askRate
+	rise := min(math.Exp2(float64(unsure)/float64(relaxDoubling)), maxRelaxFactor)
+	return b.Rate*rise + probeRate
 }
 
 // tell logs an event, if there is one.
-func (t *Throttle) tell(e Event, field string) {
+func (t *Throttle) emit(e Event, field string) {
 	switch v := e.(type) {
 	case LimitStarted:
 		v.Header = field
-		t.note(v)
+		t.onEvent(v)
 	case LimitChanged:
 		v.Header = field
-		t.note(v)
+		t.onEvent(v)
 	case LimitEnded:
-		t.note(v)
+		t.onEvent(v)
 	}
 }
 
 // Check tells whether a server may be sent a request now, and takes nothing.
 func (t *Throttle) Check(server string) beechquota.Decision {
-	b := t.belief(server)
+	b := t.lookup(server)
 	if b == nil {
 		return beechquota.Admitted{}
 	}
-	return t.ledger.Check(b.account, 1)
+	return t.quotas.Check(b.account, 1)
 }
 
 // Acquire takes a request from what a server may be sent, if there is something left.
 func (t *Throttle) Acquire(server string) beechquota.Decision {
-	b := t.belief(server)
+	b := t.lookup(server)
 	if b == nil {
 		return beechquota.Admitted{}
 	}
-	d := t.ledger.Admit(b.account, 1)
+	d := t.quotas.Admit(b.account, 1)
 	if admitted, ok := d.(beechquota.Admitted); ok {
 		t.mu.Lock()
-		b.given++
-		t.given++
+		b.sent++
+		t.sent++
 		t.mu.Unlock()
 		if admitted.Urgent {
-			t.news()
+			t.onUrgent()
 		}
 	}
 	return d
@@ -313,51 +313,51 @@
 
 // Refund returns a request that was not sent.
 func (t *Throttle) Refund(server string) {
-	if b := t.belief(server); b != nil {
-		t.ledger.Refund(b.account, 1)
+	if b := t.lookup(server); b != nil {
+		t.quotas.Refund(b.account, 1)
 	}
 }
 
 // CountWithheld counts a request that did not go to a server for its limit.
 func (t *Throttle) CountWithheld(server string) {
-	b := t.belief(server)
+	b := t.lookup(server)
 	if b == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b.held++
-	t.held++
+	b.withheld++
+	t.withheld++
 }
 
 // ProbeDue tells whether this gate is to ask a server again, as its limit has not been named
 // for a while. If all gates asked at once, a server in need would be sent a burst.
 func (t *Throttle) ProbeDue(server string) bool {
-	b := t.belief(server)
+	b := t.lookup(server)
 	if b == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Now()-b.named > sureFor+time.Duration(b.turn*float64(sureFor))
+	return t.clock.Now()-b.confirmedAt > freshFor+time.Duration(b.probeOffset*float64(freshFor))
 }
 
 // Limited tells whether a server names a limit.
-func (t *Throttle) Limited(server string) bool { return t.belief(server) != nil }
+func (t *Throttle) Limited(server string) bool { return t.lookup(server) != nil }
 
 // Rate is the requests a second that a server takes now, as far as that is believed.
 func (t *Throttle) Rate(server string) float64 {
-	b := t.belief(server)
+	b := t.lookup(server)
 	if b == nil {
 		return unlimited
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(b.enforced, leastRate)
+	return max(b.enforced, minRate)
 }
 
 // belief gives what is believed of a server that has a limit, nil of others.
-func (t *Throttle) belief(server string) *belief {
+func (t *Throttle) lookup(server string) *limitEntry {
 	if !t.HasLimits() {
 		return nil
 	}
@@ -365,7 +365,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
-	if b := t.register.beliefs[key]; b.limited() {
+	if b := t.table.entries[key]; b.limited() {
 		return b
 	}
 	return nil
@@ -375,45 +375,45 @@
 // the lock.
 func (t *Throttle) sweep() {
 	now := t.clock.Now()
-	if now-t.swept < sweepEvery {
+	if now-t.lastSweep < sweepInterval {
 		return
 	}
-	t.swept = now
-	for key, b := range t.register.beliefs {
+	t.lastSweep = now
+	for key, b := range t.table.entries {
 		switch {
-		case now-b.named > lasts:
+		case now-b.confirmedAt > retention:
 			if b.limited() {
-				t.limited.Add(-1)
-				t.ledger.SetLimit(b.account, beechquota.Limit{})
+				t.limitedServers.Add(-1)
+				t.quotas.SetLimit(b.account, beechquota.Limit{})
 			}
-			delete(t.register.beliefs, key)
-		case b.limited() && b.believed(now) != b.enforced:
+			delete(t.table.entries, key)
+		case b.limited() && b.effectiveRate(now) != b.enforced:
 			t.enforce(key, b, now)
 		}
 	}
 }
 
-func (t *Throttle) standing(key uint64, b *belief, now time.Duration) LimitStatus {
-	name := cmp.Or(t.names[key], strconv.FormatUint(key, 16))
-	return LimitStatus{Server: name, Rate: b.Rate, Age: max(now-b.named, 0), Sent: b.given, Withheld: b.held}
+func (t *Throttle) status(key uint64, b *limitEntry, now time.Duration) LimitStatus {
+	name := cmp.Or(t.serverIDs[key], strconv.FormatUint(key, 16))
+	return LimitStatus{Server: name, Rate: b.Rate, Age: max(now-b.confirmedAt, 0), Sent: b.sent, Withheld: b.withheld}
 }
 
 // State gives what is believed, those that were asked most first.
 func (t *Throttle) State() State {
-	counting := t.ledger.State()
+	counting := t.quotas.State()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	s := State{Sent: t.given, Withheld: t.held, Invalid: t.faulty, Quota: counting}
-	for key, b := range t.register.beliefs {
+	s := State{Sent: t.sent, Withheld: t.withheld, Invalid: t.invalid, Quota: counting}
+	for key, b := range t.table.entries {
 		if b.limited() {
 			s.Limited++
-			s.Servers = append(s.Servers, t.standing(key, b, now))
+			s.Servers = append(s.Servers, t.status(key, b, now))
 		}
 	}
 	slices.SortFunc(s.Servers, func(x, y LimitStatus) int {
 		return cmp.Or(cmp.Compare(y.Sent+y.Withheld, x.Sent+x.Withheld), cmp.Compare(x.Server, y.Server))
 	})
-	s.Servers = s.Servers[:min(len(s.Servers), standingMost)]
+	s.Servers = s.Servers[:min(len(s.Servers), maxStatuses)]
 	return s
 }
--- a/internal/decision/beechthrottle/word.go
+++ b/internal/decision/beechthrottle/update.go
@@ -27,27 +27,27 @@
 
 const (
 	// repeats of what has changed, as words are lost.
-	repeats = 3
+	updateSends = 3
 	// refreshEvery what this gate has from servers themselves is told again.
-	refreshEvery = 2 * time.Second
+	refreshInterval = 2 * time.Second
 	// wayMost is how long a word may have been under way.
-	wayMost = 150 * time.Millisecond
+	maxTransit = 150 * time.Millisecond
 	// askFor is how long a gate that has started speaks though it knows no limit: those
 	// that know of some tell it.
-	askFor = 3 * time.Second
+	startupTime = 3 * time.Second
 	// oldest word that is believed.
-	oldest = time.Hour
+	maxAge = time.Hour
 )
 
 // HasUpdate tells whether there is something to tell the other gates, or to ask them.
 func (t *Throttle) HasUpdate() bool {
-	if t.HasLimits() || t.ledger.Age() < askFor {
+	if t.HasLimits() || t.quotas.Age() < startupTime {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, b := range t.register.beliefs {
-		if b.repeats > 0 {
+	for _, b := range t.table.entries {
+		if b.sendsLeft > 0 {
 			return true
 		}
 	}
@@ -56,20 +56,20 @@
 
 // NextUpdate gives what the other gates are to be told now.
 func (t *Throttle) NextUpdate() Update {
-	w := Update{Quota: t.ledger.NextUpdate()}
+	w := Update{Quota: t.quotas.NextUpdate()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
 	now := t.clock.Now()
-	refresh := now-t.refreshed >= refreshEvery
+	refresh := now-t.lastRefresh >= refreshInterval
 	if refresh {
-		t.refreshed = now
+		t.lastRefresh = now
 	}
-	for key, b := range t.register.beliefs {
-		if b.repeats == 0 && !(refresh && b.firsthand) && !w.Quota.Full {
+	for key, b := range t.table.entries {
+		if b.sendsLeft == 0 && !(refresh && b.direct) && !w.Quota.Full {
 			continue
 		}
-		b.repeats = max(b.repeats-1, 0)
+		b.sendsLeft = max(b.sendsLeft-1, 0)
 		told := LimitUpdate{Server: key, StartTime: b.StartTime, Rate: b.Rate, SentAge: now - b.Sent, ReceivedAge: now - b.Received}
 		if !b.limited() {
 			told.Rate = -1
@@ -82,18 +82,18 @@
 // ApplyUpdate takes in another gate's word.
 func (t *Throttle) ApplyUpdate(w Update, from string) {
 	for _, told := range w.Limits {
-		if told.ReceivedAge < 0 || told.SentAge < told.ReceivedAge || told.SentAge > oldest || math.IsNaN(told.Rate) || told.Rate > math.MaxInt32 {
+		if told.ReceivedAge < 0 || told.SentAge < told.ReceivedAge || told.SentAge > maxAge || math.IsNaN(told.Rate) || told.Rate > math.MaxInt32 {
 			continue
 		}
 		t.mu.Lock()
 		now := t.clock.Now()
-		n := Observation{StartTime: told.StartTime, Rate: told.Rate, Sent: now - told.SentAge - wayMost, Received: now - told.ReceivedAge}
+		n := Observation{StartTime: told.StartTime, Rate: told.Rate, Sent: now - told.SentAge - maxTransit, Received: now - told.ReceivedAge}
 		if told.Rate < 0 {
 			n.Rate = unlimited
 		}
-		event, _ := t.take(told.Server, n, from)
+		event, _ := t.apply(told.Server, n, from)
 		t.mu.Unlock()
-		t.tell(event, "")
+		t.emit(event, "")
 	}
-	t.ledger.ApplyUpdate(w.Quota)
+	t.quotas.ApplyUpdate(w.Quota)
 }
