--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -19,7 +19,7 @@
 
 	"github.com/beechring/beechring/internal/decision/beechhealth"
 	"github.com/beechring/beechring/internal/decision/beechquota"
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/link/beechbeat"
@@ -68,12 +68,12 @@
 		freshness      *beechfresh.Belief // age of the operators' documents
 		placer         *beechplace.Placer
 		health         *beechhealth.Tracker
-		suspects       *beechsuspect.Register
+		suspects       *beechsuspect.Registry
 		budgets        *Budgets
-		quotas         *beechquota.Ledger
-		limits         *beechthrottle.Throttle // request limits that servers announce
-		overloaded     *beechroom.Register     // servers that reject requests
-		otherZones     *roster                 // gates of the other zones
+		quotas         *beechquota.Limiter
+		limits         *beechthrottle.Throttle  // request limits that servers announce
+		overloaded     *beechsaturation.Tracker // servers that reject requests
+		otherZones     *roster                  // gates of the other zones
 		core           *beechattempt.Dispatcher
 		socket         *beechbeat.Socket
 		peers          *beechvouch.Circle // gates of this zone, which share their reads of the store
@@ -160,7 +160,7 @@
 	g.metrics = newMetrics(g)
 	g.limitLog = sampledLogger(deps.Log, g.metrics.limitLinesDropped)
 	weights := time.Duration(s.Bounds.Weights)
-	g.overloaded = beechroom.New(deps.Clock, g.wakeOverloadSender)
+	g.overloaded = beechsaturation.New(deps.Clock, g.wakeOverloadSender)
 	g.placer = beechplace.New(beechplace.Settings{
 		Zone: s.Zone, OutdatedSoftLimit: max(weights-outdatedMargin, weights/2), OutdatedHardLimit: max(weights-startMargin, weights/2),
 	}, deps.Clock, g.health, g.limits, g.overloaded, g.announcePrompt)
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -41,20 +41,20 @@
 // logLimitEvent logs a change in a server's limit or in what is known about it.
 func (g *Gate) logLimitEvent(e beechthrottle.Event) {
 	switch v := e.(type) {
-	case beechthrottle.Began:
-		g.logLimit("server's limit known", v.Standing, zap.Float64("rate", v.Rate))
-	case beechthrottle.Changed:
-		g.logLimit("server's limit changed", v.Standing, zap.Float64("rate", v.Rate), zap.Float64("was", v.Was))
-	case beechthrottle.Ended:
-		g.logLimit("server's limit ended", v.Standing, zap.Float64("was", v.Rate))
-	case beechthrottle.PassedOver:
+	case beechthrottle.LimitStarted:
+		g.logLimit("server's limit known", v.LimitStatus, zap.Float64("rate", v.Rate))
+	case beechthrottle.LimitChanged:
+		g.logLimit("server's limit changed", v.LimitStatus, zap.Float64("rate", v.Rate), zap.Float64("was", v.Previous))
+	case beechthrottle.LimitEnded:
+		g.logLimit("server's limit ended", v.LimitStatus, zap.Float64("was", v.Rate))
+	case beechthrottle.LimitIgnored:
 		g.limitLog.Warn("invalid server limit ignored", zap.String("server", v.Server), zap.String("text", v.Text))
 	}
 }
 
-func (g *Gate) logLimit(message string, s beechthrottle.Standing, fields ...zap.Field) {
-	g.limitLog.Info(message, append(fields, zap.String("server", s.Server), zap.String("from", s.From), zap.String("field", s.Field),
-		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Given))...)
+func (g *Gate) logLimit(message string, s beechthrottle.LimitStatus, fields ...zap.Field) {
+	g.limitLog.Info(message, append(fields, zap.String("server", s.Server), zap.String("from", s.Source), zap.String("field", s.Header),
+		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Sent))...)
 }
 
 // sendLimits sends the servers' limits and this gate's use of them to the other gates,
@@ -63,16 +63,16 @@
 	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.Interval(g.gateCount())):
+		case <-g.clock.After(beechquota.UpdateInterval(g.gateCount())):
 		case <-g.limitsDue:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !g.limits.Speaks() {
+		if !g.limits.HasUpdate() {
 			continue
 		}
-		for _, limits := range packLimits(g.limits.Word()) {
+		for _, limits := range packLimits(g.limits.NextUpdate()) {
 			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
 				message := *limits
 				message.Sent.Pass = pass
@@ -98,20 +98,20 @@
 		relayed.Sent.Pass = false
 		g.sendToZone(beechbeat.Limits{Limits: &relayed})
 	}
-	update := beechthrottle.Word{Counting: unpackUsage(&l.Sent, fixedPointScale)}
+	update := beechthrottle.Update{Quota: unpackUsage(&l.Sent, fixedPointScale)}
 	for _, limit := range l.List {
-		update.Limits = append(update.Limits, beechthrottle.Told{
-			Server: limit.Server, Born: limit.Born, Rate: float64(limit.Rate) / fixedPointScale,
-			Sent: time.Duration(limit.Sent) * time.Millisecond, Received: time.Duration(limit.Received) * time.Millisecond,
+		update.Limits = append(update.Limits, beechthrottle.LimitUpdate{
+			Server: limit.Server, StartTime: limit.Born, Rate: float64(limit.Rate) / fixedPointScale,
+			SentAge: time.Duration(limit.Sent) * time.Millisecond, ReceivedAge: time.Duration(limit.Received) * time.Millisecond,
 		})
 	}
-	g.limits.Hear(update, from.String())
+	g.limits.ApplyUpdate(update, from.String())
 }
 
 // packLimits splits limits into messages that fit into a datagram each.
-func packLimits(limits beechthrottle.Word) []*beechwire.Limits {
+func packLimits(limits beechthrottle.Update) []*beechwire.Limits {
 	var messages []*beechwire.Limits
-	for _, usage := range packUsage(limits.Counting, fixedPointScale) {
+	for _, usage := range packUsage(limits.Quota, fixedPointScale) {
 		messages = append(messages, &beechwire.Limits{Sent: *usage})
 	}
 	for n, list := range slices.Collect(slices.Chunk(limits.Limits, maxLimitsPerDatagram)) {
@@ -122,7 +122,7 @@
 		}
 		for _, limit := range list {
 			messages[n].List = append(messages[n].List, beechwire.Limit{
-				Server: limit.Server, Born: limit.Born, Rate: int64(limit.Rate * fixedPointScale), Sent: limit.Sent.Milliseconds(), Received: limit.Received.Milliseconds(),
+				Server: limit.Server, Born: limit.StartTime, Rate: int64(limit.Rate * fixedPointScale), Sent: limit.SentAge.Milliseconds(), Received: limit.ReceivedAge.Milliseconds(),
 			})
 		}
 	}
--- a/internal/process/beechgate/overload.go
+++ b/internal/process/beechgate/overload.go
@@ -5,7 +5,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/link/beechbeat"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
@@ -28,8 +28,8 @@
 			return ctx.Err()
 		}
 		var servers []beechwire.FullServer
-		for _, overload := range g.overloaded.Word() {
-			servers = append(servers, beechwire.FullServer{Server: overload.Server, Left: overload.Left.Milliseconds()})
+		for _, overload := range g.overloaded.NextUpdate() {
+			servers = append(servers, beechwire.FullServer{Server: overload.Server, Left: overload.Remaining.Milliseconds()})
 		}
 		servers = servers[:min(len(servers), maxOverloadedServers)]
 		if len(servers) > 0 {
@@ -38,7 +38,7 @@
 			})
 		}
 		select {
-		case <-g.clock.After(beechroom.Interval(g.gateCount())):
+		case <-g.clock.After(beechsaturation.UpdateInterval(g.gateCount())):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -53,9 +53,9 @@
 	if f.Pass {
 		g.sendToZone(beechbeat.Full{Full: &beechwire.Full{List: f.List}})
 	}
-	overloads := make([]beechroom.Told, 0, len(f.List))
+	overloads := make([]beechsaturation.FullServer, 0, len(f.List))
 	for _, s := range f.List {
-		overloads = append(overloads, beechroom.Told{Server: s.Server, Left: time.Duration(s.Left) * time.Millisecond})
+		overloads = append(overloads, beechsaturation.FullServer{Server: s.Server, Remaining: time.Duration(s.Left) * time.Millisecond})
 	}
-	g.overloaded.Hear(overloads)
+	g.overloaded.ApplyUpdate(overloads)
 }
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -56,7 +56,7 @@
 	for {
 		decision := g.quotas.Admit(call.Workspace.Name, call.Size())
 		refused, ok := decision.(beechquota.Refused)
-		if !ok || !refused.Starts || !g.clock.Now().Before(deadline) {
+		if !ok || !refused.Starting || !g.clock.Now().Before(deadline) {
 			return decision
 		}
 		select {
@@ -74,12 +74,12 @@
 		g.metrics.denied.Add("over quota", 1)
 		g.log.Warn("request refused", zap.String("request", call.ID), zap.String("route", call.Route.Name), zap.String("reason", "over quota"),
 			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", decision.After),
-			zap.Float64("left", decision.Level), zap.Float64("unread", decision.Unread), zap.Float64("rate", decision.Limit.Rate), zap.Float64("burst", decision.Limit.Burst),
-			zap.Bool("alone", decision.Alone), zap.Duration("age", decision.Age))
+			zap.Float64("left", decision.Level), zap.Float64("unread", decision.Unreported), zap.Float64("rate", decision.Limit.Rate), zap.Float64("burst", decision.Limit.Burst),
+			zap.Bool("alone", decision.Isolated), zap.Duration("age", decision.UpdateAge))
 		out.Reject(beechattempt.QuotaExceeded{RetryAfter: decision.After})
 		return false
 	case beechquota.Admitted:
-		if decision.Tell {
+		if decision.Urgent {
 			beechtask.Wake(g.usageDue)
 		}
 	}
@@ -90,7 +90,7 @@
 func (g *Gate) settleQuota(call *beechcall.Call, attempts int) {
 	switch {
 	case attempts == 0:
-		g.quotas.GiveBack(call.Workspace.Name, call.Size())
+		g.quotas.Refund(call.Workspace.Name, call.Size())
 	case attempts > 1:
 		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(attempts-1))
 	}
@@ -108,16 +108,16 @@
 	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.Interval(g.gateCount())):
+		case <-g.clock.After(beechquota.UpdateInterval(g.gateCount())):
 		case <-g.usageDue:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !g.quotas.Limited() {
+		if !g.quotas.HasLimits() {
 			continue // without quotas there is nothing to agree on
 		}
-		for _, usage := range packUsage(g.quotas.Word(), 1) {
+		for _, usage := range packUsage(g.quotas.NextUpdate(), 1) {
 			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
 				message := *usage
 				message.Pass = pass
@@ -138,30 +138,30 @@
 		relayed.Pass = false
 		g.sendToZone(beechbeat.Spent{Spent: &relayed})
 	}
-	g.quotas.Hear(unpackUsage(s.Spent, 1))
+	g.quotas.ApplyUpdate(unpackUsage(s.Spent, 1))
 }
 
 // unpackUsage converts usage from the wire, where amounts are integers in units of 1/scale.
-func unpackUsage(s *beechwire.Spent, scale float64) beechquota.Word {
-	update := beechquota.Word{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
+func unpackUsage(s *beechwire.Spent, scale float64) beechquota.Update {
+	update := beechquota.Update{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
 	for _, u := range s.Uses {
-		update.Uses = append(update.Uses, beechquota.Use{Workspace: u.Workspace, Total: float64(u.Total) / scale, Level: float64(u.Level) / scale})
+		update.Usages = append(update.Usages, beechquota.Usage{Workspace: u.Workspace, Total: float64(u.Total) / scale, Level: float64(u.Level) / scale})
 	}
 	return update
 }
 
 // packUsage splits usage into messages that fit into a datagram each, with amounts in units of
 // 1/scale. Only a single message with all buckets may be marked as full.
-func packUsage(usage beechquota.Word, scale float64) []*beechwire.Spent {
+func packUsage(usage beechquota.Update, scale float64) []*beechwire.Spent {
 	var messages []*beechwire.Spent
 	for {
-		n := min(len(usage.Uses), maxUsesPerDatagram)
-		message := &beechwire.Spent{Host: usage.Host, Lifetime: usage.Lifetime, Age: usage.Age.Milliseconds(), Settled: usage.Settled, Full: usage.Full && n == len(usage.Uses) && messages == nil}
-		for _, u := range usage.Uses[:n] {
+		n := min(len(usage.Usages), maxUsesPerDatagram)
+		message := &beechwire.Spent{Host: usage.Host, Lifetime: usage.Lifetime, Age: usage.Age.Milliseconds(), Settled: usage.Settled, Full: usage.Full && n == len(usage.Usages) && messages == nil}
+		for _, u := range usage.Usages[:n] {
 			message.Uses = append(message.Uses, beechwire.Use{Workspace: u.Workspace, Total: uint64(u.Total * scale), Level: int64(u.Level * scale)})
 		}
 		messages = append(messages, message)
-		if usage.Uses = usage.Uses[n:]; len(usage.Uses) == 0 {
+		if usage.Usages = usage.Usages[n:]; len(usage.Usages) == 0 {
 			return messages
 		}
 	}
--- a/internal/request/beechplace/attempt.go
+++ b/internal/request/beechplace/attempt.go
@@ -64,19 +64,19 @@
 		return true
 	}
 	a.limitTime = a.placer.limits.Now()
-	_, ok := a.placer.limits.Take(a.server.ID).(beechquota.Admitted)
+	_, ok := a.placer.limits.Acquire(a.server.ID).(beechquota.Admitted)
 	return ok
 }
 
 // ObserveLimit records the limit in a server's response.
-func (a *Attempt) ObserveLimit(limit beechthrottle.Said) {
+func (a *Attempt) ObserveLimit(limit beechthrottle.ServerLimit) {
 	if a.server == nil {
 		return
 	}
 	a.placer.mu.Lock()
 	born := a.server.Born
 	a.placer.mu.Unlock()
-	a.placer.limits.Heard(a.server.ID, born, limit, a.limitTime)
+	a.placer.limits.Observe(a.server.ID, born, limit, a.limitTime)
 }
 
 // ObserveLoad records the load in a server's response.
@@ -137,7 +137,7 @@
 		}
 		a.placer.updateAvailability(a.server, o, a.sentAt)
 		if o == Unreachable {
-			a.placer.limits.GiveBack(a.server.ID)
+			a.placer.limits.Refund(a.server.ID)
 		}
 	})
 }
@@ -146,7 +146,7 @@
 	now := p.clock.Now()
 	switch o {
 	case Answered:
-		p.overloaded.Took(s.ID, sent)
+		p.overloaded.Answered(s.ID, sent)
 		s.failures = 0
 		s.downUntil = time.Time{}
 	case Rejected:
@@ -201,6 +201,6 @@
 	case notRun.Other && notRun.Weights == 0:
 		s.unavailableUntil = p.clock.Now().Add(rejectionPause)
 	case !notRun.Other && !s.hasRecentReport(p.clock.Now()):
-		p.overloaded.TurnedAway(id, notRun.After)
+		p.overloaded.Rejected(id, notRun.After)
 	}
 }
--- a/internal/request/beechplace/choose.go
+++ b/internal/request/beechplace/choose.go
@@ -63,7 +63,7 @@
 // servers whose limit admits another request.
 func (p *Placer) chooseWithLimited(best Choice, found bool, limited []Choice) (Choice, bool) {
 	for i := range limited {
-		if p.limits.Due(limited[i].Server.ID) {
+		if p.limits.ProbeDue(limited[i].Server.ID) {
 			limited[i].Cost -= limitProbeBonus
 		}
 	}
@@ -73,12 +73,12 @@
 		if found && best.Cost < c.Cost {
 			break
 		}
-		switch d := p.limits.Room(c.Server.ID).(type) {
+		switch d := p.limits.Check(c.Server.ID).(type) {
 		case beechquota.Admitted:
 			c.LimitedServer = skipped
 			return c, true
 		case beechquota.Refused:
-			p.limits.Held(c.Server.ID)
+			p.limits.CountWithheld(c.Server.ID)
 			skipped, retryAfter = cmp.Or(skipped, c.Server.ID), min(retryAfter, d.After)
 		}
 	}
@@ -162,7 +162,7 @@
 		c.Cost += p.settings.CrossZoneCost + p.settings.CrossZoneByteCost*float64(len(call.Body))
 	}
 	c.Cost += unhealthyCost * (1 - p.health.Weight(s.Address))
-	if !s.hasRecentReport(now) && p.overloaded.Knows(s.ID) {
+	if !s.hasRecentReport(now) && p.overloaded.IsFull(s.ID) {
 		c.Cost += overloadedCost
 	}
 	return c, true
--- a/internal/request/beechplace/limit_test.go
+++ b/internal/request/beechplace/limit_test.go
@@ -11,9 +11,9 @@
 
 // exhaustLimit has a server announce a limit and uses it up.
 func (f *fleet) exhaustLimit(id string, rate float64) {
-	f.limits.Heard(id, 0, beechthrottle.Names{Rate: rate}, f.limits.Now())
+	f.limits.Observe(id, 0, beechthrottle.RateLimit{Rate: rate}, f.limits.Now())
 	for range 8 {
-		f.limits.Take(id)
+		f.limits.Acquire(id)
 	}
 }
 
@@ -77,7 +77,7 @@
 
 	f = newFleet(1)
 	f.reportAll(nil)
-	f.limits.Heard(choice.Server.ID, 0, beechthrottle.Names{Rate: 0.1}, f.limits.Now())
+	f.limits.Observe(choice.Server.ID, 0, beechthrottle.RateLimit{Rate: 0.1}, f.limits.Now())
 	for range 20 { // no connection is established
 		attempt := f.StartAttempt(call, choice)
 		is.True(attempt.AcquireLimit())
--- a/internal/request/beechplace/overload_test.go
+++ b/internal/request/beechplace/overload_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
@@ -16,19 +16,19 @@
 	is := is.New(t)
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
-	other := beechroom.New(f.clock, func() {})
+	other := beechsaturation.New(f.clock, func() {})
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 	for _, s := range f.servers {
 		if s.Service == "app" && s.Zone == "a" {
-			other.TurnedAway(s.ID, 0)
+			other.Rejected(s.ID, 0)
 		}
 	}
-	f.Placer.overloaded.Hear(other.Word())
+	f.Placer.overloaded.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "b")
 	for _, s := range f.servers {
-		other.TurnedAway(s.ID, 0)
+		other.Rejected(s.ID, 0)
 	}
-	f.Placer.overloaded.Hear(other.Word())
+	f.Placer.overloaded.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 }
 
@@ -62,7 +62,7 @@
 	attempt := f.StartAttempt(call, c)
 	attempt.Done(Rejected)
 	f.ObserveRejection(c.Server.ID, beechcall.NotRun{Status: 503}, "m")
-	is.Equal(len(f.Placer.overloaded.Word()), 0)
+	is.Equal(len(f.Placer.overloaded.NextUpdate()), 0)
 }
 
 // A server reports in its response that it is busy with requests of other gates. The next
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -11,7 +11,7 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 	"github.com/jonboulle/clockwork"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/request/beechcall"
 	"github.com/beechring/beechring/internal/request/beechrollout"
@@ -24,7 +24,7 @@
 		clock      clockwork.Clock
 		health     Health
 		limits     *beechthrottle.Throttle
-		overloaded *beechroom.Register
+		overloaded *beechsaturation.Tracker
 		announce   Announce
 
 		mu             sync.Mutex
@@ -104,7 +104,7 @@
 )
 
 // New returns a placer without servers.
-func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, overloaded *beechroom.Register, announce Announce) *Placer {
+func New(s Settings, clock clockwork.Clock, health Health, limits *beechthrottle.Throttle, overloaded *beechsaturation.Tracker, announce Announce) *Placer {
 	locations, err := lru.New[uint64, *partLocations](maxTrackedParts)
 	if err != nil {
 		panic(err) // unreachable: the size is a positive constant
@@ -149,7 +149,7 @@
 	}
 	for id := range previous {
 		if _, listed := p.byID[id]; !listed {
-			p.limits.Anew(id, 0)
+			p.limits.ServerRestarted(id, 0)
 		}
 	}
 	for _, servers := range p.services {
@@ -231,7 +231,7 @@
 		return // unknown, unchanged or a late report of a previous lifetime
 	}
 	if s.Born != 0 {
-		p.limits.Anew(s.ID, start)
+		p.limits.ServerRestarted(s.ID, start)
 		s.restartedAt = p.clock.Now()
 		s.weights = make(map[string]uint64)
 		s.pendingPrefill, s.failures = 0, 0
