--- a/internal/decision/beechqueue/queue_test.go
+++ b/internal/decision/beechqueue/queue_test.go
@@ -103,9 +103,9 @@
 	is.True(len(filter(small, refused))*50 <= len(small)) // each asks for 80% of its fair share
 }
 
-// 300 requests arrive at the same moment. Accepted ones must be served within the
-// predicted time. The others must be refused on arrival with spread retry times;
-// otherwise they would retry together and be refused together again.
+// 300 requests arrive at the same moment. Accepted ones must get their first token
+// within MaxWait plus one second. The others must be refused on arrival with spread
+// retry times; otherwise they would retry together and be refused together again.
 func TestBurstIsServedOrRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
 	sim := simulation{settings: testSettings(), load: testLoad, duration: 40 * time.Second}
--- a/internal/decision/beechroute/router.go
+++ b/internal/decision/beechroute/router.go
@@ -144,7 +144,7 @@
 }
 
 // RecordReply records that the server of a reply holds the request's prefixes. A
-// reply of an earlier incarnation of the server is ignored.
+// reply of another incarnation of the server is ignored.
 func (r *Router) RecordReply(p Reply) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -162,7 +162,8 @@
 // cached, queued or evicted, for the requests of all entry hosts. Without
 // announcements each entry host would have to discover by itself where a prefix is
 // cached, and would create a copy of its own. It returns false, without applying
-// anything, if the server is not known in that incarnation.
+// anything, if the server is not known in that incarnation or
+// MechanismAnnouncements is disabled.
 func (r *Router) ApplyCacheChanges(address netip.AddrPort, incarnation uint64, changes CacheChanges) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
