--- a/internal/request/beechplace/doc.go
+++ b/internal/request/beechplace/doc.go
@@ -4,11 +4,10 @@
 // Prompts have long shared prefixes whose KV cache is held by engines, or can be
 // fetched from another engine or from a remote KV cache store for a hundredth of
 // the cost of computing it again. Engines stop serving to load new weights, crash,
-// hang or leave. Gates share no state; they learn of one another's requests from
-// the keepers, the agents on the engines' hosts. Sending each request to the least
-// loaded engine would repeat the prefill of shared prefixes until engines do little
-// else; sending by hash alone would queue all requests for a popular prefix at one
-// engine.
+// hang or leave. A gate knows the requests of other gates only from the reports of the
+// keepers, the agents on the engines' hosts. Sending each request to the least loaded
+// engine would repeat the prefill of shared prefixes until engines do little else;
+// sending by hash alone would queue all requests for a popular prefix at one engine.
 //
 // A choice minimizes a predicted cost in milliseconds:
 //
