--- a/internal/process/beechgate/retrybudget.go
+++ b/internal/process/beechgate/retrybudget.go
@@ -50,7 +50,7 @@
 	}
 	b.gates = n
 	for _, budget := range b.services {
-		budget.SetSpare(b.share())
+		budget.SetReserve(b.share())
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // RecordRequest implements beechattempt.RetryBudget.
-func (b *Budgets) RecordRequest(service string) { b.budget(service).Sent() }
+func (b *Budgets) RecordRequest(service string) { b.budget(service).RecordRequest() }
 
 // Decide implements beechattempt.RetryBudget.
 func (b *Budgets) Decide(service string, o beechretry.Outcome) beechretry.Decision {
@@ -82,8 +82,8 @@
 	budget, ok := b.services[service]
 	if !ok {
 		settings := beechretry.Settings{
-			Percent: max(int(b.ratio*percent*budgetShare), 1), Spare: b.share(), Window: b.window,
-			MaxAttempts: maxAttempts, Backoff: time.Millisecond, MaxBackoff: time.Millisecond,
+			RetryPercent: max(int(b.ratio*percent*budgetShare), 1), Reserve: b.share(), Window: b.window,
+			MaxAttempts: maxAttempts, BaseBackoff: time.Millisecond, MaxBackoff: time.Millisecond,
 		}
 		budget = beechretry.New(settings, b.clock, rand.NewPCG(rand.Uint64(), rand.Uint64()))
 		b.services[service] = budget
