--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -26,46 +26,46 @@
 )
 
 type (
-	// backend answers attempts by a script, one entry an attempt; the last goes
-	// on.
+	// backend answers attempts by a script with one step per attempt; the last step
+	// repeats.
 	backend struct {
 		mu     sync.Mutex
 		script []func(ctx context.Context, a beechcall.Attempt) (*beechcall.Answer, error)
 		sent   []beechcall.Attempt
 	}
 
-	// budget allows so many tries.
+	// budget grants a number of retries.
 	budget struct {
 		mu   sync.Mutex
 		left int
 	}
 
 	caller struct {
-		mu      sync.Mutex
-		refusal Rejection
-		status  int
-		header  http.Header
-		body    string
-		ended   bool
-		broken  bool
-		slow    error
+		mu        sync.Mutex
+		rejection Rejection
+		status    int
+		header    http.Header
+		body      string
+		ended     bool
+		broken    bool
+		slow      error
 	}
 
-	trusting struct{}
-	deaf     struct{}
+	fullyUsable struct{}
+	ignoring    struct{}
 
-	// standing says which servers take connections; the others are gone.
-	standing map[netip.AddrPort]bool
+	// reachable lists the servers that accept connections; the others are down.
+	reachable map[netip.AddrPort]bool
 )
 
 var errReset = errors.New("connection reset")
 
-func (trusting) Weight(netip.AddrPort) float64 { return 1 }
+func (fullyUsable) Weight(netip.AddrPort) float64 { return 1 }
 
-func (deaf) ObserveAttempt(beechcall.Server, string, time.Duration, int, bool) {}
-func (deaf) ObserveEnd(Result)                                                 {}
+func (ignoring) ObserveAttempt(beechcall.Server, string, time.Duration, int, bool) {}
+func (ignoring) ObserveEnd(Result)                                                 {}
 
-func (s standing) Reach(_ context.Context, peer netip.AddrPort) error {
+func (s reachable) Reach(_ context.Context, peer netip.AddrPort) error {
 	if s[peer] {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	return step(ctx, a)
 }
 
-func (c *caller) Reject(r Rejection) { c.refusal = r }
+func (c *caller) Reject(r Rejection) { c.rejection = r }
 
 func (c *caller) Respond(status int, h http.Header, body []byte) {
 	c.status, c.header, c.body = status, h, string(body)
@@ -110,21 +110,21 @@
 func (c *caller) EndStream()   { c.ended = true }
 func (c *caller) AbortStream() { c.broken = true }
 
-type world struct {
-	core     *Dispatcher
-	clock    *clockwork.FakeClock
-	backend  *backend
-	budget   *budget
-	suspects *beechsuspect.Register
-	standing standing
+type fixture struct {
+	dispatcher *Dispatcher
+	clock      *clockwork.FakeClock
+	backend    *backend
+	budget     *budget
+	suspects   *beechsuspect.Register
+	reachable  reachable
 }
 
 type step = func(ctx context.Context, a beechcall.Attempt) (*beechcall.Answer, error)
 
-func newWorld(servers, retries int, script ...step) *world {
-	w := &world{clock: clockwork.NewFakeClock(), backend: &backend{script: script}, budget: &budget{left: retries}, standing: standing{}}
-	w.suspects = beechsuspect.New(beechsuspect.Settings{}, w.clock)
-	placer := beechplace.New(beechplace.Settings{Zone: "a"}, w.clock, trusting{}, beechthrottle.New("gate", 1, beechfresh.Boot{}, w.clock, func(beechthrottle.Event) {}, func() {}), beechroom.New(w.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
+func newFixture(servers, retries int, script ...step) *fixture {
+	f := &fixture{clock: clockwork.NewFakeClock(), backend: &backend{script: script}, budget: &budget{left: retries}, reachable: reachable{}}
+	f.suspects = beechsuspect.New(beechsuspect.Settings{}, f.clock)
+	placer := beechplace.New(beechplace.Settings{Zone: "a"}, f.clock, fullyUsable{}, beechthrottle.New("gate", 1, beechfresh.Boot{}, f.clock, func(beechthrottle.Event) {}, func() {}), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
 	var list []beechcall.Server
 	for i := range servers {
 		list = append(list, beechcall.Server{
@@ -132,32 +132,32 @@
 		})
 	}
 	placer.SetServers(list)
-	w.core = New(placer, w.backend, w.standing, w.budget, w.suspects, deaf{}, w.clock, zap.NewNop())
-	return w
+	f.dispatcher = New(placer, f.backend, f.reachable, f.budget, f.suspects, ignoring{}, f.clock, zap.NewNop())
+	return f
 }
 
-func (w *world) call(rule beechcall.Rule, stream bool) *beechcall.Call {
+func (f *fixture) call(rule beechcall.Rule, stream bool) *beechcall.Call {
 	return &beechcall.Call{
-		ID: "id", Service: "app", Method: http.MethodPost, Target: "/x", Deadline: w.clock.Now().Add(5 * time.Second),
+		ID: "id", Service: "app", Method: http.MethodPost, Target: "/x", Deadline: f.clock.Now().Add(5 * time.Second),
 		Route: &beechcall.Route{Name: "r", Rule: rule, Stream: stream, Objective: 100 * time.Millisecond, MaxAttempts: 2},
 	}
 }
 
-// serve answers a call while time goes on.
-func (w *world) serve(ctx context.Context, call *beechcall.Call) *caller {
+// serve answers a call while the fake clock advances.
+func (f *fixture) serve(ctx context.Context, call *beechcall.Call) *caller {
 	c := &caller{}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		w.core.Serve(ctx, call, c)
+		f.dispatcher.Serve(ctx, call, c)
 	}()
 	for {
 		select {
 		case <-done:
-			w.core.blamer.looks.Wait()
+			f.dispatcher.crashes.probes.Wait()
 			return c
 		case <-time.After(200 * time.Microsecond):
-			w.clock.Advance(5 * time.Millisecond)
+			f.clock.Advance(5 * time.Millisecond)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// breaks gives a body that ends in an error.
+// breaks returns an answer whose body ends in an error.
 func breaks(body string) step {
 	return func(context.Context, beechcall.Attempt) (*beechcall.Answer, error) {
 		return &beechcall.Answer{Status: http.StatusOK, Body: io.NopCloser(io.MultiReader(strings.NewReader(body), failing{}))}, nil
@@ -198,15 +198,15 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// The table says, for each rule and each way that a first attempt ends, whether
-// there is a second one and what the caller is told.
-func TestJudgements(t *testing.T) {
+// For each rule and each way a first attempt can end: how many attempts are made, and what
+// the caller is told.
+func TestRetriesAndAnswers(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		rule  beechcall.Rule
-		first step
-		tries int
-		want  any
+		name     string
+		rule     beechcall.Rule
+		first    step
+		attempts int
+		want     any
 	}{
 		{"once, refused", beechcall.RuleOnce, refuses, 2, http.StatusOK},
 		{"once, unreachable", beechcall.RuleOnce, unreachable, 2, http.StatusOK},
@@ -223,253 +223,252 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(3, 5, test.first, answers(http.StatusOK, "whole"))
-			c := w.serve(t.Context(), w.call(test.rule, false))
-			is.Equal(len(w.backend.sent), test.tries)
+			f := newFixture(3, 5, test.first, answers(http.StatusOK, "whole"))
+			c := f.serve(t.Context(), f.call(test.rule, false))
+			is.Equal(len(f.backend.sent), test.attempts)
 			if status, ok := test.want.(int); ok {
-				is.Equal(c.refusal, nil)
+				is.Equal(c.rejection, nil)
 				is.Equal(c.status, status)
 			} else {
-				is.Equal(c.refusal, test.want)
+				is.Equal(c.rejection, test.want)
 			}
 		})
 	}
 }
 
-// Each try goes to another server.
-func TestTriesGoElsewhere(t *testing.T) {
+// Each retry goes to another server.
+func TestRetriesUseOtherServers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(8, 10, refuses)
-	c := w.serve(t.Context(), w.call(beechcall.RuleOnce, false))
-	is.Equal(len(w.backend.sent), sendsMost)
+	f := newFixture(8, 10, refuses)
+	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+	is.Equal(len(f.backend.sent), maxAttempts)
 	seen := map[string]bool{}
-	for _, a := range w.backend.sent {
+	for _, a := range f.backend.sent {
 		is.True(!seen[a.Server.ID])
 		seen[a.Server.ID] = true
 	}
-	refusal, ok := c.refusal.(NotExecuted)
+	rejection, ok := c.rejection.(NotExecuted)
 	is.True(ok)
-	is.True(refusal.RetryAfter > 0)
+	is.True(rejection.RetryAfter > 0)
 }
 
-// "Not run" is told only if no attempt may have run.
-func TestRefusalAfterARunIsNotCalledNotRun(t *testing.T) {
+// The caller is told "not executed" only if no attempt may have been executed.
+func TestOutcomeIsUnknownIfAnyAttemptMayHaveExecuted(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, 1, resets, refuses)
-	c := w.serve(t.Context(), w.call(beechcall.RuleRepeatable, false))
-	is.Equal(c.refusal, OutcomeUnknown{Reason: "no more tries"})
+	f := newFixture(3, 1, resets, refuses)
+	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
+	is.Equal(c.rejection, OutcomeUnknown{Reason: "no more tries"})
 }
 
-func TestBudgetIsKept(t *testing.T) {
+func TestNoRetryWithoutBudget(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, 0, resets)
-	w.serve(t.Context(), w.call(beechcall.RuleRepeatable, false))
-	is.Equal(len(w.backend.sent), 1)
+	f := newFixture(3, 0, resets)
+	f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
+	is.Equal(len(f.backend.sent), 1)
 }
 
-// The budget is spent, so a request whose server is slow keeps its place: a late
-// answer is better than none.
-func TestPatienceWithoutBudget(t *testing.T) {
+// Without budget for a retry, an attempt on a slow server is not canceled: a late answer is
+// better than none.
+func TestNoTimeoutWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	slow := func(ctx context.Context, _ beechcall.Attempt) (*beechcall.Answer, error) {
 		for range 400 {
-			if ended(ctx) {
+			if isDone(ctx) {
 				return nil, beechcall.Unknown{Err: context.Cause(ctx)}
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
 		return answers(http.StatusOK, "late")(ctx, beechcall.Attempt{})
 	}
-	w := newWorld(3, 0, slow)
-	c := w.serve(t.Context(), w.call(beechcall.RuleRepeatable, false))
+	f := newFixture(3, 0, slow)
+	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
 	is.Equal(c.body, "late")
-	is.Equal(len(w.backend.sent), 1)
+	is.Equal(len(f.backend.sent), 1)
 }
 
-// All answers are slow since the fleet is busy. Patience grows with them, so
-// that work is not given out twice just when there is too much.
-func TestPatienceFollowsAnswers(t *testing.T) {
+// All answers are slow because the fleet is busy. The time-out grows with them, so that work
+// is not doubled just when there is too much of it.
+func TestTimeoutFollowsAnswers(t *testing.T) {
 	is := is.New(t)
-	p := newPatience()
-	is.Equal(p.of("r", time.Second), 2*time.Second)
+	p := newRouteTimeouts()
+	is.Equal(p.firstByte("r", time.Second), 2*time.Second)
 	for range 50 {
-		p.learn("r", 3*time.Second, 0, time.Unix(1000, 0))
+		p.observe("r", 3*time.Second, 0, time.Unix(1000, 0))
 	}
-	is.True(p.of("r", time.Second) >= 3*time.Second)
+	is.True(p.firstByte("r", time.Second) >= 3*time.Second)
 	for range 50 {
-		p.learn("r", 10*time.Millisecond, 0, time.Unix(1000, 0))
+		p.observe("r", 10*time.Millisecond, 0, time.Unix(1000, 0))
 	}
-	is.Equal(p.of("r", time.Second), 2*time.Second)
+	is.Equal(p.firstByte("r", time.Second), 2*time.Second)
 }
 
-// Engines are full, and answers take several times what is expected. Those
-// that would come when their callers have left are refused at once, with a time
-// to come back, so that the others come in time.
-func TestHopelessCalls(t *testing.T) {
+// Engines are full, and answers take several times as long as expected. Calls that would be
+// answered after their callers have left are rejected at once, with a time to retry, so that
+// the others are answered in time.
+func TestCallsExpectedTooLate(t *testing.T) {
 	is := is.New(t)
-	p, now := newPatience(), time.Unix(1000, 0)
-	is.True(!p.hopeless("r", time.Hour, time.Hour, time.Second, now)) // nothing is known yet
+	p, now := newRouteTimeouts(), time.Unix(1000, 0)
+	is.True(!p.expectedTooLate("r", time.Hour, time.Hour, time.Second, now)) // no statistics yet
 	for range 100 {
-		p.learn("r", time.Second, 500*time.Millisecond, now)
+		p.observe("r", time.Second, 500*time.Millisecond, now)
 	}
-	is.True(!p.hopeless("r", 900*time.Millisecond, 900*time.Millisecond, time.Second, now))
-	is.True(p.hopeless("r", 1100*time.Millisecond, 600*time.Millisecond, time.Second, now))
-	is.True(!p.hopeless("r", 5*time.Second, 400*time.Millisecond, time.Second, now)) // a very long prompt, with little before it
-	is.True(!p.hopeless("r", time.Hour, time.Hour, 0, now))                          // no objective, no hurry
+	is.True(!p.expectedTooLate("r", 900*time.Millisecond, 900*time.Millisecond, time.Second, now))
+	is.True(p.expectedTooLate("r", 1100*time.Millisecond, 600*time.Millisecond, time.Second, now))
+	is.True(!p.expectedTooLate("r", 5*time.Second, 400*time.Millisecond, time.Second, now)) // a very long prompt with little queued ahead of it
+	is.True(!p.expectedTooLate("r", time.Hour, time.Hour, 0, now))                          // no objective
 	for range 100 {
-		p.learn("r", 100*time.Millisecond, 500*time.Millisecond, now)
+		p.observe("r", 100*time.Millisecond, 500*time.Millisecond, now)
 	}
-	is.True(!p.hopeless("r", 1900*time.Millisecond, 1900*time.Millisecond, time.Second, now)) // quicker answers promise nothing
+	is.True(!p.expectedTooLate("r", 1900*time.Millisecond, 1900*time.Millisecond, time.Second, now)) // faster answers than expected do not raise the bound
 }
 
-// Answers were late for a while, and by that all calls are refused: no answer
-// comes by which it could be seen that the engines are idle again. Callers would
-// be turned away for good.
-func TestRefusalsDoNotFeedOnThemselves(t *testing.T) {
+// After a time of late answers all calls are rejected, so no answer comes that would show that
+// the engines are idle again. Without the decay, callers would be rejected forever.
+func TestSlowdownDecaysWithoutAnswers(t *testing.T) {
 	is := is.New(t)
-	p, now := newPatience(), time.Unix(1000, 0)
+	p, now := newRouteTimeouts(), time.Unix(1000, 0)
 	for range 200 {
-		p.learn("r", 4*time.Second, 500*time.Millisecond, now)
+		p.observe("r", 4*time.Second, 500*time.Millisecond, now)
 	}
-	hopeless := func() bool {
-		return p.hopeless("r", 500*time.Millisecond, 400*time.Millisecond, time.Second, now)
+	tooLate := func() bool {
+		return p.expectedTooLate("r", 500*time.Millisecond, 400*time.Millisecond, time.Second, now)
 	}
-	is.True(hopeless())
+	is.True(tooLate())
 	now = now.Add(4 * time.Second)
-	is.True(!hopeless())
+	is.True(!tooLate())
 }
 
-// No server may be used: the answer comes soon, with a time to come back.
+// No server may be used: the rejection comes soon, with a time to retry.
 func TestNoServer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(0, 5, refuses)
-	call := w.call(beechcall.RuleOnce, false)
-	began := w.clock.Now()
-	c := w.serve(t.Context(), call)
-	refusal, ok := c.refusal.(NotExecuted)
+	f := newFixture(0, 5, refuses)
+	call := f.call(beechcall.RuleOnce, false)
+	began := f.clock.Now()
+	c := f.serve(t.Context(), call)
+	rejection, ok := c.rejection.(NotExecuted)
 	is.True(ok)
-	is.True(refusal.RetryAfter > 0 && refusal.RetryAfter < time.Second)
-	is.True(w.clock.Since(began) < 100*time.Millisecond)
+	is.True(rejection.RetryAfter > 0 && rejection.RetryAfter < time.Second)
+	is.True(f.clock.Since(began) < 100*time.Millisecond)
 }
 
-// A stream breaks off and goes on at another server: none of its events is
-// missing or comes twice, and its head is the first server's.
+// A stream breaks off and continues on another server: no event is missing or repeated, and
+// the headers are the first server's.
 func TestResumedStream(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, 5, breaks(event(1)+event(2)+"id: 3\nda"), func(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
+	f := newFixture(3, 5, breaks(event(1)+event(2)+"id: 3\nda"), func(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
 		is.Equal(a.LastEvent, "2")
 		return answers(http.StatusOK, event(3)+event(4))(context.Background(), a)
 	})
-	c := w.serve(t.Context(), w.call(beechcall.RuleResumable, true))
+	c := f.serve(t.Context(), f.call(beechcall.RuleResumable, true))
 	is.Equal(c.body, event(1)+event(2)+event(3)+event(4))
 	is.True(c.ended)
 	is.True(!c.broken)
 }
 
-// A stream ends in the middle of an event, as if it were whole.
-func TestTornStreamIsNotWhole(t *testing.T) {
+// A stream that ends in the middle of an event is aborted, not ended as if it were complete.
+func TestStreamEndingInsideEventIsAborted(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, 0, answers(http.StatusOK, event(1)+"id: 2\ndata"))
-	c := w.serve(t.Context(), w.call(beechcall.RuleOnce, true))
+	f := newFixture(3, 0, answers(http.StatusOK, event(1)+"id: 2\ndata"))
+	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, true))
 	is.Equal(c.body, event(1))
 	is.True(c.broken)
 	is.True(!c.ended)
 }
 
-// The rest of a begun stream is asked for elsewhere, and the answer there is another one,
-// as of a server that fails. It must not follow the events that the caller has, nor end
-// the stream as if it were whole.
-func TestOtherAnswerDoesNotEndABegunStream(t *testing.T) {
+// A started stream is to be resumed on another server, which answers with something else, such
+// as an error. That answer must not follow the events that the caller has, nor end the stream as
+// if it were complete.
+func TestErrorAnswerDoesNotEndStartedStream(t *testing.T) {
 	is := is.New(t)
-	given := event(1) + event(2)
+	sent := event(1) + event(2)
 	for _, status := range []int{http.StatusInternalServerError, http.StatusNotFound, http.StatusGatewayTimeout, http.StatusNoContent} {
-		w := newWorld(3, 5, breaks(given), answers(status, "sorry"))
-		c := w.serve(t.Context(), w.call(beechcall.RuleResumable, true))
+		f := newFixture(3, 5, breaks(sent), answers(status, "sorry"))
+		c := f.serve(t.Context(), f.call(beechcall.RuleResumable, true))
 		is.True(c.broken)
 		is.True(!c.ended)
 		is.Equal(c.status, http.StatusOK)
-		is.Equal(c.body, given)
+		is.Equal(c.body, sent)
 	}
-	w := newWorld(3, 5, breaks(given), answers(http.StatusInternalServerError, "sorry"), answers(http.StatusOK, event(3)))
-	call := w.call(beechcall.RuleResumable, true)
+	f := newFixture(3, 5, breaks(sent), answers(http.StatusInternalServerError, "sorry"), answers(http.StatusOK, event(3)))
+	call := f.call(beechcall.RuleResumable, true)
 	call.Route.MaxAttempts = 3
-	c := w.serve(t.Context(), call)
+	c := f.serve(t.Context(), call)
 	is.True(c.ended)
-	is.Equal(c.body, given+event(3))
+	is.Equal(c.body, sent+event(3))
 }
 
-// A stream that may not be resumed is never begun twice.
-func TestBegunStreamIsNotRepeated(t *testing.T) {
+// A stream that may not be resumed is never started twice.
+func TestStartedStreamIsNotRepeated(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(3, 5, breaks(event(1)), answers(http.StatusOK, event(1)+event(2)))
-	c := w.serve(t.Context(), w.call(beechcall.RuleRepeatable, true))
-	is.Equal(len(w.backend.sent), 1)
+	f := newFixture(3, 5, breaks(event(1)), answers(http.StatusOK, event(1)+event(2)))
+	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, true))
+	is.Equal(len(f.backend.sent), 1)
 	is.True(c.broken)
 }
 
-func TestCallerThatLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	w := newWorld(3, 5, func(ctx context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
+	f := newFixture(3, 5, func(ctx context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
 		cancel()
 		return hangs(ctx, a)
 	})
-	c := w.serve(ctx, w.call(beechcall.RuleRepeatable, false))
-	is.Equal(len(w.backend.sent), 1)
-	is.Equal(c.refusal, nil)
+	c := f.serve(ctx, f.call(beechcall.RuleRepeatable, false))
+	is.Equal(len(f.backend.sent), 1)
+	is.Equal(c.rejection, nil)
 }
 
-// A request crashes every server that runs it, and its caller sends it again
-// and again. After two crashes it is not sent to a third server.
-func TestPoison(t *testing.T) {
+// A request crashes every server that executes it, and its caller repeats it. After two crashes
+// it is not sent to a third server.
+func TestCrashingRequestIsRejected(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5, 50, resets)
+	f := newFixture(5, 50, resets)
 	for range 4 {
-		w.serve(t.Context(), w.call(beechcall.RuleOnce, false))
+		f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
 	}
-	is.Equal(len(w.backend.sent), 2)
-	c := w.serve(t.Context(), w.call(beechcall.RuleOnce, false))
-	_, ok := c.refusal.(NotExecuted)
+	is.Equal(len(f.backend.sent), 2)
+	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+	_, ok := c.rejection.(NotExecuted)
 	is.True(ok)
 }
 
-// A server that lives breaks off its answers for a while, and many callers ask it
-// the same. Taken for a request that crashes servers, the question would be
-// refused everywhere for minutes after the server is well again.
-func TestFailingServerIsNotTheRequestsFault(t *testing.T) {
+// A running server cuts its answers off for a while, and many callers send it the same request.
+// If the request counted as one that crashes servers, it would be rejected everywhere for
+// minutes after the server has recovered.
+func TestFailingServerDoesNotMakeRequestSuspect(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(5, 50, resets, resets, resets, resets, answers(http.StatusOK, "well again"))
+	f := newFixture(5, 50, resets, resets, resets, resets, answers(http.StatusOK, "has recovered"))
 	for i := range 5 {
-		w.standing[netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)] = true
+		f.reachable[netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)] = true
 	}
 	for range 4 {
-		w.serve(t.Context(), w.call(beechcall.RuleOnce, false))
+		f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
 	}
-	is.Equal(w.serve(t.Context(), w.call(beechcall.RuleOnce, false)).body, "well again")
+	is.Equal(f.serve(t.Context(), f.call(beechcall.RuleOnce, false)).body, "has recovered")
 }
 
-// A request waits in an engine whose weights were overtaken. If it began there after
-// the operators' bound its caller would get an answer by weights that nobody may use
-// any more. It is taken back in time and goes elsewhere, and is to blame for nothing.
-func TestRequestIsTakenBackBeforeItsWeightsAreTooOld(t *testing.T) {
+// A request waits in an engine whose weights have been superseded. If it started after they
+// expire, its caller would get an answer from weights that may not be used any more. It is
+// canceled in time, sent elsewhere, and not counted as a suspect.
+func TestRequestIsCanceledBeforeWeightsExpire(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(2, 5, hangs, answers(http.StatusOK, "elsewhere"))
-	r := &run{core: w.core, call: w.call(beechcall.RuleRepeatable, false), out: &caller{}, caller: t.Context(), started: w.clock.Now()}
-	r.call.Route.Objective = 2 * time.Second // its patience is longer
-	choice, ok := w.core.placer.Choose(r.call, nil)
+	f := newFixture(2, 5, hangs, answers(http.StatusOK, "elsewhere"))
+	r := &execution{dispatcher: f.dispatcher, call: f.call(beechcall.RuleRepeatable, false), out: &caller{}, callerCtx: t.Context(), started: f.clock.Now()}
+	r.call.Route.Objective = 2 * time.Second // its time-out is longer
+	choice, ok := f.dispatcher.placer.Choose(r.call, nil)
 	is.True(ok)
 	choice.Begin = 300 * time.Millisecond
 	ended := make(chan verdict, 1)
 	go func() { ended <- r.attempt(t.Context(), choice) }()
-	_ = w.clock.BlockUntilContext(t.Context(), 2) // patience and the bound
-	w.clock.Advance(299 * time.Millisecond)
-	w.clock.Advance(time.Millisecond)
-	is.Equal(<-ended, again)
-	is.Equal(w.clock.Since(r.started), choice.Begin)
-	_, suspect := w.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
-	is.True(suspect)
-	choice, _ = w.core.placer.Choose(r.call, r.tried)
-	is.Equal(r.attempt(t.Context(), choice), over)
+	_ = f.clock.BlockUntilContext(t.Context(), 2) // the time-out and the start deadline
+	f.clock.Advance(299 * time.Millisecond)
+	f.clock.Advance(time.Millisecond)
+	is.Equal(<-ended, tryAgain)
+	is.Equal(f.clock.Since(r.started), choice.Begin)
+	_, unsuspected := f.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
+	is.True(unsuspected)
+	choice, _ = f.dispatcher.placer.Choose(r.call, r.triedServers)
+	is.Equal(r.attempt(t.Context(), choice), finished)
 	is.Equal(r.out.(*caller).body, "elsewhere")
 }
 
@@ -478,10 +477,10 @@
 	is.Equal(wholeEvents([]byte("id: 1\ndata: x\n\nid: 2")), len("id: 1\ndata: x\n\n"))
 	is.Equal(wholeEvents([]byte("id: 1\r\ndata: x\r\n\r\nid")), len("id: 1\r\ndata: x\r\n\r\n"))
 	is.Equal(wholeEvents([]byte("id: 1\n")), 0)
-	id, ok := lastEvent([]byte("id: 7\ndata: id: 9\n\nid: 8\ndata: grid: 3\n\n"))
+	id, ok := lastEventID([]byte("id: 7\ndata: id: 9\n\nid: 8\ndata: grid: 3\n\n"))
 	is.True(ok)
 	is.Equal(id, "8")
-	_, ok = lastEvent([]byte("data: x\n\n"))
+	_, ok = lastEventID([]byte("data: x\n\n"))
 	is.True(!ok)
 }
 
@@ -492,6 +491,6 @@
 		if end < 0 || end > len(data) || wholeEvents(data[end:]) != 0 {
 			t.Fatalf("%q: %d", data, end)
 		}
-		_, _ = lastEvent(data)
+		_, _ = lastEventID(data)
 	})
 }
--- a/internal/request/beechattempt/crash.go
+++ b/internal/request/beechattempt/crash.go
@@ -13,61 +13,61 @@
 )
 
 type (
-	// Prober tells whether a server takes connections; *beechpool.Pool is one.
+	// Prober reports whether a server accepts connections; *beechpool.Pool implements it.
 	Prober interface {
 		Reach(ctx context.Context, peer netip.AddrPort) error
 	}
 
-	// blamer decides whether a request whose answer broke off is to blame for it.
-	// A server that a request crashes is gone afterwards; one that resets
-	// connections or breaks off answers while it lives is at fault itself. Were
-	// both blamed on the request, a failing server would have the same question of
-	// many callers refused everywhere, for minutes. It is safe for concurrent use.
-	blamer struct {
+	// crashDetector decides whether a request whose answer broke off has crashed its
+	// server. After a crash the server no longer accepts connections; a server that still
+	// does has itself failed, by resetting connections or cutting answers off. If both
+	// counted against the request, a failing server would have the same request of many
+	// callers rejected everywhere for minutes. It is safe for concurrent use.
+	crashDetector struct {
 		prober   Prober
 		suspects *beechsuspect.Register
 		clock    clockwork.Clock
 		log      *zap.Logger
 
 		mu      sync.Mutex
-		waiting map[netip.AddrPort][]uint64 // fingerprints, by the server that is looked at
-		looks   sync.WaitGroup
+		pending map[netip.AddrPort][]uint64 // fingerprints of requests, by the server being probed
+		probes  sync.WaitGroup
 	}
 )
 
-// lookPatience is how long a server may take to accept a connection: several
-// times the way to the farthest availability zone, and well inside the time after
-// which a crashed server is back.
-const lookPatience = 400 * time.Millisecond
+// probeTimeout is how long a server may take to accept a connection: several
+// round trips to the farthest availability zone, and well below the time in which
+// a crashed server restarts.
+const probeTimeout = 400 * time.Millisecond
 
-func newBlamer(prober Prober, suspects *beechsuspect.Register, clock clockwork.Clock, log *zap.Logger) *blamer {
-	return &blamer{prober: prober, suspects: suspects, clock: clock, log: log, waiting: make(map[netip.AddrPort][]uint64)}
+func newCrashDetector(prober Prober, suspects *beechsuspect.Register, clock clockwork.Clock, log *zap.Logger) *crashDetector {
+	return &crashDetector{prober: prober, suspects: suspects, clock: clock, log: log, pending: make(map[netip.AddrPort][]uint64)}
 }
 
-// brokeOff takes in a request whose answer broke off at a server, and has it
-// blamed if the server is gone. The caller is not kept waiting for that. All
-// that break off together cost one connection.
-func (b *blamer) brokeOff(fingerprint uint64, server netip.AddrPort) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	list, looking := b.waiting[server]
-	b.waiting[server] = append(list, fingerprint)
-	if !looking {
-		b.looks.Go(func() { b.look(server) })
+// answerBroken records a request whose answer broke off, and reports it as a suspect if
+// the server is down. The probe runs in the background, and is shared by all requests
+// that break off at a server meanwhile.
+func (d *crashDetector) answerBroken(fingerprint uint64, server netip.AddrPort) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	list, probing := d.pending[server]
+	d.pending[server] = append(list, fingerprint)
+	if !probing {
+		d.probes.Go(func() { d.probe(server) })
 	}
 }
 
-func (b *blamer) look(server netip.AddrPort) {
-	ctx, cancel := clockwork.WithTimeout(context.Background(), b.clock, lookPatience)
+func (d *crashDetector) probe(server netip.AddrPort) {
+	ctx, cancel := clockwork.WithTimeout(context.Background(), d.clock, probeTimeout)
 	defer cancel()
-	err := b.prober.Reach(ctx, server)
-	b.mu.Lock()
-	running := b.waiting[server]
-	delete(b.waiting, server)
-	b.mu.Unlock()
+	err := d.prober.Reach(ctx, server)
+	d.mu.Lock()
+	fingerprints := d.pending[server]
+	delete(d.pending, server)
+	d.mu.Unlock()
 	if err == nil {
 		return
 	}
-	b.log.Info("server gone with requests under way", zap.Stringer("peer", server), zap.Int("requests", len(running)), zap.Error(err))
-	b.suspects.Crashed(running)
+	d.log.Info("server gone with requests under way", zap.Stringer("peer", server), zap.Int("requests", len(fingerprints)), zap.Error(err))
+	d.suspects.Crashed(fingerprints)
 }
--- a/internal/request/beechattempt/dispatcher.go
+++ b/internal/request/beechattempt/dispatcher.go
@@ -22,104 +22,106 @@
 		backend  beechcall.Backend
 		budget   RetryBudget
 		suspects *beechsuspect.Register
-		blamer   *blamer
+		crashes  *crashDetector
 		observer Observer
 		clock    clockwork.Clock
 		log      *zap.Logger
-		patience *patience
+		timeouts *routeTimeouts
 	}
 
-	// RetryBudget bounds the retries to each service; *beechgate.Budgets is one.
+	// RetryBudget bounds the retries to each service; *beechgate.Budgets implements it.
 	RetryBudget interface {
 		RecordRequest(service string)
 		Decide(service string, o beechretry.Outcome) beechretry.Decision
 	}
 
-	// Observer learns how servers do.
+	// Observer receives measurements of servers and calls.
 	Observer interface {
-		// ObserveAttempt tells of an answer's first byte, or of a failure.
-		ObserveAttempt(server beechcall.Server, model string, first time.Duration, unread int, failed bool)
-		// ObserveEnd tells how a call ended.
-		ObserveEnd(e Result)
+		// ObserveAttempt is called with the time to an answer's first byte, or for a
+		// failure. Unread is the number of prompt tokens that the server had to prefill.
+		ObserveAttempt(server beechcall.Server, model string, firstByte time.Duration, unread int, failed bool)
+		// ObserveEnd is called when a call has ended.
+		ObserveEnd(r Result)
 	}
 
-	// Result is how a call ended.
+	// Result describes how a call ended.
 	Result struct {
 		Call      *beechcall.Call
 		Outcome   string            // answered, refused, failed, overdue, broken or left
-		Choice    beechplace.Choice // the last; zero where there was none
+		Choice    beechplace.Choice // of the last attempt; zero if there was none
 		Attempts  int
-		FirstByte time.Duration // to the first byte
-		Duration  time.Duration
+		FirstByte time.Duration // until the first byte
+		Duration  time.Duration // of the whole call
 	}
 
-	// Responder gives a caller its answer, in the front door's protocol. Of
-	// Refuse, Plain and Stream exactly one is called, once; a stream ends with
-	// End or Break.
+	// Responder sends a caller its answer, in the protocol of the listener that accepted
+	// the call. Exactly one of Reject, Respond and StartStream is called, once; a stream
+	// ends with EndStream or AbortStream.
 	Responder interface {
 		Reject(r Rejection)
 		Respond(status int, header http.Header, body []byte)
 		StartStream(status int, header http.Header)
-		SendEvents(data []byte) error // whole events
+		SendEvents(data []byte) error // complete events only
 		EndStream()
 		AbortStream()
 	}
 
-	// Rejection is an answer without a server's answer: NotRun, OverQuota, Unknown
-	// or Overdue.
-	Rejection interface{ refusal() }
+	// Rejection is the answer to a call that no server has answered: NotExecuted,
+	// QuotaExceeded, OutcomeUnknown or DeadlineExceeded.
+	Rejection interface{ rejection() }
 
-	// NotExecuted says that the request has not run and will not. After is when to
-	// come back.
+	// NotExecuted means that the request has not been executed and will not be.
+	// RetryAfter is when the caller may retry.
 	NotExecuted struct {
 		RetryAfter time.Duration
 		Reason     string
 	}
 
-	// QuotaExceeded says that the workspace has used its quota up; the request has not
-	// run and will not. After is when there will be some for it.
+	// QuotaExceeded means that the workspace has used up its quota. The request has not
+	// been executed and will not be. RetryAfter is when quota will be available again.
 	QuotaExceeded struct{ RetryAfter time.Duration }
 
-	// OutcomeUnknown says that the request may have run.
+	// OutcomeUnknown means that the request may have been executed.
 	OutcomeUnknown struct{ Reason string }
 
-	// DeadlineExceeded says that the deadline has passed; the request may have run.
+	// DeadlineExceeded means that the deadline has passed; the request may have been
+	// executed.
 	DeadlineExceeded struct{}
 )
 
-func (NotExecuted) refusal()      {}
-func (QuotaExceeded) refusal()    {}
-func (OutcomeUnknown) refusal()   {}
-func (DeadlineExceeded) refusal() {}
+func (NotExecuted) rejection()      {}
+func (QuotaExceeded) rejection()    {}
+func (OutcomeUnknown) rejection()   {}
+func (DeadlineExceeded) rejection() {}
 
-// New returns a core. The dependencies are used until the last call ends.
+// New returns a dispatcher. The dependencies are used until the last call has ended.
 func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget RetryBudget, suspects *beechsuspect.Register,
 	observer Observer, clock clockwork.Clock, log *zap.Logger,
 ) *Dispatcher {
 	return &Dispatcher{
-		placer: placer, backend: backend, budget: budget, suspects: suspects, blamer: newBlamer(prober, suspects, clock, log),
-		observer: observer, clock: clock, log: log, patience: newPatience(),
+		placer: placer, backend: backend, budget: budget, suspects: suspects, crashes: newCrashDetector(prober, suspects, clock, log),
+		observer: observer, clock: clock, log: log, timeouts: newRouteTimeouts(),
 	}
 }
 
-// Serve answers a call. The context ends when the caller leaves; what runs for
-// it then is cancelled. It tells on how many servers the call may have run.
-func (c *Dispatcher) Serve(ctx context.Context, call *beechcall.Call, out Responder) int {
-	if refuse, ok := c.suspects.Check(call.Fingerprint()).(beechsuspect.Refuse); ok {
-		c.log.Warn("request refused", zap.String("request", call.ID), zap.String("reason", "it crashed servers before"), zap.Duration("after", refuse.After))
+// Serve answers a call. The context ends when the caller disconnects, which cancels the
+// attempt under way. It returns the number of attempts that may have been executed.
+func (d *Dispatcher) Serve(ctx context.Context, call *beechcall.Call, out Responder) int {
+	if refuse, ok := d.suspects.Check(call.Fingerprint()).(beechsuspect.Refuse); ok {
+		d.log.Warn("request refused", zap.String("request", call.ID), zap.String("reason", "it crashed servers before"), zap.Duration("after", refuse.After))
 		out.Reject(NotExecuted{RetryAfter: refuse.After, Reason: "suspect"})
 		return 0
 	}
-	limited, cancel := clockwork.WithDeadline(ctx, c.clock, call.Deadline)
+	limited, cancel := clockwork.WithDeadline(ctx, d.clock, call.Deadline)
 	defer cancel()
-	r := &run{core: c, call: call, out: out, caller: ctx, started: c.clock.Now()}
-	ending := r.serve(limited)
-	c.observer.ObserveEnd(Result{Call: call, Outcome: ending, Choice: r.choice, Attempts: r.sends, FirstByte: r.first, Duration: c.clock.Since(r.started)})
-	return r.sends - r.notRun
+	r := &execution{dispatcher: d, call: call, out: out, callerCtx: ctx, started: d.clock.Now()}
+	outcome := r.serve(limited)
+	d.observer.ObserveEnd(Result{Call: call, Outcome: outcome, Choice: r.choice, Attempts: r.attempts, FirstByte: r.firstByte, Duration: d.clock.Since(r.started)})
+	return r.attempts - r.notExecuted
 }
 
-// spread is a time around d, so that callers that were refused together do not
-// come back together.
-func spread(d time.Duration) time.Duration {
-	return d/2 + time.Duration(rand.Int64N(int64(d)))
+// jitter returns a random duration around delay, so that callers that were rejected together
+// do not retry together.
+func jitter(delay time.Duration) time.Duration {
+	return delay/2 + time.Duration(rand.Int64N(int64(delay)))
 }
--- a/internal/request/beechattempt/doc.go
+++ b/internal/request/beechattempt/doc.go
@@ -1,27 +1,27 @@
-// Package beechattempt takes a request from admission to its answer: it asks
-// for a server, sends an attempt, judges what came of it, and tries again where
-// that is safe and worth it.
+// Package beechattempt serves a request from admission to its answer: it chooses
+// a server, sends an attempt, and retries failed attempts where that is safe and
+// worthwhile.
 //
-//	Serve -> admit -> choose -> attempt -> judge -> answer
+//	Serve -> choose -> attempt -> forward the answer or handle the failure
 //
-// # What may be tried again
+// # Retries
 //
-// A request that surely did not run, by the server's own word or because
-// nothing was sent, goes to another server. One that may have run goes again
-// only where its route says that it may be repeated, or, for a stream, resumed
-// after its last event. Each try after the first that reaches a server is paid
-// for from the gate's share of the retry budget. A request that has run on as
-// many servers as its route allows is not tried again.
+// A request that was certainly not executed, because the server says so or
+// nothing was sent, goes to another server. One that may have been executed is
+// sent again only if its route declares it repeatable or, for a stream, resumable
+// after its last event. Every retry that reaches a server is taken from the
+// gate's share of the retry budget. A request that has been executed on as many
+// servers as its route allows is not retried.
 //
-// # What the caller is told
+// # Answers
 //
-// The answer of the server as it is; "not run" only if no attempt may have run;
-// otherwise that the outcome is not known, and at the deadline that the time is
-// over. A stream that cannot be brought to its end is broken off visibly, so
-// that nobody takes it for whole.
+// The caller gets the server's answer unchanged. Without one it is told "not
+// executed" only if no attempt may have been executed, that the deadline has
+// passed if it has, and otherwise that the outcome is unknown. A stream that
+// cannot be completed is visibly aborted, so that no caller takes it for complete.
 //
 // # Usage
 //
-//	core := beechattempt.New(placer, backend, pool, budget, suspects, clock, log)
-//	core.Serve(ctx, call, responder) // ctx ends when the caller leaves
+//	dispatcher := beechattempt.New(placer, backend, pool, budget, suspects, observer, clock, log)
+//	dispatcher.Serve(ctx, call, responder) // ctx ends when the caller disconnects
 package beechattempt
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -16,299 +16,300 @@
 )
 
 type (
-	// run is one call's way through its attempts.
-	run struct {
-		core    *Dispatcher
-		call    *beechcall.Call
-		out     Responder
-		caller  context.Context
-		started time.Time
+	// execution is the state of one call across its attempts.
+	execution struct {
+		dispatcher *Dispatcher
+		call       *beechcall.Call
+		out        Responder
+		callerCtx  context.Context
+		started    time.Time
 
-		tried  []string          // servers, by ID
-		sends  int               // attempts, whatever came of them
-		waits  int               // for parts that were being read
-		held   int               // attempts that were not sent for a server's limit
-		back   time.Duration     // where all servers are at their limits: when one has room
-		ran    int               // attempts without a good answer that may have run
-		notRun int               // attempts of which it is proved that they have not
-		choice beechplace.Choice // the last
-		first  time.Duration     // from the start to the first byte
-		failed *plain            // a server's own failure, given if no better answer comes
-		stream streamState
+		triedServers    []string          // by ID
+		attempts        int               // with any outcome
+		partWaits       int               // waits for a prompt part that another request was prefilling
+		limitedAttempts int               // attempts not sent because the server was at its limit
+		limitRetryAfter time.Duration     // if all servers are at their limits: when one has capacity
+		maybeExecuted   int               // attempts without a good answer that may have been executed
+		notExecuted     int               // attempts that were certainly not executed
+		choice          beechplace.Choice // of the last attempt
+		firstByte       time.Duration     // since the start
+		serverError     *response         // a server's error response, forwarded if no better answer comes
+		stream          streamState
 	}
 
-	plain struct {
+	response struct {
 		status int
 		header http.Header
 		body   []byte
 	}
 
-	// verdict says what comes after an attempt.
+	// verdict is what follows an attempt.
 	verdict int
 )
 
 const (
-	over  verdict = iota // the caller has its answer, or has left
-	again                // try another server
-	stop                 // give up
+	finished verdict = iota // the caller has its answer or has disconnected
+	tryAgain                // on another server
+	noRetry                 // reject the call or abort its stream
 )
 
 const (
-	// sendsMost bounds attempts that did not run: each costs the caller a
-	// round trip, and five servers that turn a request away say enough.
-	sendsMost = 5
-	// holdShare of the objective is waited for a server to come back.
-	holdShare = 10
-	holdLeast = 20 * time.Millisecond
-	holdPoll  = 10 * time.Millisecond
-	// waitsMost bounds the waits for parts: servers that go away meanwhile would
-	// otherwise have a call wait again and again.
-	waitsMost = 2
-	// heldMost bounds choices of servers that come to their limits before the call is sent:
-	// many gates may be after the same few requests.
-	heldMost = 4
-	// comeBack is when a refused caller may come back: an engine loads weights
+	// maxAttempts bounds attempts that were not executed: each costs the caller a
+	// round trip, and after five rejections another server is unlikely to accept.
+	maxAttempts = 5
+	// A call waits for a server to become available for its objective divided by
+	// serverWaitDivisor, but at least minServerWait.
+	serverWaitDivisor = 10
+	minServerWait     = 20 * time.Millisecond
+	serverWaitPoll    = 10 * time.Millisecond
+	// maxPartWaits bounds the waits for prompt parts: servers that go away meanwhile
+	// would otherwise keep a call waiting again and again.
+	maxPartWaits = 2
+	// maxLimitedAttempts bounds how often a chosen server reaches its limit before the
+	// call is sent: many gates may compete for the same remaining requests.
+	maxLimitedAttempts = 4
+	// defaultRetryAfter is when a rejected caller may retry: an engine loads weights
 	// in half a second.
-	comeBack = 300 * time.Millisecond
-	// pauseTimes is how often the longest pause a resumable stream may be
-	// silent.
-	pauseTimes = 4
-	pauseLeast = 800 * time.Millisecond
-	// routeRanks are told apart within a workspace's rank; engines know ten
-	// ranks in all.
-	routeRanks    = 3
-	urgencyLast   = 9
-	workspaceRank = 1 // where operators give none
-	answerMost    = 16 << 20
-	atLimits      = "servers at their limits"
+	defaultRetryAfter = 300 * time.Millisecond
+	// A resumable stream may be silent for pauseFactor times its route's longest pause,
+	// but at least minPauseTimeout.
+	pauseFactor     = 4
+	minPauseTimeout = 800 * time.Millisecond
+	// routeRanks is the number of route priorities told apart within one workspace
+	// priority; engines know ten urgencies in all.
+	routeRanks           = 3
+	maxUrgency           = 9
+	defaultWorkspaceRank = 1 // where the operators' configuration has none
+	maxAnswerBytes       = 16 << 20
+	reasonAtLimits       = "servers at their limits"
 )
 
 var (
-	errPatience = errors.New("no answer within the patience for this request")
-	errTooOld   = errors.New("the weights there would be too old to begin with")
-	errTooLong  = errors.New("the answer is too long")
+	errFirstByteTimeout = errors.New("no first byte within the route's time-out")
+	errWeightsExpire    = errors.New("the server's weights expire before the request can start")
+	errAnswerTooLong    = errors.New("answer exceeds 16 MiB")
 )
 
-func (r *run) serve(ctx context.Context) string {
-	r.core.budget.RecordRequest(r.call.Service)
+func (r *execution) serve(ctx context.Context) string {
+	r.dispatcher.budget.RecordRequest(r.call.Service)
 	for {
 		choice, ok := r.choose(ctx)
 		if !ok && choice.Back > 0 {
-			r.back = choice.Back
-			return r.giveUp(ctx, atLimits)
+			r.limitRetryAfter = choice.Back
+			return r.giveUp(ctx, reasonAtLimits)
 		}
 		if !ok {
 			return r.giveUp(ctx, "no server may be used")
 		}
-		if r.sends == 0 && r.core.patience.hopeless(r.call.Route.Name, span(choice.Expected), span(choice.Ahead), r.call.Route.Objective, r.core.clock.Now()) {
+		if r.attempts == 0 && r.dispatcher.timeouts.expectedTooLate(r.call.Route.Name, milliseconds(choice.Expected), milliseconds(choice.Ahead), r.call.Route.Objective, r.dispatcher.clock.Now()) {
 			return r.giveUp(ctx, "no server would answer in time")
 		}
 		switch r.attempt(ctx, choice) {
-		case over:
-			return r.ending()
-		case stop:
-			if r.back > 0 {
-				return r.giveUp(ctx, atLimits)
+		case finished:
+			return r.outcome()
+		case noRetry:
+			if r.limitRetryAfter > 0 {
+				return r.giveUp(ctx, reasonAtLimits)
 			}
 			return r.giveUp(ctx, "no more tries")
-		case again:
+		case tryAgain:
 		}
 	}
 }
 
-func (r *run) ending() string {
-	if ended(r.caller) {
+func (r *execution) outcome() string {
+	if isDone(r.callerCtx) {
 		return "left"
 	}
 	return "answered"
 }
 
-// choose asks for a server, and waits a moment where none may be used: an
-// engine that takes new weights is back soon, and a caller that is sent away
-// takes longer to return. Where servers have room only later it does not wait.
-func (r *run) choose(ctx context.Context) (beechplace.Choice, bool) {
-	hold := max(r.call.Route.Objective/holdShare, holdLeast)
-	until := r.core.clock.Now().Add(hold)
+// choose returns a server. If none may be used it waits for a short time, since an engine
+// that loads weights is soon available again and a rejected caller takes longer to retry.
+// It does not wait if all servers are at their limits for longer than that.
+func (r *execution) choose(ctx context.Context) (beechplace.Choice, bool) {
+	wait := max(r.call.Route.Objective/serverWaitDivisor, minServerWait)
+	until := r.dispatcher.clock.Now().Add(wait)
 	for {
-		choice, ok := r.core.placer.Choose(r.call, r.tried)
-		if now := r.core.clock.Now(); ok || now.Add(choice.Back).After(until) || ended(ctx) {
-			return choice, ok && !ended(ctx)
+		choice, ok := r.dispatcher.placer.Choose(r.call, r.triedServers)
+		if now := r.dispatcher.clock.Now(); ok || now.Add(choice.Back).After(until) || isDone(ctx) {
+			return choice, ok && !isDone(ctx)
 		}
 		select {
-		case <-r.core.clock.After(holdPoll):
+		case <-r.dispatcher.clock.After(serverWaitPoll):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// attempt sends the call to one server and gives the caller what comes.
-func (r *run) attempt(ctx context.Context, choice beechplace.Choice) verdict {
-	ticket := r.core.placer.Sent(r.call, choice)
+// attempt sends the call to one server and forwards the answer to the caller.
+func (r *execution) attempt(ctx context.Context, choice beechplace.Choice) verdict {
+	ticket := r.dispatcher.placer.Sent(r.call, choice)
 	r.choice = choice
-	if choice.Wait > 0 && r.waits < waitsMost && !r.waited(ctx, choice) {
+	if choice.Wait > 0 && r.partWaits < maxPartWaits && !r.waitForPart(ctx, choice) {
 		ticket.Done(beechplace.Left)
-		return again
+		return tryAgain
 	}
 	if !ticket.Send() {
 		ticket.Done(beechplace.Left)
-		if r.held++; r.held < heldMost {
-			return again
+		if r.limitedAttempts++; r.limitedAttempts < maxLimitedAttempts {
+			return tryAgain
 		}
-		r.back = comeBack
-		return stop
+		r.limitRetryAfter = defaultRetryAfter
+		return noRetry
 	}
-	r.sends++
+	r.attempts++
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	watch := r.newWatch(cancel, choice)
+	watch := r.newWatchdog(cancel, choice)
 	defer watch.stop()
-	sent := r.core.clock.Now()
-	answer, err := r.core.backend.Send(ctx, beechcall.Attempt{
+	sent := r.dispatcher.clock.Now()
+	answer, err := r.dispatcher.backend.Send(ctx, beechcall.Attempt{
 		Call: r.call, Server: choice.Server, Weights: choice.Weights, Salt: choice.Salt,
-		Urgency: r.urgency(), Fetch: choice.Fetch, Save: choice.Save, LastEvent: r.stream.last,
+		Urgency: r.urgency(), Fetch: choice.Fetch, Save: choice.Save, LastEvent: r.stream.lastEventID,
 	})
 	if err != nil {
-		return r.judge(choice, ticket, watch, err)
+		return r.handleFailure(choice, ticket, watch, err)
 	}
 	defer answer.Body.Close()
 	ticket.Said(answer.Limit)
 	ticket.Load(answer.Load)
-	r.core.placer.Has(choice.Server.ID, r.call.Model, answer.Weights)
+	r.dispatcher.placer.Has(choice.Server.ID, r.call.Model, answer.Weights)
 	if r.call.Route.Stream && answer.Status == http.StatusOK {
-		return r.follow(choice, ticket, watch, answer, sent)
+		return r.forwardStream(choice, ticket, watch, answer, sent)
 	}
-	return r.whole(choice, ticket, watch, answer, sent)
+	return r.forwardWhole(choice, ticket, watch, answer, sent)
 }
 
-// waited waits for a part that is being read, and tells whether the choice
-// still stands.
-func (r *run) waited(ctx context.Context, choice beechplace.Choice) bool {
-	r.waits++
+// waitForPart waits for a prompt part that is being prefilled for another request, and
+// reports whether the choice is still valid.
+func (r *execution) waitForPart(ctx context.Context, choice beechplace.Choice) bool {
+	r.partWaits++
 	select {
-	case <-r.core.clock.After(choice.Wait):
+	case <-r.dispatcher.clock.After(choice.Wait):
 	case <-ctx.Done():
 	}
-	return !ended(ctx) && r.core.placer.Still(choice)
+	return !isDone(ctx) && r.dispatcher.placer.Still(choice)
 }
 
-// urgency ranks calls at an engine: the workspace's rank goes first, the
-// route's decides among those of one rank. Without the second, a short question
-// waits behind each long review of a workspace of the same rank.
-func (r *run) urgency() int {
-	rank := workspaceRank
+// urgency returns the call's priority at an engine: by the workspace's priority first, then by
+// the route's. Without the second, a short question waits behind all long reviews of
+// workspaces with the same priority.
+func (r *execution) urgency() int {
+	rank := defaultWorkspaceRank
 	if r.call.Workspace.Priority >= 0 {
 		rank = r.call.Workspace.Priority
 	}
-	return min(rank*routeRanks+min(max(r.call.Route.Priority, 0), routeRanks-1), urgencyLast)
+	return min(rank*routeRanks+min(max(r.call.Route.Priority, 0), routeRanks-1), maxUrgency)
 }
 
-// whole reads a plain answer to its end before the caller sees any of it, so
-// that a broken one can be replaced.
-func (r *run) whole(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, answerMost+1))
-	if err == nil && len(body) > answerMost {
-		err = errTooLong
+// forwardWhole reads an answer that is not a stream to its end before the caller receives
+// any of it, so that an incomplete one can be replaced by a retry.
+func (r *execution) forwardWhole(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = errAnswerTooLong
 	}
 	if err != nil {
-		return r.judge(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
+		return r.handleFailure(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
 	}
 	watch.stop()
-	if !r.stream.begun {
-		r.first = r.core.clock.Since(r.started)
+	if !r.stream.started {
+		r.firstByte = r.dispatcher.clock.Since(r.started)
 	}
 	ticket.Done(beechplace.Answered)
-	r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), 0, r.core.clock.Now())
-	bad := answer.Status >= http.StatusInternalServerError
-	r.core.observer.ObserveAttempt(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, bad)
-	if bad && r.repeatable() && answer.Status != http.StatusGatewayTimeout {
-		r.ran++
-		r.tried = append(r.tried, choice.Server.ID)
-		r.failed = &plain{answer.Status, answer.Header, body}
-		if r.ran < r.call.Route.MaxAttempts && r.pay(beechretry.RanYes, choice, false) {
-			r.note("retried", choice, zap.Int("status", answer.Status))
-			return again
+	r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), 0, r.dispatcher.clock.Now())
+	serverError := answer.Status >= http.StatusInternalServerError
+	r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.Unread, serverError)
+	if serverError && r.repeatable() && answer.Status != http.StatusGatewayTimeout {
+		r.maybeExecuted++
+		r.triedServers = append(r.triedServers, choice.Server.ID)
+		r.serverError = &response{answer.Status, answer.Header, body}
+		if r.maybeExecuted < r.call.Route.MaxAttempts && r.takeRetry(beechretry.RanYes, choice, false) {
+			r.logAttempt("retried", choice, zap.Int("status", answer.Status))
+			return tryAgain
 		}
 	}
-	if r.stream.begun {
-		r.note("answered otherwise", choice, zap.Int("status", answer.Status))
-		return stop // it is not the rest of what the caller has
+	if r.stream.started {
+		r.logAttempt("answered with another response", choice, zap.Int("status", answer.Status))
+		return noRetry // not a continuation of the events that the caller has
 	}
-	r.core.suspects.Finished(r.call.Fingerprint())
+	r.dispatcher.suspects.Finished(r.call.Fingerprint())
 	r.out.Respond(answer.Status, answer.Header, body)
-	return over
+	return finished
 }
 
-// judge decides after an attempt without a whole answer.
-func (r *run) judge(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, err error) verdict {
+// handleFailure decides what follows an attempt without a complete answer.
+func (r *execution) handleFailure(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, err error) verdict {
 	watch.stop()
-	if ended(r.caller) {
+	if isDone(r.callerCtx) {
 		ticket.Done(beechplace.Left)
-		return over
+		return finished
 	}
-	r.tried = append(r.tried, choice.Server.ID)
+	r.triedServers = append(r.triedServers, choice.Server.ID)
 	var notSent beechcall.NotSent
 	var notRun beechcall.NotRun
 	switch {
 	case errors.As(err, &notSent):
-		r.notRun++
+		r.notExecuted++
 		ticket.Done(beechplace.Unreached)
-		r.note("not sent", choice, zap.Error(err))
-		if r.sends < sendsMost {
-			return again
+		r.logAttempt("not sent", choice, zap.Error(err))
+		if r.attempts < maxAttempts {
+			return tryAgain
 		}
-		return stop
+		return noRetry
 	case errors.As(err, &notRun):
-		r.notRun++
+		r.notExecuted++
 		if !notRun.Replaced {
 			ticket.Said(notRun.Limit)
 			ticket.Load(notRun.Load)
 		}
 		ticket.Done(beechplace.TurnedAway)
-		r.core.placer.Refused(choice.Server.ID, notRun, r.call.Model)
-		r.note("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.Other))
-		if r.sends < sendsMost && r.pay(beechretry.RanNo, choice, true) {
-			return again
+		r.dispatcher.placer.Refused(choice.Server.ID, notRun, r.call.Model)
+		r.logAttempt("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.Other))
+		if r.attempts < maxAttempts && r.takeRetry(beechretry.RanNo, choice, true) {
+			return tryAgain
 		}
-		return stop
+		return noRetry
 	}
-	r.ran++
-	r.note("failed", choice, zap.Error(err), zap.Bool("patience", watch.granted()))
-	if watch.granted() {
+	r.maybeExecuted++
+	r.logAttempt("failed", choice, zap.Error(err), zap.Bool("patience", watch.hasRetry()))
+	if watch.hasRetry() {
 		ticket.Done(beechplace.Failed)
-		r.core.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
-		return again
+		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
+		return tryAgain
 	}
-	if watch.tooLate() {
+	if watch.startMissed() {
 		ticket.Done(beechplace.Left)
-	} else if r.core.clock.Now().Before(r.call.Deadline) {
+	} else if r.dispatcher.clock.Now().Before(r.call.Deadline) {
 		ticket.Done(beechplace.Failed)
-		r.core.blamer.brokeOff(r.call.Fingerprint(), choice.Server.Address)
-		r.core.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.dispatcher.crashes.answerBroken(r.call.Fingerprint(), choice.Server.Address)
+		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
 	} else {
 		ticket.Done(beechplace.Left)
-		return stop
+		return noRetry
 	}
-	if r.repeatable() && r.ran < r.call.Route.MaxAttempts && r.pay(beechretry.RanUnknown, choice, false) {
-		return again
+	if r.repeatable() && r.maybeExecuted < r.call.Route.MaxAttempts && r.takeRetry(beechretry.RanUnknown, choice, false) {
+		return tryAgain
 	}
-	return stop
+	return noRetry
 }
 
-// repeatable tells whether a call that may have run may run again. A stream
-// that was begun goes on only where it may be resumed after its last event.
-func (r *run) repeatable() bool {
+// repeatable reports whether a call that may have been executed may be sent again. A stream
+// that has started goes on only if it can be resumed after its last event.
+func (r *execution) repeatable() bool {
 	switch r.call.Route.Rule {
 	case beechcall.RuleRepeatable:
-		return !r.stream.begun
+		return !r.stream.started
 	case beechcall.RuleResumable:
-		return !r.stream.begun || r.stream.last != ""
+		return !r.stream.started || r.stream.lastEventID != ""
 	}
 	return false
 }
 
-// pay takes a try out of the retry budget, if there is one left.
-func (r *run) pay(ran beechretry.Ran, choice beechplace.Choice, refused bool) bool {
-	d := r.core.budget.Decide(r.call.Service, beechretry.Outcome{
+// takeRetry takes a retry from the budget, and reports whether one was left.
+func (r *execution) takeRetry(ran beechretry.Ran, choice beechplace.Choice, refused bool) bool {
+	d := r.dispatcher.budget.Decide(r.call.Service, beechretry.Outcome{
 		Attempt: 1, Ran: ran, Repeatable: r.repeatable(), Deadline: r.call.Deadline,
 		Server: choice.Server.Address, Refused: refused,
 	})
@@ -316,53 +317,53 @@
 	return ok
 }
 
-// giveUp tells the caller how it stands.
-func (r *run) giveUp(ctx context.Context, reason string) string {
-	if ended(r.caller) {
+// giveUp ends a call that gets no further attempt, and returns the outcome.
+func (r *execution) giveUp(ctx context.Context, reason string) string {
+	if isDone(r.callerCtx) {
 		return "left"
 	}
 	fields := []zap.Field{
 		zap.String("request", r.call.ID), zap.String("route", r.call.Route.Name), zap.String("reason", reason),
-		zap.Int("sends", r.sends), zap.Int("ran", r.ran), zap.Duration("took", r.core.clock.Since(r.started)),
+		zap.Int("sends", r.attempts), zap.Int("ran", r.maybeExecuted), zap.Duration("took", r.dispatcher.clock.Since(r.started)),
 	}
 	switch {
-	case r.stream.begun:
-		r.core.log.Warn("stream broken off", fields...)
+	case r.stream.started:
+		r.dispatcher.log.Warn("stream broken off", fields...)
 		r.out.AbortStream()
 		return "broken"
-	case r.failed != nil:
-		r.out.Respond(r.failed.status, r.failed.header, r.failed.body)
+	case r.serverError != nil:
+		r.out.Respond(r.serverError.status, r.serverError.header, r.serverError.body)
 		return "answered"
-	case r.ran == 0:
-		after := min(spread(comeBack), max(r.call.Left(r.core.clock.Now())/3, 0))
-		if r.back > 0 {
-			after = r.core.placer.ComeBack(r.call.Service, r.back)
+	case r.maybeExecuted == 0:
+		after := min(jitter(defaultRetryAfter), max(r.call.Left(r.dispatcher.clock.Now())/3, 0))
+		if r.limitRetryAfter > 0 {
+			after = r.dispatcher.placer.ComeBack(r.call.Service, r.limitRetryAfter)
 		}
-		r.core.log.Warn("request refused", append(fields, zap.Duration("after", after))...)
+		r.dispatcher.log.Warn("request refused", append(fields, zap.Duration("after", after))...)
 		r.out.Reject(NotExecuted{RetryAfter: after, Reason: reason})
 		return "refused"
-	case ended(ctx) || !r.core.clock.Now().Before(r.call.Deadline):
-		r.core.log.Warn("request overdue", fields...)
+	case isDone(ctx) || !r.dispatcher.clock.Now().Before(r.call.Deadline):
+		r.dispatcher.log.Warn("request overdue", fields...)
 		r.out.Reject(DeadlineExceeded{})
 		return "overdue"
 	}
-	r.core.log.Warn("request failed", fields...)
+	r.dispatcher.log.Warn("request failed", fields...)
 	r.out.Reject(OutcomeUnknown{Reason: reason})
 	return "failed"
 }
 
-func (r *run) note(what string, choice beechplace.Choice, fields ...zap.Field) {
-	r.core.log.Info("attempt "+what, append(fields,
+func (r *execution) logAttempt(what string, choice beechplace.Choice, fields ...zap.Field) {
+	r.dispatcher.log.Info("attempt "+what, append(fields,
 		zap.String("request", r.call.ID), zap.String("server", choice.Server.ID), zap.Stringer("peer", choice.Server.Address),
-		zap.Uint64("weights", choice.Weights), zap.Int("sends", r.sends), zap.Float64("cost", choice.Cost))...)
+		zap.Uint64("weights", choice.Weights), zap.Int("sends", r.attempts), zap.Float64("cost", choice.Cost))...)
 }
 
-// span gives milliseconds as a time.
-func span(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+// milliseconds converts milliseconds to a duration.
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// ended tells whether a context has ended, without waiting, as the contexts of
-// a fake clock do in Err.
-func ended(ctx context.Context) bool {
+// isDone reports whether a context has ended. It never blocks, whereas Err of a fake
+// clock's context may.
+func isDone(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return true
@@ -371,8 +372,8 @@
 	}
 }
 
-// lastEvent gives the id of the last whole event in data, if one has an id.
-func lastEvent(data []byte) (string, bool) {
+// lastEventID returns the ID of the last event in data that has one.
+func lastEventID(data []byte) (string, bool) {
 	at := bytes.LastIndex(data, []byte("id:"))
 	for at > 0 && data[at-1] != '\n' {
 		at = bytes.LastIndex(data[:at], []byte("id:"))
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -16,112 +16,112 @@
 )
 
 type (
-	// streamState is how far the caller's stream has come, over attempts.
+	// streamState is the state of the caller's stream across attempts.
 	streamState struct {
-		begun bool
-		last  string // id of the last event that the caller was sent
+		started     bool
+		lastEventID string // of the last event sent to the caller
 	}
 
-	// watch ends an attempt that stays silent for too long, where the call may
-	// be tried elsewhere and the budget allows it.
-	watch struct {
-		run    *run
-		choice beechplace.Choice
-		cancel context.CancelCauseFunc
-		timer  clockwork.Timer
-		begin  clockwork.Timer // ends an attempt that must not begin any more
-
-		mu      sync.Mutex
-		paid    bool
-		late    bool // it had not begun when it had to
-		begun   bool
-		stopped bool
+	// watchdog cancels an attempt that is silent for too long, if the call may be retried
+	// elsewhere and the budget allows it.
+	watchdog struct {
+		run        *execution
+		choice     beechplace.Choice
+		cancel     context.CancelCauseFunc
+		timer      clockwork.Timer
+		startTimer clockwork.Timer // cancels an attempt that must not start any more
+
+		mu           sync.Mutex
+		retryGranted bool
+		missedStart  bool // canceled by startTimer
+		started      bool
+		stopped      bool
 	}
 )
 
-const readBytes = 8 << 10
+const readBufferBytes = 8 << 10
 
-var errTorn = errors.New("the stream ends in the middle of an event")
+var errIncompleteEvent = errors.New("the stream ends in the middle of an event")
 
-// newWatch starts the patience for the first byte.
-func (r *run) newWatch(cancel context.CancelCauseFunc, choice beechplace.Choice) *watch {
-	w := &watch{run: r, choice: choice, cancel: cancel}
+// newWatchdog starts the time-out for the first byte.
+func (r *execution) newWatchdog(cancel context.CancelCauseFunc, choice beechplace.Choice) *watchdog {
+	w := &watchdog{run: r, choice: choice, cancel: cancel}
 	if choice.Begin > 0 {
-		w.begin = r.core.clock.AfterFunc(choice.Begin, w.expireBegin)
+		w.startTimer = r.dispatcher.clock.AfterFunc(choice.Begin, w.onStartDeadline)
 	}
-	if r.call.Route.Rule == beechcall.RuleOnce || r.ran+1 >= r.call.Route.MaxAttempts {
+	if r.call.Route.Rule == beechcall.RuleOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
 		return w
 	}
-	w.timer = r.core.clock.AfterFunc(r.core.patience.of(r.call.Route.Name, r.call.Route.Objective), w.expire)
+	w.timer = r.dispatcher.clock.AfterFunc(r.dispatcher.timeouts.firstByte(r.call.Route.Name, r.call.Route.Objective), w.onTimeout)
 	return w
 }
 
-// expire pays for another try, and only then ends this one: without the
-// payment, a late answer is better than none.
-func (w *watch) expire() {
+// onTimeout takes a retry from the budget and only then cancels the attempt: without a
+// retry, a late answer is better than none.
+func (w *watchdog) onTimeout() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.paid {
+	if w.stopped || w.retryGranted {
 		return
 	}
-	if w.run.pay(beechretry.RanUnknown, w.choice, false) {
-		w.paid = true
-		w.cancel(errPatience)
+	if w.run.takeRetry(beechretry.RanUnknown, w.choice, false) {
+		w.retryGranted = true
+		w.cancel(errFirstByteTimeout)
 	}
 }
 
-// expireBegin takes back a request that waits at an engine whose weights would be
-// too old for it to begin there.
-func (w *watch) expireBegin() {
+// onStartDeadline cancels a request that still waits at an engine whose weights will
+// expire before the request can start.
+func (w *watchdog) onStartDeadline() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stopped || w.begun {
+	if w.stopped || w.started {
 		return
 	}
-	w.late = true
-	w.cancel(errTooOld)
+	w.missedStart = true
+	w.cancel(errWeightsExpire)
 }
 
-func (w *watch) stop() {
+func (w *watchdog) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stopped = true
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	if w.begin != nil {
-		w.begin.Stop()
+	if w.startTimer != nil {
+		w.startTimer.Stop()
 	}
 }
 
-// tooLate tells whether the attempt was taken back.
-func (w *watch) tooLate() bool {
+// startMissed reports whether the attempt was canceled by onStartDeadline.
+func (w *watchdog) startMissed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.late
+	return w.missedStart
 }
 
-// granted tells whether another try was paid for.
-func (w *watch) granted() bool {
+// hasRetry reports whether a retry was taken from the budget.
+func (w *watchdog) hasRetry() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.paid
+	return w.retryGranted
 }
 
-func (w *watch) heard(pause time.Duration) {
-	if w.begin != nil {
+func (w *watchdog) dataReceived(pause time.Duration) {
+	if w.startTimer != nil {
 		w.mu.Lock()
-		w.begun = true
+		w.started = true
 		w.mu.Unlock()
 	}
 	if w.timer != nil {
-		w.timer.Reset(max(pauseTimes*pause, pauseLeast))
+		w.timer.Reset(max(pauseFactor*pause, minPauseTimeout))
 	}
 }
 
-// follow hands on a stream's whole events as they come.
-func (r *run) follow(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watch, answer *beechcall.Answer, sent time.Time) verdict {
-	buffer := make([]byte, 0, readBytes)
+// forwardStream forwards a stream's complete events as they arrive.
+func (r *execution) forwardStream(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
+	buffer := make([]byte, 0, readBufferBytes)
 	for {
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
@@ -129,20 +129,20 @@
 		n, err := answer.Body.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
 		if n > 0 {
-			watch.heard(r.call.Route.Pause)
+			watch.dataReceived(r.call.Route.Pause)
 			if end := wholeEvents(buffer); end > 0 {
-				if !r.begin(answer) {
-					r.core.patience.learn(r.call.Route.Name, r.core.clock.Since(sent), span(choice.Expected), r.core.clock.Now())
-					r.first = r.core.clock.Since(r.started)
-					r.core.observer.ObserveAttempt(choice.Server, r.call.Model, r.core.clock.Since(sent), choice.Unread, false)
+				if !r.startStream(answer) {
+					r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), milliseconds(choice.Expected), r.dispatcher.clock.Now())
+					r.firstByte = r.dispatcher.clock.Since(r.started)
+					r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.Unread, false)
 				}
 				ticket.Read()
-				if id, ok := lastEvent(buffer[:end]); ok {
-					r.stream.last = id
+				if id, ok := lastEventID(buffer[:end]); ok {
+					r.stream.lastEventID = id
 				}
 				if failed := r.out.SendEvents(buffer[:end]); failed != nil {
 					ticket.Done(beechplace.Left)
-					return over
+					return finished
 				}
 				buffer = buffer[:copy(buffer, buffer[end:])]
 			}
@@ -153,29 +153,29 @@
 		case err == io.EOF && len(bytes.TrimSpace(buffer)) == 0:
 			watch.stop()
 			ticket.Done(beechplace.Answered)
-			r.begin(answer)
-			r.core.suspects.Finished(r.call.Fingerprint())
+			r.startStream(answer)
+			r.dispatcher.suspects.Finished(r.call.Fingerprint())
 			r.out.EndStream()
-			return over
+			return finished
 		case err == io.EOF:
-			err = errTorn
+			err = errIncompleteEvent
 		}
-		return r.judge(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
+		return r.handleFailure(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
 	}
 }
 
-// begin sends the head of the first answer; later answers go on under it. It
-// tells whether the stream had begun before.
-func (r *run) begin(answer *beechcall.Answer) bool {
-	if r.stream.begun {
+// startStream sends the status and headers of the first answer; later answers continue the
+// same stream. It reports whether the stream had started before.
+func (r *execution) startStream(answer *beechcall.Answer) bool {
+	if r.stream.started {
 		return true
 	}
-	r.stream.begun = true
+	r.stream.started = true
 	r.out.StartStream(answer.Status, answer.Header)
 	return false
 }
 
-// wholeEvents gives the length of the whole events at the start of data.
+// wholeEvents returns the length of the complete events at the start of data.
 func wholeEvents(data []byte) int {
 	end := 0
 	if i := bytes.LastIndex(data, []byte("\n\n")); i >= 0 {
--- a/internal/request/beechattempt/timeout.go
+++ b/internal/request/beechattempt/timeout.go
@@ -7,98 +7,99 @@
 )
 
 type (
-	// patience says how long a route's requests wait for their first byte
-	// before they go elsewhere, by what its answers took lately: the mean and
-	// four mean deviations, as TCP does for its own repeats. With a fixed time
-	// a fleet that is busy as a whole would be given its work twice, just when
-	// it cannot carry it once. It is safe for concurrent use.
-	patience struct {
+	// routeTimeouts computes how long the requests of a route wait for their first
+	// byte before they are retried elsewhere: the mean time of recent answers plus four
+	// mean deviations, like TCP's retransmission time-out. With a fixed time-out, a
+	// fleet that is busy as a whole would get all its work twice, just when it cannot
+	// do it once. It is safe for concurrent use.
+	routeTimeouts struct {
 		mu     sync.Mutex
-		routes map[string]*pace
+		routes map[string]*answerTimes
 	}
 
-	pace struct {
+	// answerTimes are the statistics of a route's first-byte times.
+	answerTimes struct {
 		mean, deviation time.Duration
-		stretch         float64   // what answers took, against what was expected
-		seen            time.Time // when an answer came last
+		slowdown        float64   // actual over expected time
+		updatedAt       time.Time // when the last answer was observed
 	}
 )
 
 const (
-	meanShift      = 3 // each answer counts an eighth
-	deviationShift = 2
-	deviations     = 4
-	// patienceTimes is how often its objective a request waits at least.
-	patienceTimes = 2
-	patienceLeast = 250 * time.Millisecond
-	// stretchFrom is the least that is taken as expected: below it the way there
-	// and back counts more than the reading.
-	stretchFrom = 50 * time.Millisecond
-	stretchMost = 8
-	// hopelessTimes is how often its objective a first byte may be expected to
-	// take: callers leave after four times, and the longest kind of request would
-	// starve if little more than one were allowed.
-	hopelessTimes = 2
-	// stretchFades is the time in which half of a stretch is forgotten while no
-	// answer comes: about what it takes engines to work off what has queued up.
-	// Without it a stretch that has most calls refused stays, since it is
-	// unlearned from answers only.
-	stretchFades = 2 * time.Second
+	meanWeightShift      = 3 // each answer counts 1/8
+	deviationWeightShift = 2
+	deviationFactor      = 4
+	// The time-out is at least minTimeoutFactor times the route's objective.
+	minTimeoutFactor = 2
+	minTimeout       = 250 * time.Millisecond
+	// minExpected is the smallest expected time that slowdown is computed with: below it
+	// the round trip takes longer than the prefill.
+	minExpected = 50 * time.Millisecond
+	maxSlowdown = 8
+	// maxExpectedFactor is how many times the objective a first byte may be expected to
+	// take. Callers leave after four times; but with little more than one, the most
+	// expensive kind of request would never be served.
+	maxExpectedFactor = 2
+	// slowdownHalfLife is the time after which half of a slowdown is forgotten while no
+	// answers come, about what engines need to work off their queues. Without it a
+	// slowdown that has most calls rejected would persist, as it is only updated by
+	// answers.
+	slowdownHalfLife = 2 * time.Second
 )
 
-func newPatience() *patience { return &patience{routes: make(map[string]*pace)} }
+func newRouteTimeouts() *routeTimeouts { return &routeTimeouts{routes: make(map[string]*answerTimes)} }
 
-// learn takes in what an answer's first byte took, and what was expected; 0 is
-// nothing.
-func (p *patience) learn(route string, took, expected time.Duration, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s, ok := p.routes[route]
+// observe records the time to an answer's first byte, and the time that was expected;
+// 0: none was.
+func (t *routeTimeouts) observe(route string, took, expected time.Duration, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a, ok := t.routes[route]
 	if !ok {
-		p.routes[route] = &pace{mean: took, deviation: took / 2, stretch: 1, seen: now}
+		t.routes[route] = &answerTimes{mean: took, deviation: took / 2, slowdown: 1, updatedAt: now}
 		return
 	}
-	s.stretch, s.seen = s.stretchAt(now), now
+	a.slowdown, a.updatedAt = a.slowdownAt(now), now
 	if expected > 0 {
-		seen := min(float64(took)/float64(max(expected, stretchFrom)), stretchMost)
-		s.stretch += (seen - s.stretch) / (1 << meanShift << 1)
+		observed := min(float64(took)/float64(max(expected, minExpected)), maxSlowdown)
+		a.slowdown += (observed - a.slowdown) / (1 << meanWeightShift << 1)
 	}
-	off := took - s.mean
-	s.mean += off >> meanShift
-	s.deviation += (off.Abs() - s.deviation) >> deviationShift
+	difference := took - a.mean
+	a.mean += difference >> meanWeightShift
+	a.deviation += (difference.Abs() - a.deviation) >> deviationWeightShift
 }
 
-// of gives a route's patience.
-func (p *patience) of(route string, objective time.Duration) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	least := max(patienceTimes*objective, patienceLeast)
-	if s, ok := p.routes[route]; ok {
-		return max(least, s.mean+deviations*s.deviation)
+// firstByte returns a route's time-out for the first byte.
+func (t *routeTimeouts) firstByte(route string, objective time.Duration) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	shortest := max(minTimeoutFactor*objective, minTimeout)
+	if a, ok := t.routes[route]; ok {
+		return max(shortest, a.mean+deviationFactor*a.deviation)
 	}
-	return least
+	return shortest
 }
 
-// hopeless tells whether a call would probably get its first byte only when its
-// caller has left. What is expected says too little where engines are full, so
-// it is stretched by what the route's last answers took against it. Run all the
-// same, such calls would make others late and be answered to nobody.
+// expectedTooLate reports whether a call would probably get its first byte only after its
+// caller has left. The expected time is too low when engines are full, so it is scaled by
+// the slowdown of the route's recent answers. Executing such calls would delay others for
+// answers that nobody receives.
 //
-// The longest prompts take long to read by themselves. They are not refused for
-// that, or they would never be served: only for the wait before it.
-func (p *patience) hopeless(route string, expected, ahead, objective time.Duration, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	s, ok := p.routes[route]
+// The longest prompts take long to prefill by themselves. They are not rejected for that,
+// or they would never be served, but only for the queueing time ahead of it.
+func (t *routeTimeouts) expectedTooLate(route string, expected, ahead, objective time.Duration, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a, ok := t.routes[route]
 	if !ok || objective <= 0 {
 		return false
 	}
-	stretch := max(s.stretchAt(now), 1)
-	return float64(expected)*stretch > hopelessTimes*float64(objective) && float64(ahead)*stretch > float64(objective)
+	slowdown := max(a.slowdownAt(now), 1)
+	return float64(expected)*slowdown > maxExpectedFactor*float64(objective) && float64(ahead)*slowdown > float64(objective)
 }
 
-// stretchAt is the stretch as far as it is believed still.
-func (s *pace) stretchAt(now time.Time) float64 {
-	age := max(now.Sub(s.seen), 0)
-	return 1 + (s.stretch-1)*math.Pow(0.5, float64(age)/float64(stretchFades))
+// slowdownAt returns the slowdown, decayed since the last answer.
+func (a *answerTimes) slowdownAt(now time.Time) float64 {
+	age := max(now.Sub(a.updatedAt), 0)
+	return 1 + (a.slowdown-1)*math.Pow(0.5, float64(age)/float64(slowdownHalfLife))
 }
