--- a/internal/process/beechgate/endings.go
+++ b/internal/process/beechgate/endings.go
@@ -19,9 +19,9 @@
 // a line is written at level debug only, of all others always.
 func (g *Gate) ObserveEnd(e beechattempt.Result) {
 	g.metrics.ended(e, g.way(e.Choice.Server))
-	if e.Choice.Passed != "" {
-		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.Passed),
-			zap.Float64("rate", g.limits.Rate(e.Choice.Passed)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.Outcome))
+	if e.Choice.LimitedServer != "" {
+		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.LimitedServer),
+			zap.Float64("rate", g.limits.Rate(e.Choice.LimitedServer)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.Outcome))
 	}
 	level := zap.DebugLevel
 	if e.Outcome != "answered" || e.Attempts > 1 || e.FirstByte > e.Call.Route.Objective {
@@ -36,6 +36,6 @@
 		zap.String("request", e.Call.ID), zap.String("route", e.Call.Route.Name), zap.String("ending", e.Outcome), zap.Uint64("configuration", e.Call.Version),
 		zap.Duration("first", e.FirstByte), zap.Duration("took", e.Duration), zap.Int("sends", e.Attempts),
 		zap.String("server", c.Server.ID), zap.Uint64("weights", c.Weights), zap.Float64("cost", c.Cost), zap.Float64("expected", c.Expected), zap.Duration("wait", c.Wait),
-		zap.Int("tokens", e.Call.PromptTokens), zap.Int("shared", e.Call.SharedTokens()), zap.Int("missing", c.Missing), zap.Int("unread", c.Unread),
+		zap.Int("tokens", e.Call.PromptTokens), zap.Int("shared", e.Call.SharedTokens()), zap.Int("missing", c.Missing), zap.Int("unread", c.PrefillTokens),
 		zap.Stringer("fetch", c.Fetch), zap.Stringer("save", c.Save))
 }
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -457,14 +457,14 @@
 	r.call.Route.Objective = 2 * time.Second // its time-out is longer
 	choice, ok := f.dispatcher.placer.Choose(r.call, nil)
 	is.True(ok)
-	choice.Begin = 300 * time.Millisecond
+	choice.FirstByteTimeout = 300 * time.Millisecond
 	ended := make(chan verdict, 1)
 	go func() { ended <- r.attempt(t.Context(), choice) }()
 	_ = f.clock.BlockUntilContext(t.Context(), 2) // the time-out and the start deadline
 	f.clock.Advance(299 * time.Millisecond)
 	f.clock.Advance(time.Millisecond)
 	is.Equal(<-ended, tryAgain)
-	is.Equal(f.clock.Since(r.started), choice.Begin)
+	is.Equal(f.clock.Since(r.started), choice.FirstByteTimeout)
 	_, unsuspected := f.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
 	is.True(unsuspected)
 	choice, _ = f.dispatcher.placer.Choose(r.call, r.triedServers)
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -94,14 +94,14 @@
 	r.dispatcher.budget.RecordRequest(r.call.Service)
 	for {
 		choice, ok := r.choose(ctx)
-		if !ok && choice.Back > 0 {
-			r.limitRetryAfter = choice.Back
+		if !ok && choice.RetryAfter > 0 {
+			r.limitRetryAfter = choice.RetryAfter
 			return r.giveUp(ctx, reasonAtLimits)
 		}
 		if !ok {
 			return r.giveUp(ctx, "no server may be used")
 		}
-		if r.attempts == 0 && r.dispatcher.timeouts.expectedTooLate(r.call.Route.Name, milliseconds(choice.Expected), milliseconds(choice.Ahead), r.call.Route.Objective, r.dispatcher.clock.Now()) {
+		if r.attempts == 0 && r.dispatcher.timeouts.expectedTooLate(r.call.Route.Name, milliseconds(choice.Expected), milliseconds(choice.QueueTime), r.call.Route.Objective, r.dispatcher.clock.Now()) {
 			return r.giveUp(ctx, "no server would answer in time")
 		}
 		switch r.attempt(ctx, choice) {
@@ -132,7 +132,7 @@
 	until := r.dispatcher.clock.Now().Add(wait)
 	for {
 		choice, ok := r.dispatcher.placer.Choose(r.call, r.triedServers)
-		if now := r.dispatcher.clock.Now(); ok || now.Add(choice.Back).After(until) || isDone(ctx) {
+		if now := r.dispatcher.clock.Now(); ok || now.Add(choice.RetryAfter).After(until) || isDone(ctx) {
 			return choice, ok && !isDone(ctx)
 		}
 		select {
@@ -144,14 +144,14 @@
 
 // attempt sends the call to one server and forwards the answer to the caller.
 func (r *execution) attempt(ctx context.Context, choice beechplace.Choice) verdict {
-	ticket := r.dispatcher.placer.Sent(r.call, choice)
+	placement := r.dispatcher.placer.StartAttempt(r.call, choice)
 	r.choice = choice
 	if choice.Wait > 0 && r.partWaits < maxPartWaits && !r.waitForPart(ctx, choice) {
-		ticket.Done(beechplace.Left)
+		placement.Done(beechplace.Cancelled)
 		return tryAgain
 	}
-	if !ticket.Send() {
-		ticket.Done(beechplace.Left)
+	if !placement.AcquireLimit() {
+		placement.Done(beechplace.Cancelled)
 		if r.limitedAttempts++; r.limitedAttempts < maxLimitedAttempts {
 			return tryAgain
 		}
@@ -169,16 +169,16 @@
 		Urgency: r.urgency(), Fetch: choice.Fetch, Save: choice.Save, LastEvent: r.stream.lastEventID,
 	})
 	if err != nil {
-		return r.handleFailure(choice, ticket, watch, err)
+		return r.handleFailure(choice, placement, watch, err)
 	}
 	defer answer.Body.Close()
-	ticket.Said(answer.Limit)
-	ticket.Load(answer.Load)
-	r.dispatcher.placer.Has(choice.Server.ID, r.call.Model, answer.Weights)
+	placement.ObserveLimit(answer.Limit)
+	placement.ObserveLoad(answer.Load)
+	r.dispatcher.placer.ObserveVersion(choice.Server.ID, r.call.Model, answer.Weights)
 	if r.call.Route.Stream && answer.Status == http.StatusOK {
-		return r.forwardStream(choice, ticket, watch, answer, sent)
+		return r.forwardStream(choice, placement, watch, answer, sent)
 	}
-	return r.forwardWhole(choice, ticket, watch, answer, sent)
+	return r.forwardWhole(choice, placement, watch, answer, sent)
 }
 
 // waitForPart waits for a prompt part that is being prefilled for another request, and
@@ -189,7 +189,7 @@
 	case <-r.dispatcher.clock.After(choice.Wait):
 	case <-ctx.Done():
 	}
-	return !isDone(ctx) && r.dispatcher.placer.Still(choice)
+	return !isDone(ctx) && r.dispatcher.placer.StillUsable(choice)
 }
 
 // urgency returns the call's priority at an engine: by the workspace's priority first, then by
@@ -205,22 +205,22 @@
 
 // forwardWhole reads an answer that is not a stream to its end before the caller receives
 // any of it, so that an incomplete one can be replaced by a retry.
-func (r *execution) forwardWhole(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
+func (r *execution) forwardWhole(choice beechplace.Choice, placement *beechplace.Attempt, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errAnswerTooLong
 	}
 	if err != nil {
-		return r.handleFailure(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
+		return r.handleFailure(choice, placement, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
 	}
 	watch.stop()
 	if !r.stream.started {
 		r.firstByte = r.dispatcher.clock.Since(r.started)
 	}
-	ticket.Done(beechplace.Answered)
+	placement.Done(beechplace.Answered)
 	r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), 0, r.dispatcher.clock.Now())
 	serverError := answer.Status >= http.StatusInternalServerError
-	r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.Unread, serverError)
+	r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.PrefillTokens, serverError)
 	if serverError && r.repeatable() && answer.Status != http.StatusGatewayTimeout {
 		r.maybeExecuted++
 		r.triedServers = append(r.triedServers, choice.Server.ID)
@@ -240,10 +240,10 @@
 }
 
 // handleFailure decides what follows an attempt without a complete answer.
-func (r *execution) handleFailure(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, err error) verdict {
+func (r *execution) handleFailure(choice beechplace.Choice, placement *beechplace.Attempt, watch *watchdog, err error) verdict {
 	watch.stop()
 	if isDone(r.callerCtx) {
-		ticket.Done(beechplace.Left)
+		placement.Done(beechplace.Cancelled)
 		return finished
 	}
 	r.triedServers = append(r.triedServers, choice.Server.ID)
@@ -252,7 +252,7 @@
 	switch {
 	case errors.As(err, &notSent):
 		r.notExecuted++
-		ticket.Done(beechplace.Unreached)
+		placement.Done(beechplace.Unreachable)
 		r.logAttempt("not sent", choice, zap.Error(err))
 		if r.attempts < maxAttempts {
 			return tryAgain
@@ -261,11 +261,11 @@
 	case errors.As(err, &notRun):
 		r.notExecuted++
 		if !notRun.Replaced {
-			ticket.Said(notRun.Limit)
-			ticket.Load(notRun.Load)
+			placement.ObserveLimit(notRun.Limit)
+			placement.ObserveLoad(notRun.Load)
 		}
-		ticket.Done(beechplace.TurnedAway)
-		r.dispatcher.placer.Refused(choice.Server.ID, notRun, r.call.Model)
+		placement.Done(beechplace.Rejected)
+		r.dispatcher.placer.ObserveRejection(choice.Server.ID, notRun, r.call.Model)
 		r.logAttempt("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.Other))
 		if r.attempts < maxAttempts && r.takeRetry(beechretry.RanNo, choice, true) {
 			return tryAgain
@@ -275,18 +275,18 @@
 	r.maybeExecuted++
 	r.logAttempt("failed", choice, zap.Error(err), zap.Bool("patience", watch.hasRetry()))
 	if watch.hasRetry() {
-		ticket.Done(beechplace.Failed)
-		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
+		placement.Done(beechplace.Failed)
+		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.PrefillTokens, true)
 		return tryAgain
 	}
 	if watch.startMissed() {
-		ticket.Done(beechplace.Left)
+		placement.Done(beechplace.Cancelled)
 	} else if r.dispatcher.clock.Now().Before(r.call.Deadline) {
-		ticket.Done(beechplace.Failed)
+		placement.Done(beechplace.Failed)
 		r.dispatcher.crashes.answerBroken(r.call.Fingerprint(), choice.Server.Address)
-		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.Unread, true)
+		r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, 0, choice.PrefillTokens, true)
 	} else {
-		ticket.Done(beechplace.Left)
+		placement.Done(beechplace.Cancelled)
 		return noRetry
 	}
 	if r.repeatable() && r.maybeExecuted < r.call.Route.MaxAttempts && r.takeRetry(beechretry.RanUnknown, choice, false) {
@@ -337,7 +337,7 @@
 	case r.maybeExecuted == 0:
 		after := min(jitter(defaultRetryAfter), max(r.call.Left(r.dispatcher.clock.Now())/3, 0))
 		if r.limitRetryAfter > 0 {
-			after = r.dispatcher.placer.ComeBack(r.call.Service, r.limitRetryAfter)
+			after = r.dispatcher.placer.RetryAfter(r.call.Service, r.limitRetryAfter)
 		}
 		r.dispatcher.log.Warn("request refused", append(fields, zap.Duration("after", after))...)
 		r.out.Reject(NotExecuted{RetryAfter: after, Reason: reason})
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -46,8 +46,8 @@
 // newWatchdog starts the time-out for the first byte.
 func (r *execution) newWatchdog(cancel context.CancelCauseFunc, choice beechplace.Choice) *watchdog {
 	w := &watchdog{run: r, choice: choice, cancel: cancel}
-	if choice.Begin > 0 {
-		w.startTimer = r.dispatcher.clock.AfterFunc(choice.Begin, w.onStartDeadline)
+	if choice.FirstByteTimeout > 0 {
+		w.startTimer = r.dispatcher.clock.AfterFunc(choice.FirstByteTimeout, w.onStartDeadline)
 	}
 	if r.call.Route.Rule == beechcall.RuleOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
 		return w
@@ -120,7 +120,7 @@
 }
 
 // forwardStream forwards a stream's complete events as they arrive.
-func (r *execution) forwardStream(choice beechplace.Choice, ticket *beechplace.Ticket, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
+func (r *execution) forwardStream(choice beechplace.Choice, placement *beechplace.Attempt, watch *watchdog, answer *beechcall.Answer, sent time.Time) verdict {
 	buffer := make([]byte, 0, readBufferBytes)
 	for {
 		if len(buffer) == cap(buffer) {
@@ -134,14 +134,14 @@
 				if !r.startStream(answer) {
 					r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), milliseconds(choice.Expected), r.dispatcher.clock.Now())
 					r.firstByte = r.dispatcher.clock.Since(r.started)
-					r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.Unread, false)
+					r.dispatcher.observer.ObserveAttempt(choice.Server, r.call.Model, r.dispatcher.clock.Since(sent), choice.PrefillTokens, false)
 				}
-				ticket.Read()
+				placement.FirstByte()
 				if id, ok := lastEventID(buffer[:end]); ok {
 					r.stream.lastEventID = id
 				}
 				if failed := r.out.SendEvents(buffer[:end]); failed != nil {
-					ticket.Done(beechplace.Left)
+					placement.Done(beechplace.Cancelled)
 					return finished
 				}
 				buffer = buffer[:copy(buffer, buffer[end:])]
@@ -152,7 +152,7 @@
 			continue
 		case err == io.EOF && len(bytes.TrimSpace(buffer)) == 0:
 			watch.stop()
-			ticket.Done(beechplace.Answered)
+			placement.Done(beechplace.Answered)
 			r.startStream(answer)
 			r.dispatcher.suspects.Finished(r.call.Fingerprint())
 			r.out.EndStream()
@@ -160,7 +160,7 @@
 		case err == io.EOF:
 			err = errIncompleteEvent
 		}
-		return r.handleFailure(choice, ticket, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
+		return r.handleFailure(choice, placement, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
 	}
 }
 
