--- a/internal/decision/beechquota/account.go
+++ b/internal/decision/beechquota/account.go
@@ -8,265 +8,272 @@
 )
 
 type (
-	// account is a workspace's bucket as this gate believes it.
+	// account is this gate's estimate of a workspace's bucket.
 	account struct {
-		key   uint64
-		limit Limit
-		at    time.Time // refilled
-		ended time.Time // the limit
+		hash         uint64 // of the workspace's name, as sent in updates
+		limit        Limit
+		refilledAt   time.Time
+		limitEndedAt time.Time // when the limit was removed
 
-		level float64 // of the whole bucket; below 0 is a debt
-		aside float64 // of it, for gates that this one has not heard since it started
-		local float64 // of this gate's share, in force while it is alone
-		part  float64 // this gate's share when others were last heard; 0 before
+		level         float64 // of the whole bucket; negative is a debt
+		unseenReserve float64 // part of the bucket kept for gates not heard from since this one started
+		localLevel    float64 // level of this gate's share, used while it is isolated
+		lastShare     float64 // this gate's share when updates were last received; 0 before
 
-		total   float64 // admitted in this lifetime, never falls
-		credit  float64 // given back, taken before the total grows
-		untold  float64
-		deaf    float64 // admitted since a word was heard
-		words   int     // of the ledger, when that was begun
-		repeats int     // words that still tell the total
-		own     pace    // of this gate
-		asked   pace    // of it, what it refused too
+		total         float64  // admitted in this lifetime; never decreases
+		credit        float64  // refunded; consumed before the total grows
+		unsent        float64  // part of the total that no update has reported yet
+		sinceReceived float64  // admitted since the last update was received
+		receivedCount int      // Limiter.received when sinceReceived was reset
+		sendsLeft     int      // further updates that report the total
+		admitRate     meanRate // admitted by this gate
+		demandRate    meanRate // requested at this gate, including what it refused
 
-		uses    map[uint64]*use // of the other gates, by host
-		others  float64         // sum of what they use lately
-		speed   float64         // sum of the paces of those that are heard
-		speedAt float64         // sum of pace times the second of its last word
-		silent  float64         // sum of the parts left to those that are not heard
-		kept    float64         // sum of what is kept of the level for those that are late
+		usages           map[uint64]*peerUsage // of the other gates, by host
+		longRateSum      float64               // sum of the peers' long rates
+		shortRateSum     float64               // sum of the short rates of peers that are not silent
+		shortRateTimeSum float64               // sum of each short rate times its updatedAt
+		silentShare      float64               // sum of the shares left to silent peers
+		lateReserve      float64               // sum of the reserves for late peers
 
 		admitted, refused int
 	}
 
-	// use is what one other gate told of a workspace.
-	use struct {
-		total    float64
-		heard    float64 // second of the last word that told it
-		pace     float64 // over the last words
-		usual    float64 // over some seconds
-		part     float64 // of what all used, when it was heard last
-		withheld float64 // part of the limit left to it while it is silent
-		since    float64 // second from which on that is so
-		kept     float64 // of the level, for it, while it is late
+	// peerUsage is what one other gate reported for a workspace. Times are in seconds since
+	// the limiter was created.
+	peerUsage struct {
+		total       float64
+		updatedAt   float64 // when the rates were last updated
+		shortRate   float64 // mean over shortRateTime
+		longRate    float64 // mean over longRateTime
+		share       float64 // of the usage of all gates, at its last update
+		silentShare float64 // part of the limit left to it while it is silent
+		silentSince float64 // when the silence began
+		reserve     float64 // part of the level reserved for it while it is late
 	}
 
-	// pace is a mean rate that fades.
-	pace struct {
-		rate float64 // a second
-		sum  float64 // used since at
-		at   time.Time
+	// meanRate is an exponentially decaying mean rate.
+	meanRate struct {
+		rate      float64 // per second
+		pending   float64 // used since updatedAt
+		updatedAt time.Time
 	}
 )
 
 const (
-	// paceTime is short enough to follow a workspace that sends many times its usual
-	// all at once.
-	paceTime = 300 * time.Millisecond
-	// shareTime is over how long what gates use is compared.
-	shareTime = 4 * time.Second
-	// turnLeast is the shortest time over which a pace is taken.
-	turnLeast = 50 * time.Millisecond
-	// repeats of a total, as words are lost.
-	repeats = 3
+	// shortRateTime is short enough to follow a workspace that suddenly sends many times
+	// its usual rate.
+	shortRateTime = 300 * time.Millisecond
+	// longRateTime is the period over which the gates' usage is compared to divide shares.
+	longRateTime = 4 * time.Second
+	// minRateInterval is the shortest interval over which a rate is computed.
+	minRateInterval = 50 * time.Millisecond
+	// updateSends is the number of updates that report each change of a total, because
+	// updates may be lost.
+	updateSends = 3
 )
 
 func newAccount(name string, now time.Time) *account {
-	return &account{key: xxhash.Sum64String(name), at: now, own: pace{at: now}, asked: pace{at: now}, uses: make(map[uint64]*use)}
+	return &account{hash: xxhash.Sum64String(name), refilledAt: now, admitRate: meanRate{updatedAt: now}, demandRate: meanRate{updatedAt: now}, usages: make(map[uint64]*peerUsage)}
 }
 
-// refill lets the bucket fill by the time that has passed. What silent gates may use
-// is left to them.
+// refill adds what has accrued since the last call, except for the shares of silent and
+// unseen gates.
 func (a *account) refill(l *Limiter) {
-	passed := l.now.Sub(a.at).Seconds()
+	passed := l.now.Sub(a.refilledAt).Seconds()
 	if passed <= 0 || a.limit.Rate <= 0 {
 		return
 	}
-	a.at = l.now
-	rate, share := a.limit.Rate, l.share(a)
-	// Silent gates have their part of the burst too.
-	heard := max(1-l.missing-a.silent, 0)
+	a.refilledAt = l.now
+	rate, share := a.limit.Rate, l.localShare(a)
+	// Silent gates keep their part of the burst too.
+	heard := max(1-l.unseenShare-a.silentShare, 0)
 	a.level = min(a.level+rate*heard*passed, a.limit.Burst*heard)
 	if !l.settled {
-		a.aside = min(a.aside+rate*l.missing*passed, a.limit.Burst*l.missing)
+		a.unseenReserve = min(a.unseenReserve+rate*l.unseenShare*passed, a.limit.Burst*l.unseenShare)
 	}
-	a.local = min(a.local+rate*share*passed, a.limit.Burst*share)
+	a.localLevel = min(a.localLevel+rate*share*passed, a.limit.Burst*share)
 }
 
-// setAside leaves gates that are not heard since this one started their part of the
-// level, and takes it back as they are heard: what they have used of it they tell.
-func (a *account) setAside(l *Limiter, missing float64) {
-	was := l.missing
+// reserveForUnseen moves a part of the level into the reserve for gates that have not been
+// heard from since this one started, and back as they are heard from: they report what they
+// have used of it. unseen is the new value of Limiter.unseenShare.
+func (a *account) reserveForUnseen(l *Limiter, unseen float64) {
+	before := l.unseenShare
 	switch {
 	case l.settled:
-	case missing > was && a.level > 0:
-		part := a.level * (missing - was) / (1 - was)
-		a.level, a.aside = a.level-part, a.aside+part
-	case missing < was:
-		part := a.aside * (was - missing) / was
-		a.level, a.aside = a.level+part, a.aside-part
+	case unseen > before && a.level > 0:
+		part := a.level * (unseen - before) / (1 - before)
+		a.level, a.unseenReserve = a.level-part, a.unseenReserve+part
+	case unseen < before:
+		part := a.unseenReserve * (before - unseen) / before
+		a.level, a.unseenReserve = a.level+part, a.unseenReserve-part
 	}
 }
 
-// end takes the limit away. What was used stays known for a while.
-func (a *account) end(l *Limiter) {
+// removeLimit removes the limit. The usage is kept for Bounds.Retention.
+func (a *account) removeLimit(l *Limiter) {
 	a.refill(l)
-	a.limit, a.ended = Limit{}, l.now
+	a.limit, a.limitEndedAt = Limit{}, l.now
 }
 
-// left is what may still be admitted; a request goes on while it is above 0.
-func (a *account) left(l *Limiter) float64 {
-	grace := gracePart * l.tolerance(a.limit)
-	if l.alone {
-		return min(a.local+grace*l.share(a), a.level+grace)
+// available returns how much may still be admitted. A request may pass while it is above 0,
+// whatever its size.
+func (a *account) available(l *Limiter) float64 {
+	grace := graceFraction * l.tolerance(a.limit)
+	if l.isolated {
+		return min(a.localLevel+grace*l.localShare(a), a.level+grace)
 	}
-	return a.level - a.unread(l) - a.kept + grace
+	return a.level - a.unreported(l) - a.lateReserve + grace
 }
 
-// unread is what the other gates have probably admitted since their last words.
-func (a *account) unread(l *Limiter) float64 {
-	return max(a.speed*l.second()-a.speedAt, 0)
+// unreported estimates what the other gates have admitted since their last updates, from
+// their short rates.
+func (a *account) unreported(l *Limiter) float64 {
+	return max(a.shortRateSum*l.elapsed()-a.shortRateTimeSum, 0)
 }
 
-// sinceHeard is what was admitted since another gate was heard.
-func (a *account) sinceHeard(l *Limiter) float64 {
-	if a.words != l.words {
-		a.words, a.deaf = l.words, 0
+// admittedSinceReceived returns what was admitted since an update was last received.
+func (a *account) admittedSinceReceived(l *Limiter) float64 {
+	if a.receivedCount != l.received {
+		a.receivedCount, a.sinceReceived = l.received, 0
 	}
-	return a.deaf
+	return a.sinceReceived
 }
 
-func (a *account) take(size float64) {
+func (a *account) consume(size float64) {
 	a.level -= size
-	a.local -= size
-	a.own.sum += size
+	a.localLevel -= size
+	a.admitRate.pending += size
 	fromCredit := min(a.credit, size)
 	a.credit -= fromCredit
 	a.total += size - fromCredit
-	a.untold += size - fromCredit
-	a.repeats = repeats
+	a.unsent += size - fromCredit
+	a.sendsLeft = updateSends
 }
 
-func (a *account) giveBack(size float64) {
+func (a *account) refund(size float64) {
 	a.level = min(a.level+size, a.limit.Burst)
-	a.local += size
+	a.localLevel += size
 	a.credit += size
 }
 
-// spent takes off what another gate has admitted. A debt is bounded: one faulty
-// word must not shut a workspace out for long.
-func (a *account) spent(l *Limiter, size float64) {
-	a.level = max(a.level-size, min(l.least(a), a.level))
+// deduct subtracts what other gates have admitted. The debt is bounded, so that one faulty
+// update cannot block a workspace for long.
+func (a *account) deduct(l *Limiter, size float64) {
+	a.level = max(a.level-size, min(l.minLevel(a), a.level))
 }
 
-// told takes in another gate's total. Baseline says that what it used so far is in the
-// level already. It is false for a total of an older word.
-func (a *account) told(l *Limiter, p *peer, total float64, baseline bool) bool {
-	now := l.second()
-	u := a.uses[p.host]
+// applyTotal applies a total reported by a peer. baseline means that the peer's usage so far
+// is already contained in the level. It returns false if the total is lower than the last one,
+// as in an update that arrives late.
+func (a *account) applyTotal(l *Limiter, p *peer, total float64, baseline bool) bool {
+	now := l.elapsed()
+	u := a.usages[p.host]
 	if u == nil {
-		u = &use{heard: now}
-		a.uses[p.host] = u
+		u = &peerUsage{updatedAt: now}
+		a.usages[p.host] = u
 		if baseline || p.older {
 			u.total = total
 		}
 	}
 	if total < u.total {
-		l.dropped.Decreasing++
+		l.discarded.Decreasing++
 		return false
 	}
 	more := total - u.total
 	u.total = total
-	a.settle(l, u)
+	a.endSilence(l, u)
 	if !baseline {
-		a.spent(l, more)
+		a.deduct(l, more)
 	}
-	a.setPace(l, u, more)
-	p.active[a.key] = u
+	a.updateRates(l, u, more)
+	p.active[a.hash] = u
 	return true
 }
 
-// setPace takes in what a gate used since its last word.
-func (a *account) setPace(l *Limiter, u *use, more float64) {
-	now := l.second()
-	passed := max(now-u.heard, turnLeast.Seconds())
-	a.others -= u.usual
-	a.speed -= u.pace
-	a.speedAt -= u.pace * u.heard
-	u.pace = faded(u.pace, more/passed, passed, paceTime)
-	u.usual = faded(u.usual, more/passed, passed, shareTime)
-	u.heard = now
-	a.others += u.usual
-	a.speed += u.pace
-	a.speedAt += u.pace * u.heard
-	a.own.turn(l.now, shareTime)
-	u.part = a.partOf(l, u.usual)
+// updateRates updates a peer's rates with its usage since its last update.
+func (a *account) updateRates(l *Limiter, u *peerUsage, more float64) {
+	now := l.elapsed()
+	passed := max(now-u.updatedAt, minRateInterval.Seconds())
+	a.longRateSum -= u.longRate
+	a.shortRateSum -= u.shortRate
+	a.shortRateTimeSum -= u.shortRate * u.updatedAt
+	u.shortRate = decay(u.shortRate, more/passed, passed, shortRateTime)
+	u.longRate = decay(u.longRate, more/passed, passed, longRateTime)
+	u.updatedAt = now
+	a.longRateSum += u.longRate
+	a.shortRateSum += u.shortRate
+	a.shortRateTimeSum += u.shortRate * u.updatedAt
+	a.admitRate.update(l.now, longRateTime)
+	u.share = a.shareOf(l, u.longRate)
 }
 
-// rest takes a gate's pace off what is reckoned to be used.
-func (a *account) rest(u *use) {
-	a.speed -= u.pace
-	a.speedAt -= u.pace * u.heard
-	u.pace = 0
+// clearShortRate removes a peer's short rate from the estimate of unreported usage.
+func (a *account) clearShortRate(u *peerUsage) {
+	a.shortRateSum -= u.shortRate
+	a.shortRateTimeSum -= u.shortRate * u.updatedAt
+	u.shortRate = 0
 }
 
-// partOf is the part of what all use lately that one gate uses, with a little for each.
-// All have the same until it is known who uses what.
-func (a *account) partOf(l *Limiter, used float64) float64 {
+// shareOf returns the share of a gate with the given long rate in the usage of all gates,
+// with a minimum for each gate. Until the limiter is settled all shares are equal.
+func (a *account) shareOf(l *Limiter, used float64) float64 {
 	if !l.settled {
 		return 1 / float64(l.gates)
 	}
 	prior := sharePrior * a.limit.Rate
-	return (used + prior/float64(l.gates)) / (a.own.rate + a.others + prior)
+	return (used + prior/float64(l.gates)) / (a.admitRate.rate + a.longRateSum + prior)
 }
 
-// keep leaves a gate whose words are late its share of what is left: a rush may come to it
-// of which this one would hear too late.
-func (a *account) keep(u *use) {
-	u.kept = max(a.level, 0) * u.part
-	a.kept += u.kept
+// reserveForLate reserves a late peer's share of the level: a burst may reach that peer, and
+// its update would arrive here too late.
+func (a *account) reserveForLate(u *peerUsage) {
+	u.reserve = max(a.level, 0) * u.share
+	a.lateReserve += u.reserve
 }
 
-// letGo ends that.
-func (a *account) letGo(u *use) {
-	a.kept = max(a.kept-u.kept, 0)
-	u.kept = 0
+// releaseReserve releases the reserve for a late peer.
+func (a *account) releaseReserve(u *peerUsage) {
+	a.lateReserve = max(a.lateReserve-u.reserve, 0)
+	u.reserve = 0
 }
 
-// fallSilent leaves a gate that is not heard its share of the rate.
-func (a *account) fallSilent(l *Limiter, u *use) {
-	a.rest(u)
-	a.spent(l, u.kept)
-	a.letGo(u)
-	u.withheld = u.part
-	u.since = u.heard
-	a.spent(l, a.limit.Rate*u.withheld*(l.second()-u.since))
-	a.silent += u.withheld
+// markSilent leaves a silent peer its share of the rate, and deducts what that amounts to since
+// its last update.
+func (a *account) markSilent(l *Limiter, u *peerUsage) {
+	a.clearShortRate(u)
+	a.deduct(l, u.reserve)
+	a.releaseReserve(u)
+	u.silentShare = u.share
+	u.silentSince = u.updatedAt
+	a.deduct(l, a.limit.Rate*u.silentShare*(l.elapsed()-u.silentSince))
+	a.silentShare += u.silentShare
 }
 
-// settle gives back what was left to a gate while it was silent: what it has used of it, it
-// tells.
-func (a *account) settle(l *Limiter, u *use) {
-	a.level = min(a.level+a.limit.Rate*u.withheld*(l.second()-u.since), a.limit.Burst)
-	a.speakAgain(u)
+// endSilence returns what was left to a peer while it was silent: the peer reports what it has
+// used of it.
+func (a *account) endSilence(l *Limiter, u *peerUsage) {
+	a.level = min(a.level+a.limit.Rate*u.silentShare*(l.elapsed()-u.silentSince), a.limit.Burst)
+	a.clearSilentShare(u)
 }
 
-// speakAgain ends what was left to a silent gate, or what one that is gone had.
-func (a *account) speakAgain(u *use) {
-	a.silent = max(a.silent-u.withheld, 0)
-	u.withheld = 0
+// clearSilentShare ends the share of a peer that is no longer silent, or is gone.
+func (a *account) clearSilentShare(u *peerUsage) {
+	a.silentShare = max(a.silentShare-u.silentShare, 0)
+	u.silentShare = 0
 }
 
-func (p *pace) turn(now time.Time, over time.Duration) {
-	passed := now.Sub(p.at)
-	if passed < turnLeast {
+func (p *meanRate) update(now time.Time, over time.Duration) {
+	passed := now.Sub(p.updatedAt)
+	if passed < minRateInterval {
 		return
 	}
-	p.rate = faded(p.rate, p.sum/passed.Seconds(), passed.Seconds(), over)
-	p.sum, p.at = 0, now
+	p.rate = decay(p.rate, p.pending/passed.Seconds(), passed.Seconds(), over)
+	p.pending, p.updatedAt = 0, now
 }
 
-func faded(old, seen, passed float64, over time.Duration) float64 {
+func decay(old, seen, passed float64, over time.Duration) float64 {
 	keep := math.Exp(-passed / over.Seconds())
 	return old*keep + seen*(1-keep)
 }
--- a/internal/decision/beechquota/admit.go
+++ b/internal/decision/beechquota/admit.go
@@ -8,30 +8,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// debt is how far this gate may go beyond its share while it is alone. If each gate could
-// let in one large request beyond it, many gates would exceed a small limit together:
-// a lot that is drawn for each window lets some do so and not the others.
-func (l *Limiter) debt(a *account) float64 {
+// maxDebt returns how far a request may exceed an isolated gate's share. If each gate could
+// admit one large request, many gates together would exceed a small limit. A number drawn for
+// each gate and window therefore gives a large debt to few gates and a small one to most.
+func (l *Limiter) maxDebt(a *account) float64 {
 	window := max(l.bounds.Window, time.Second)
-	var text [16]byte
-	binary.BigEndian.PutUint64(text[:8], l.lifetime)
-	binary.BigEndian.PutUint64(text[8:], uint64(l.now.Sub(l.started)/window))
-	return debtPart * l.tolerance(a.limit) / (float64(l.gates) * lot(text[:]))
+	var seed [16]byte
+	binary.BigEndian.PutUint64(seed[:8], l.lifetime)
+	binary.BigEndian.PutUint64(seed[8:], uint64(l.now.Sub(l.started)/window))
+	return debtFraction * l.tolerance(a.limit) / (float64(l.gates) * hashFraction(seed[:]))
 }
 
-// lot gives a number above 0 and up to 1, always the same for a text.
-func lot(text []byte) float64 { return (float64(xxhash.Sum64(text)>>11) + 1) / (1 << 53) }
+// hashFraction returns a number above 0 and up to 1 that depends only on the seed.
+func hashFraction(seed []byte) float64 { return (float64(xxhash.Sum64(seed)>>11) + 1) / (1 << 53) }
 
-// draw is this gate's lot for an account, drawn anew in each lotTime.
+// draw returns this gate's random number for an account, a new one in each drawInterval.
 func (l *Limiter) draw(a *account) float64 {
-	var text [24]byte
-	binary.BigEndian.PutUint64(text[:8], l.lifetime)
-	binary.BigEndian.PutUint64(text[8:16], a.key)
-	binary.BigEndian.PutUint64(text[16:], uint64(l.now.Sub(l.started)/lotTime))
-	return lot(text[:])
+	var seed [24]byte
+	binary.BigEndian.PutUint64(seed[:8], l.lifetime)
+	binary.BigEndian.PutUint64(seed[8:16], a.hash)
+	binary.BigEndian.PutUint64(seed[16:], uint64(l.now.Sub(l.started)/drawInterval))
+	return hashFraction(seed[:])
 }
 
-// Admit asks whether a request of a size may go on.
+// Admit decides whether a request of the given size may pass, and consumes the size if so.
 func (l *Limiter) Admit(workspace string, size float64) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,17 +40,17 @@
 		return Admitted{}
 	}
 	size = min(max(size, 0), maxSize)
-	if refused, ok := l.weigh(a, size).(Refused); ok {
+	if refused, ok := l.decide(a, size).(Refused); ok {
 		a.refused++
 		return refused
 	}
 	a.admitted++
-	a.take(size)
-	a.deaf += size
-	return Admitted{Urgent: a.untold > l.lump(a) && a.level < lowPart*a.limit.Burst || 2*a.untold > l.unheard(a)}
+	a.consume(size)
+	a.sinceReceived += size
+	return Admitted{Urgent: a.unsent > l.unsentAllowance(a) && a.level < lowFraction*a.limit.Burst || 2*a.unsent > l.unsentLimit(a)}
 }
 
-// Check tells what Admit would answer, and takes nothing.
+// Check returns what Admit would, without consuming anything.
 func (l *Limiter) Check(workspace string, size float64) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,96 +58,99 @@
 	if a == nil || a.limit.Rate <= 0 {
 		return Admitted{}
 	}
-	return l.weigh(a, min(max(size, 0), maxSize))
+	return l.decide(a, min(max(size, 0), maxSize))
 }
 
-// weigh decides on a request of a size. The caller holds the lock.
-func (l *Limiter) weigh(a *account, size float64) Decision {
-	l.tick()
+// decide decides on a request of the given size. The caller holds the lock.
+func (l *Limiter) decide(a *account, size float64) Decision {
+	l.updateTime()
 	a.refill(l)
-	a.asked.sum += size
-	a.asked.turn(l.now, shareTime)
-	if left := a.left(l); left <= 0 || l.alone && size-left > l.debt(a) {
-		return l.refuse(a, min(left, 0))
+	a.demandRate.pending += size
+	a.demandRate.update(l.now, longRateTime)
+	if left := a.available(l); left <= 0 || l.isolated && size-left > l.maxDebt(a) {
+		return l.refusal(a, min(left, 0))
 	}
-	if !l.alone && !l.mayUnheard(a, size) {
-		return l.refuse(a, 0) // until the others have heard
+	if !l.isolated && !l.mayAdmitUnsent(a, size) {
+		return l.refusal(a, 0) // until the other gates are informed
 	}
 	return Admitted{}
 }
 
-// mayUnheard tells whether a request may go on before the others hear of it.
-func (l *Limiter) mayUnheard(a *account, size float64) bool {
-	used := max(a.untold, a.sinceHeard(l))
+// mayAdmitUnsent reports whether a request may pass before the other gates are informed of it.
+func (l *Limiter) mayAdmitUnsent(a *account, size float64) bool {
+	used := max(a.unsent, a.admittedSinceReceived(l))
 	if !l.bounds.RandomDraw {
-		return used < l.unheard(a)
+		return used < l.unsentLimit(a)
 	}
-	return (used+size)*l.draw(a) <= l.unheard(a)/l.busy(a)
+	return (used+size)*l.draw(a) <= l.unsentLimit(a)/l.requestProbability(a)
 }
 
-// lump is what a gate may admit untold where the bucket runs low.
-func (l *Limiter) lump(a *account) float64 {
-	return untoldPart * l.tolerance(a.limit) / float64(l.gates)
+// unsentAllowance returns what a gate may admit without an update even where the bucket is
+// nearly empty.
+func (l *Limiter) unsentAllowance(a *account) float64 {
+	return unsentFraction * l.tolerance(a.limit) / float64(l.gates)
 }
 
-// busy is in how many of its draws this gate has a request.
-func (l *Limiter) busy(a *account) float64 {
-	return min(max(a.asked.rate*lotTime.Seconds(), busyLeast), 1)
+// requestProbability estimates the probability that this gate gets a request within a
+// drawInterval.
+func (l *Limiter) requestProbability(a *account) float64 {
+	return min(max(a.demandRate.rate*drawInterval.Seconds(), minRequestProbability), 1)
 }
 
-// unheard is what a gate may admit before it has told the others, and before it has heard
-// of them: with more, all gates together, or those that have just been cut off,
-// would let in many times what is left before any knows.
-func (l *Limiter) unheard(a *account) float64 {
-	part, lumps := min(l.sharedOut(a)+1/float64(l.gates), 1), 2.0
+// unsentLimit returns how much a gate may admit before it has sent an update, and before it
+// has received one. With more, all gates together, or those that have just lost contact, would
+// admit many times the remaining level before any of them knows.
+func (l *Limiter) unsentLimit(a *account) float64 {
+	part, allowances := min(l.usageShare(a)+1/float64(l.gates), 1), 2.0
 	if l.bounds.RandomDraw {
-		lumps = 1 // several requests may be let in by one lot
+		allowances = 1 // one draw may admit several requests
 	}
-	return max(part*a.level, lumps*l.lump(a))
+	return max(part*a.level, allowances*l.unsentAllowance(a))
 }
 
-// refuse tells when what is left will be above 0 again. Who comes back cannot be told
-// from who is new, as another gate takes him; so nothing is kept for him, and a
-// longer time would only make his answer later.
-func (l *Limiter) refuse(a *account, left float64) Refused {
+// refusal returns a refusal with the time at which the available amount will be above 0 again;
+// deficit is 0 or the negative amount that is available now. A caller that retries reaches
+// another gate and cannot be recognized there, so nothing is reserved for it, and a longer time
+// would only delay its answer.
+func (l *Limiter) refusal(a *account, deficit float64) Refused {
 	rate := a.limit.Rate
-	if l.alone {
-		rate *= l.share(a)
+	if l.isolated {
+		rate *= l.localShare(a)
 	}
-	wait := -left / rate
-	wait += rand.Float64() * spreadPart * wait
-	r := Refused{Level: a.level, Unreported: a.unread(l), Limit: a.limit, Isolated: l.alone, After: maxAfter}
+	wait := -deficit / rate
+	wait += rand.Float64() * jitterFraction * wait
+	r := Refused{Level: a.level, Unreported: a.unreported(l), Limit: a.limit, Isolated: l.isolated, After: maxAfter}
 	if wait < maxAfter.Seconds() {
 		r.After = max(time.Duration(wait*float64(time.Second)), minAfter)
 	}
-	if !l.heard.IsZero() {
-		r.UpdateAge = l.now.Sub(l.heard)
+	if !l.lastReceived.IsZero() {
+		r.UpdateAge = l.now.Sub(l.lastReceived)
 		return r
 	}
-	if r.Starting = l.alone && l.gates > 1 && l.now.Sub(l.started) < startTime; r.Starting {
-		r.After = min(r.After, startAfter+time.Duration(spreadPart*rand.Float64()*float64(startAfter)))
+	if r.Starting = l.isolated && l.gates > 1 && l.now.Sub(l.started) < startupTime; r.Starting {
+		r.After = min(r.After, startupRetryAfter+time.Duration(jitterFraction*rand.Float64()*float64(startupRetryAfter)))
 	}
 	return r
 }
 
-// Refund returns what a request was admitted with that was proved not run.
+// Refund returns the size of an admitted request that is known not to have run.
 func (l *Limiter) Refund(workspace string, size float64) {
-	l.with(workspace, func(a *account) { a.giveBack(min(max(size, 0), maxSize)) })
+	l.withAccount(workspace, func(a *account) { a.refund(min(max(size, 0), maxSize)) })
 }
 
-// Charge takes what a request has used beyond its admission, as it ran once more.
+// Charge consumes a further size for an admitted request that ran more than once.
 func (l *Limiter) Charge(workspace string, size float64) {
-	l.with(workspace, func(a *account) { a.take(min(max(size, 0), maxSize)) })
+	l.withAccount(workspace, func(a *account) { a.consume(min(max(size, 0), maxSize)) })
 }
 
-func (l *Limiter) with(workspace string, change func(*account)) {
+func (l *Limiter) withAccount(workspace string, change func(*account)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.accounts[workspace]
 	if a == nil || a.limit.Rate <= 0 {
 		return
 	}
-	l.tick()
+	l.updateTime()
 	a.refill(l)
 	change(a)
 }
--- a/internal/decision/beechquota/doc.go
+++ b/internal/decision/beechquota/doc.go
@@ -1,63 +1,66 @@
-// Package beechquota holds each workspace to its quota: so many tokens (or
-// requests) a second and a burst, over all gates together.
+// Package beechquota enforces a quota per workspace over all gates together: a rate of
+// tokens (or requests) per second and a burst.
 //
-// # Load it answers
+// # Purpose
 //
-// A workspace that sends many times its usual through all gates at once, and one
-// whose few callers come to one or two gates. Equal shares fail both: they refuse
-// the few callers what the workspace has not used, and they let each new gate's
-// bucket through once more. The store cannot be asked for each request.
+// A workspace may send many times its usual rate through all gates at once, or have a few
+// callers that use only one or two gates. Giving each gate an equal share of the limit fails
+// in both cases: it refuses the few callers what the workspace has not used, and every gate
+// that starts grants the burst of its share once more. Asking a central store for each
+// request would be too slow.
 //
-// # How it decides
+// # Algorithm
 //
-// Each gate keeps its belief of the whole bucket's level: it takes off what it
-// admits itself and what the others tell that they have admitted, as totals that
-// never fall within a gate's lifetime, so that a word that is lost is made good by
-// the next. Between words it reckons that the others go on at the pace of their
-// last words. A request is admitted while something is left; one larger than that
-// leaves a debt of the whole bucket, which all wait for. If a request had to find
-// all of its tokens, small ones would take them before a large one ever did.
+// Each gate estimates the level of the whole token bucket. It subtracts what it admits
+// itself and what the other gates report in updates. An update carries totals that never
+// decrease within a lifetime (one run) of a gate, so a lost update is made up for by the
+// next. Between updates a gate assumes that the others continue at the rates of their last
+// updates. A request is admitted while the level is above 0; a larger one leaves a debt in
+// the whole bucket, which all callers wait for. If a request had to find all of its tokens
+// in the bucket, small requests would always take them before a large one could.
 //
-// A gate that has admitted its part of what the operators tolerate says so at once
-// where the bucket runs low, else with its next word. Before it has told the others,
-// and before it has heard of them, it may admit a part of the level only: otherwise
-// all gates together would let a rush in before any of them knows.
+// The tolerance is what operators accept beyond the limit, see Bounds. A gate that has
+// admitted its part of the tolerance sends an update at once if the bucket runs low, and
+// otherwise at its next interval. Before it has informed the others, and before it has
+// received an update itself, it may admit only a part of the level. Otherwise all gates
+// together would admit a burst before any of them knew of it.
 //
-// # Gates that do not hear
+// # Gates without contact
 //
-// A gate that hears no other (it has just started, or is cut off) admits only its
-// share, by what each of them used lately. The others keep its share of the level as
-// soon as its words are late, and leave a silent gate's share of the rate to it until
-// they take it for gone; by then it has halved its own. A lot decides which of many
-// gates that are alone may let in a request larger than its share.
+// A gate that receives no updates (because it has just started, or is cut off) is isolated
+// and admits only its share, which follows from what each gate used recently. The other
+// gates reserve its share of the level as soon as its updates are late. When several are
+// missing, the gate counts as silent and its share of the rate is left to it, until it
+// counts as gone; by then the isolated gate has halved its share. If many gates are
+// isolated, a random draw decides which of them may admit a request larger than its share.
 //
-// A gate that starts takes the level from those who know it. Where nobody does, all
-// begin with a part of what the operators tolerate beyond the limit, so that a burst
-// never comes twice. Each sets aside of it what belongs to gates that it has not heard
-// yet, and takes that back as it hears them.
+// A gate that starts adopts the levels of a gate that knows them. If none does, all gates
+// begin with a part of the tolerance, so that a burst is never granted twice. Each gate
+// reserves a part of this level for gates it has not heard from yet, and releases that part
+// as it receives their updates.
 //
-// # What a caller sees
+// # Response to callers
 //
-// 429 at once, with the time at which there will be something left. A refusal of a gate
-// that has just started says so: waiting a moment helps more than coming back. Who comes back
-// reaches another gate under a new id and cannot be told from who is new, so
-// nothing is kept for him.
+// Callers get 429 at once, with the time at which the level will be above 0 again. A refusal
+// by a gate that has just started says so: waiting for a moment at that gate takes less time
+// than a retry. A retry reaches another gate under a new request ID and cannot be told from a
+// new request, so nothing is reserved for it.
 //
-// # Bad input
+// # Invalid input
 //
-// Limits that are no positive numbers are none. Words of this gate itself, of a
-// lifetime that another one has followed, and totals that fall are passed over and
-// counted. Time stands still while the clock steps back.
+// Limits that are not positive numbers are ignored. Updates of the gate itself, updates of a
+// lifetime that a later one has replaced, and totals that decrease are ignored and counted.
+// If the clock steps back, time stands still until it has caught up.
 //
 // # Usage
 //
 //	l := beechquota.New(host, lifetime, bounds, clock)
-//	l.SetLimits(limits) // at each configuration
-//	l.SetGates(n)       // as keepers count them
+//	l.SetLimits(limits, unknown) // for each configuration
+//	l.SetGates(n)                // when the number of gates changes
 //	switch d := l.Admit(workspace, tokens).(type) {
-//	case beechquota.Admitted: // and GiveBack if it was proved not run
-//	case beechquota.Refused: // answer now: come back after d.After
+//	case beechquota.Admitted: // call Refund if the request turns out not to have run
+//	case beechquota.Refused: // respond now: retry after d.After
 //	}
-//	word := l.Word() // tell the other gates, regularly and when l.Urgent says so
-//	l.Hear(word)     // another gate's
+//	update := l.NextUpdate() // send it to the other gates, regularly and if d.Urgent
+//	l.ApplyUpdate(update)    // received from another gate
 package beechquota
