--- a/internal/decision/beechthrottle/doc.go
+++ b/internal/decision/beechthrottle/doc.go
@@ -1,49 +1,51 @@
-// Package beechthrottle keeps to what servers say they take: so many requests a second,
-// from all gates together.
+// Package beechthrottle keeps the requests sent to a server below the limit that the server
+// names: a number of requests per second, from all gates together.
 //
-// # Load it answers
+// # Purpose
 //
-// A server in need names a limit with its answers. One answer reaches one gate, and the
-// limit is on what all gates send: a gate that is not told goes on as before, and
-// gates that each keep to the limit by themselves send it many times over. A limit may
-// be far below one request a second and gate, so that no equal share of it serves
-// anybody.
+// An overloaded server may name a limit in its responses. A response reaches one gate, but
+// the limit applies to the requests of all gates. Gates that are not informed continue as
+// before, and if each gate applied the limit on its own, the server would receive many times
+// as many requests. The limit may be far below one request per second and gate, so that equal
+// shares of it would not let any gate send a request.
 //
-// # How it decides
+// # Algorithm
 //
-// What one gate hears it tells the others at once. Answers overtake one another: of two
-// that may have been given in either order the stricter counts, until one comes whose
-// request was sent after the other had arrived. So a limit is lifted only by an
-// answer that is surely newer than the one that named it.
+// A gate sends what it learns from a response to the other gates at once. Responses may
+// arrive out of order. Of two that may have been sent in either order the stricter limit
+// applies, until a response arrives whose request was sent after the other response was
+// received. A limit is therefore lifted only by a response that is certainly later than the
+// one that named it.
 //
-// What is sent is counted by beechquota, the server taking the place of a workspace and
-// a request that of tokens: every gate keeps the level of the whole bucket out of its
-// own count and the others' words. Where gates have less than a request each to send
-// unheard, lots decide which of them may. Every send counts, first ones and repeats, and
-// what was turned away; what found no connection is given back.
+// Requests are counted by beechquota, with a server in place of a workspace and requests in
+// place of tokens: every gate estimates the level of the whole bucket from its own count and
+// the other gates' updates. Where a gate's share of what may be sent before the others are
+// informed is less than one request, a random draw decides which gates may send. Every request
+// sent counts, including repeated ones and those that the server rejects. Requests that found
+// no connection are refunded.
 //
-// # A limit that nobody hears of any more
+// # Limits that are no longer confirmed
 //
-// A limit that has not been named for a while is not known to be in force, nor to be
-// over. The server is due to be asked then, and the limit rises slowly and by little until
-// an answer comes. A server that has begun another lifetime has none.
+// If a limit has not been named for a while, it is unknown whether it still applies. The
+// server is then due for a probe, and the limit is relaxed slowly and to a small degree until a
+// response arrives. A server that has restarted has no limit.
 //
-// # Bad input
+// # Invalid input
 //
-// Limits that cannot be used are counted and told; the last good one stays, and fades as
-// one that is not named again. Word of a lifetime that is over, of the future, or older
-// than any that can matter is passed over.
+// Invalid limits are counted and logged. The last valid limit stays, and is relaxed as one
+// that is not confirmed. Updates about a lifetime of the server that has ended, from the
+// future, or too old to matter are ignored.
 //
 // # Usage
 //
-//	t := beechthrottle.New(host, lifetime, clock, steady, note, news)
-//	switch d := t.Room(server).(type) { // while choosing
+//	t := beechthrottle.New(host, lifetime, clock, quotaClock, onEvent, onUrgent)
+//	switch d := t.Check(server).(type) { // while choosing a server
 //	case beechquota.Admitted:
-//	case beechquota.Refused: // another server, or come back after d.After
+//	case beechquota.Refused: // choose another server, or retry after d.After
 //	}
-//	t.Take(server)                    // as it is sent
-//	t.GiveBack(server)                // it found no connection
-//	t.Heard(server, born, said, sent) // with each answer
-//	word := t.Word()                  // tell the other gates, regularly and when news is called
-//	t.Hear(word, from)                // another gate's
+//	t.Acquire(server)                         // when the request is sent
+//	t.Refund(server)                          // if it found no connection
+//	t.Observe(server, startTime, limit, sent) // for each response
+//	update := t.NextUpdate()                  // send it to the other gates, regularly and on onUrgent
+//	t.ApplyUpdate(update, source)             // received from another gate
 package beechthrottle
--- a/internal/decision/beechthrottle/table.go
+++ b/internal/decision/beechthrottle/table.go
@@ -6,96 +6,97 @@
 )
 
 type (
-	// ServerLimit is what an answer says of its server's limit: Silent, Names or Faulty.
+	// ServerLimit is what a response says about its server's limit: NoLimit, RateLimit or
+	// InvalidLimit.
 	ServerLimit interface{ serverLimit() }
 
-	// NoLimit says that the answer names no limit.
+	// NoLimit means that the response names no limit.
 	NoLimit struct{}
 
-	// RateLimit says how many requests a second the server takes from all gates
-	// together. Rate is finite and not below 0.
+	// RateLimit is the number of requests per second that the server accepts from all gates
+	// together. Rate is finite and not negative.
 	RateLimit struct {
 		Rate   float64
-		Header string // of the answer that named it, for logs
+		Header string // header field that named the limit, for logs
 	}
 
-	// InvalidLimit says that the answer names a limit that cannot be used.
+	// InvalidLimit means that the response names a limit that cannot be used.
 	InvalidLimit struct{ Text string }
 
-	// Observation is what is known of a server's limit from one answer. The server said so
-	// at some moment from Sent to Received, by a clock that counts suspensions.
+	// Observation is a server's limit according to one response. The server sent it at some
+	// time between Sent and Received, on a clock that includes time spent suspended.
 	Observation struct {
-		StartTime uint64 // of the server's lifetime; 0 is not told
+		StartTime uint64 // when the server's lifetime began, in Unix milliseconds; 0 if unknown
 		Rate      float64
 		Sent      time.Duration
 		Received  time.Duration
 	}
 
-	// register is what is believed of servers' limits, by the hash of their IDs.
+	// limitTable holds the limits of servers, by the hash of their IDs.
 	limitTable struct{ entries map[uint64]*limitEntry }
 
-	// belief is what is believed of one server.
+	// limitEntry is the state of one server's limit.
 	limitEntry struct {
 		Observation
-		confirmedAt time.Duration // when it was last confirmed
-		direct      bool          // the server itself said so to this gate
-		sendsLeft   int           // words that still tell it
-		account     string        // of the counting
-		enforced    float64       // the rate that is kept to
-		probeOffset float64       // 0 to 1: when this gate asks a server again
-		sent        int
+		confirmedAt time.Duration // when the limit was last named
+		direct      bool          // this gate got the limit from the server itself
+		sendsLeft   int           // further updates that report the limit
+		account     string        // name of the server's account in the quotas
+		enforced    float64       // rate in force, see effectiveRate
+		probeOffset float64       // 0 to 1: when this gate probes, within freshFor
+		sent        int           // see LimitStatus
 		withheld    int
 	}
 )
 
-// unlimited is the rate of a server that names none any more.
+// unlimited is the rate of a server without a limit.
 var unlimited = math.Inf(1)
 
 func (NoLimit) serverLimit()      {}
 func (RateLimit) serverLimit()    {}
 func (InvalidLimit) serverLimit() {}
 
-// limited tells whether the server is believed to have a limit.
-func (b *limitEntry) limited() bool { return b != nil && !math.IsInf(b.Rate, 1) }
+// limited reports whether the server has a limit.
+func (e *limitEntry) limited() bool { return e != nil && !math.IsInf(e.Rate, 1) }
 
-// take takes in a notice, and tells whether what is believed has changed.
+// observe applies an observation and reports whether the limit has changed.
 //
-// Answers overtake one another, so the last to arrive is not always the newest. Of two
-// that may have been given in either order the stricter counts, until one comes whose
-// request was sent after the other had arrived.
-func (r *limitTable) observe(key uint64, n Observation) (b *limitEntry, changed bool) {
-	b = r.entries[key]
-	if b == nil {
-		if math.IsInf(n.Rate, 1) || len(r.entries) >= maxServers {
+// Responses may arrive out of order, so the last to arrive is not always the latest. Of two
+// that may have been sent in either order the stricter applies, until a response arrives whose
+// request was sent after the other response was received.
+func (t *limitTable) observe(key uint64, o Observation) (entry *limitEntry, changed bool) {
+	entry = t.entries[key]
+	if entry == nil {
+		if math.IsInf(o.Rate, 1) || len(t.entries) >= maxServers {
 			return nil, false
 		}
-		b = &limitEntry{Observation: n, confirmedAt: n.Received}
-		r.entries[key] = b
-		return b, true
+		entry = &limitEntry{Observation: o, confirmedAt: o.Received}
+		t.entries[key] = entry
+		return entry, true
 	}
-	if n.StartTime != 0 && b.StartTime != 0 && n.StartTime != b.StartTime {
-		if n.StartTime < b.StartTime {
-			return b, false // word of a lifetime that is over
+	if o.StartTime != 0 && entry.StartTime != 0 && o.StartTime != entry.StartTime {
+		if o.StartTime < entry.StartTime {
+			return entry, false // from a lifetime that has ended
 		}
-		changed = n.Rate != b.Rate
-		b.replace(n)
-		return b, changed
+		changed = o.Rate != entry.Rate
+		entry.replace(o)
+		return entry, changed
 	}
-	n.StartTime = max(n.StartTime, b.StartTime)
+	o.StartTime = max(o.StartTime, entry.StartTime)
 	switch {
-	case n.Rate == b.Rate:
-		b.StartTime = n.StartTime
-		b.Sent, b.Received = max(b.Sent, n.Sent), max(b.Received, n.Received)
-		b.confirmedAt = max(b.confirmedAt, n.Received)
-		return b, false
-	case n.Sent > b.Received, n.Rate < b.Rate && n.Received >= b.Sent:
-		b.replace(n)
-		return b, true
+	case o.Rate == entry.Rate:
+		entry.StartTime = o.StartTime
+		entry.Sent, entry.Received = max(entry.Sent, o.Sent), max(entry.Received, o.Received)
+		entry.confirmedAt = max(entry.confirmedAt, o.Received)
+		return entry, false
+	case o.Sent > entry.Received, o.Rate < entry.Rate && o.Received >= entry.Sent:
+		entry.replace(o)
+		return entry, true
 	}
-	return b, false
+	return entry, false
 }
 
-func (b *limitEntry) replace(n Observation) {
-	b.Observation = n
-	b.confirmedAt = n.Received
+func (e *limitEntry) replace(o Observation) {
+	e.Observation = o
+	e.confirmedAt = o.Received
 }
--- a/internal/decision/beechthrottle/throttle.go
+++ b/internal/decision/beechthrottle/throttle.go
@@ -17,55 +17,55 @@
 )
 
 type (
-	// Clock gives the time since some start, suspensions included.
+	// Clock returns the time since an arbitrary start, including time spent suspended.
 	Clock interface{ Now() time.Duration }
 
-	// Event is something that a gate's log tells: Began, Changed, Ended or PassedOver.
+	// Event is a change to log: LimitStarted, LimitChanged, LimitEnded or LimitIgnored.
 	Event interface{ event() }
 
-	// LimitStarted says that a server is known to have a limit now.
+	// LimitStarted means that a server without a limit has one now.
 	LimitStarted struct{ LimitStatus }
 
-	// LimitChanged says that its limit is another one now.
+	// LimitChanged means that the rate of a server's limit has changed.
 	LimitChanged struct {
 		LimitStatus
 		Previous float64
 	}
 
-	// LimitEnded says that it has none any more.
+	// LimitEnded means that a server no longer has a limit. Rate is the previous rate.
 	LimitEnded struct{ LimitStatus }
 
-	// LimitIgnored says that an answer named a limit that cannot be used.
+	// LimitIgnored means that a server's response named an invalid limit.
 	LimitIgnored struct{ Server, Text string }
 
-	// LimitStatus is how it stands with a server's limit.
+	// LimitStatus is the state of a server's limit.
 	LimitStatus struct {
-		Server   string  // ID, or its hash where no server is listed that has it
-		Rate     float64 // requests a second
-		Source   string  `json:"From"`  // the gate that told it; empty where the server itself did
-		Header   string  `json:"Field"` // of the answer that named it
-		Age      time.Duration
-		Sent     int `json:"Given"` // requests that this gate has sent there since the limit is known
-		Withheld int `json:"Held"`  // and those that it sent elsewhere, or refused, for the limit
+		Server   string        // ID, or the ID's hash if no such server is listed
+		Rate     float64       // requests per second
+		Source   string        `json:"From"`  // the gate that reported the limit; empty if the server's response did
+		Header   string        `json:"Field"` // header field of the response that named the limit
+		Age      time.Duration // time since the limit was last confirmed
+		Sent     int           `json:"Given"` // requests that this gate has sent since the limit is known
+		Withheld int           `json:"Held"`  // requests that this gate sent elsewhere, or refused, because of the limit
 	}
 
-	// State is what is believed, for metrics.
+	// State is a snapshot of a throttle for metrics.
 	State struct {
-		Limited  int              // servers that name a limit
+		Limited  int              // number of servers with a limit
 		Sent     int              `json:"Given"`      // requests to such servers
-		Withheld int              `json:"Held"`       // those that went elsewhere, or were refused, for a limit
-		Invalid  int              `json:"PassedOver"` // answers with limits that could not be used
+		Withheld int              `json:"Held"`       // requests sent elsewhere, or refused, because of a limit
+		Invalid  int              `json:"PassedOver"` // responses with invalid limits
 		Quota    beechquota.State `json:"Counting"`
-		Servers  []LimitStatus
+		Servers  []LimitStatus    // those with the most requests first
 	}
 
-	// Throttle is one gate's view of all servers' limits. It is safe for concurrent use.
+	// Throttle enforces the limits of all servers at one gate. It is safe for concurrent use.
 	Throttle struct {
 		clock          Clock
 		onEvent        func(Event)
 		onUrgent       func()
 		quotas         *beechquota.Limiter
-		limitedServers atomic.Int64 // servers that name a limit
+		limitedServers atomic.Int64 // number of servers with a limit
 
 		mu             sync.Mutex
 		table          limitTable
@@ -78,37 +78,37 @@
 )
 
 const (
-	// serversMost are remembered: more than name a limit at once in any fleet.
-	maxServers = 16384
-	// standingMost are shown in metrics.
-	maxStatuses = 32
-	// burst is the requests that a server which was sent none for a while may be sent at
-	// once.
+	// maxServers bounds the table. It is more than the servers that name a limit at once in
+	// any fleet.
+	maxServers  = 16384
+	maxStatuses = 32 // in State
+	// burst is how many requests may be sent at once to a server that was sent none for a
+	// while.
 	burst = 1
-	// sureFor a limit is believed without being named again. Then a server that is asked
-	// seldom is asked again, lest nobody hears that its need is over: each gate in turn,
-	// within as long again.
+	// freshFor is how long a limit is relied on without being confirmed. After that, a server
+	// that gets few requests is probed, because otherwise no gate would learn that its limit
+	// has ended. Each gate probes at its own time, within as long again.
 	freshFor = 2 * time.Second
-	// riseAfter a limit that is not named again rises, doubling in each riseTime to riseMost
-	// times its rate at the most, and by askRate a second: one of 0 would never be asked for
-	// otherwise.
+	// A limit that is not confirmed for relaxAfter is relaxed: its rate doubles in each
+	// relaxDoubling, up to maxRelaxFactor times, and probeRate per second is added. Without
+	// probeRate, a limit of 0 would never be probed.
 	relaxAfter     = 8 * time.Second
 	relaxDoubling  = 4 * time.Second
 	maxRelaxFactor = 4
 	probeRate      = 0.25
-	// leastRate stands for a limit of 0, which the counting does not know.
+	// minRate replaces a limit of 0, because beechquota takes a rate of 0 for no limit.
 	minRate = 0.001
-	// lasts is how long a limit is remembered that is never named again, or one that has
-	// ended, so that late word of it is known to be old.
+	// retention is how long a limit is kept that is not confirmed, or that has ended. Late
+	// updates about an ended limit can be recognized as old during this time.
 	retention = time.Minute
-	// sweepEvery limits that are not named again rise, and old ones are forgotten.
+	// sweepInterval is the time between passes that relax and delete limits.
 	sweepInterval = 500 * time.Millisecond
 )
 
-// bounds are what is tolerated beyond a limit: half of it, for what was under way, and
-// some requests, one and a half of which are the burst's. What was counted is remembered
-// for longer than needs come and go: counted from nothing at some gates and not at others,
-// the totals that they tell would seem to fall and be passed over.
+// bounds allow half of a limit more, for requests in transit, and 5 requests, 1.5 of which are
+// the burst and its overage. Retention is longer than the usual time for which servers name
+// limits: if some gates had deleted the account and restarted counting from 0 and others had not,
+// the totals of the former would appear to decrease and be discarded.
 var bounds = beechquota.Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, RandomDraw: true, Retention: 10 * time.Minute}
 
 func (LimitStarted) event() {}
@@ -116,23 +116,24 @@
 func (LimitEnded) event()   {}
 func (LimitIgnored) event() {}
 
-// New returns a throttle that knows no limit. Host names this gate, the same in all its
-// lifetimes; lifetime tells this one from the others. Note is told what has changed, and
-// news is called where the other gates must hear at once; neither may call the throttle.
-func New(host string, lifetime uint64, clock Clock, steady clockwork.Clock, note func(Event), news func()) *Throttle {
+// New returns a throttle without limits. host identifies this gate and stays the same over
+// restarts; lifetime is unique to this run of it. quotaClock is used for counting. onEvent is
+// called for changes to log, and onUrgent when the other gates must be sent an update at once;
+// neither may call the throttle.
+func New(host string, lifetime uint64, clock Clock, quotaClock clockwork.Clock, onEvent func(Event), onUrgent func()) *Throttle {
 	return &Throttle{
-		clock: clock, onEvent: note, onUrgent: news, quotas: beechquota.New(host, lifetime, bounds, steady),
+		clock: clock, onEvent: onEvent, onUrgent: onUrgent, quotas: beechquota.New(host, lifetime, bounds, quotaClock),
 		table: limitTable{make(map[uint64]*limitEntry)},
 	}
 }
 
-// SetGates tells how many gates there are, this one included.
+// SetGates sets the number of gates, including this one.
 func (t *Throttle) SetGates(n int) { t.quotas.SetGates(n) }
 
-// Now is the time by the throttle's clock.
+// Now returns the time of the throttle's clock.
 func (t *Throttle) Now() time.Duration { return t.clock.Now() }
 
-// SetServers tells which servers are listed, by ID.
+// SetServers sets the IDs of the listed servers.
 func (t *Throttle) SetServers(ids []string) {
 	names := make(map[uint64]string, len(ids))
 	for _, id := range ids {
@@ -143,16 +144,17 @@
 	t.mu.Unlock()
 }
 
-// HasLimits tells whether any server names a limit.
+// HasLimits reports whether any server has a limit.
 func (t *Throttle) HasLimits() bool { return t.limitedServers.Load() > 0 }
 
-// Observe takes in what an answer of a server said, whose request was sent then.
-func (t *Throttle) Observe(server string, born uint64, said ServerLimit, sent time.Duration) {
-	notice := Observation{StartTime: born, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
-	field := ""
-	switch v := said.(type) {
+// Observe processes the limit named by a server's response; startTime is when the server's current
+// lifetime began, and sent is when the request was sent.
+func (t *Throttle) Observe(server string, startTime uint64, limit ServerLimit, sent time.Duration) {
+	observation := Observation{StartTime: startTime, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
+	header := ""
+	switch v := limit.(type) {
 	case RateLimit:
-		notice.Rate, field = v.Rate, v.Header
+		observation.Rate, header = v.Rate, v.Header
 	case InvalidLimit:
 		t.mu.Lock()
 		t.invalid++
@@ -164,20 +166,20 @@
 			return
 		}
 	default:
-		return // not known
+		return // the response's headers are not known
 	}
 	t.mu.Lock()
-	event, sure := t.apply(xxhash.Sum64String(server), notice, "")
+	event, confirmed := t.apply(xxhash.Sum64String(server), observation, "")
 	t.mu.Unlock()
-	if event != nil || sure {
+	if event != nil || confirmed {
 		t.onUrgent()
 	}
-	t.emit(event, field)
+	t.emit(event, header)
 }
 
-// ServerRestarted tells that a server has begun another lifetime under its ID, or is gone: it has
-// no limit until it names one.
-func (t *Throttle) ServerRestarted(server string, born uint64) {
+// ServerRestarted drops the limit of a server that has restarted under its ID, or is gone. It has
+// no limit until it names one again.
+func (t *Throttle) ServerRestarted(server string, startTime uint64) {
 	if !t.HasLimits() {
 		return
 	}
@@ -185,123 +187,122 @@
 	t.mu.Lock()
 	key := xxhash.Sum64String(server)
 	var event Event
-	if b := t.table.entries[key]; b.limited() {
-		was := b.Rate
-		b.replace(Observation{StartTime: max(born, b.StartTime), Rate: unlimited, Sent: now, Received: now})
-		event = t.applyChange(key, b, was, now, "")
+	if entry := t.table.entries[key]; entry.limited() {
+		previous := entry.Rate
+		entry.replace(Observation{StartTime: max(startTime, entry.StartTime), Rate: unlimited, Sent: now, Received: now})
+		event = t.applyChange(key, entry, previous, now, "")
 	}
 	t.mu.Unlock()
 	t.emit(event, "")
 }
 
-// take takes in a notice on a server; from is the gate that told it, empty for the
-// server's own answer. It gives what the log tells of it, and whether a limit is sure
-// again that was not. The caller holds the lock.
-func (t *Throttle) apply(key uint64, n Observation, from string) (e Event, sure bool) {
+// apply applies an observation of a server's limit. source is the gate that reported it, or empty
+// for the server's own response. It returns an event to log, if any, and whether a limit that was
+// no longer fresh has been confirmed. The caller holds the lock.
+func (t *Throttle) apply(key uint64, o Observation, source string) (e Event, confirmed bool) {
 	now := t.clock.Now()
-	was, unsure := unlimited, false
+	previous, stale := unlimited, false
 	if old := t.table.entries[key]; old != nil {
-		was, unsure = old.Rate, old.limited() && now-old.confirmedAt > freshFor
+		previous, stale = old.Rate, old.limited() && now-old.confirmedAt > freshFor
 	}
-	b, changed := t.table.observe(key, n)
-	if b == nil {
+	entry, changed := t.table.observe(key, o)
+	if entry == nil {
 		return nil, false
 	}
-	if from == "" && b.Received == n.Received {
-		b.direct = true
+	if source == "" && entry.Received == o.Received {
+		entry.direct = true
 	}
 	if changed {
-		return t.applyChange(key, b, was, now, from), false
+		return t.applyChange(key, entry, previous, now, source), false
 	}
-	if sure = unsure && now-b.confirmedAt <= freshFor; sure {
-		t.enforce(key, b, now)
+	if confirmed = stale && now-entry.confirmedAt <= freshFor; confirmed {
+		t.enforce(key, entry, now)
 	}
-	if sure && from == "" {
-		b.sendsLeft = updateSends
+	if confirmed && source == "" {
+		entry.sendsLeft = updateSends
 	}
-	return nil, sure
+	return nil, confirmed
 }
 
-// changed puts a belief in force, and gives what the log tells of it. The caller holds
-// the lock.
-func (t *Throttle) applyChange(key uint64, b *limitEntry, was float64, now time.Duration, from string) Event {
-	s := t.status(key, b, now)
-	s.Source = from
-	b.sendsLeft, b.direct = updateSends, from == ""
-	t.enforce(key, b, now)
+// applyChange enforces a changed limit and returns the event to log. The caller holds the lock.
+func (t *Throttle) applyChange(key uint64, entry *limitEntry, previous float64, now time.Duration, source string) Event {
+	s := t.status(key, entry, now)
+	s.Source = source
+	entry.sendsLeft, entry.direct = updateSends, source == ""
+	t.enforce(key, entry, now)
 	switch {
-	case !b.limited() && math.IsInf(was, 1):
+	case !entry.limited() && math.IsInf(previous, 1):
 		return nil
-	case !b.limited():
+	case !entry.limited():
 		t.limitedServers.Add(-1)
-		b.sent, b.withheld = 0, 0
-		s.Rate = was
+		entry.sent, entry.withheld = 0, 0
+		s.Rate = previous
 		return LimitEnded{s}
-	case math.IsInf(was, 1):
+	case math.IsInf(previous, 1):
 		t.limitedServers.Add(1)
 		return LimitStarted{s}
 	}
-	return LimitChanged{LimitStatus: s, Previous: was}
+	return LimitChanged{LimitStatus: s, Previous: previous}
 }
 
-// enforce has the counting keep to a limit as far as it is believed now. The caller holds
-// the lock.
-func (t *Throttle) enforce(key uint64, b *limitEntry, now time.Duration) {
-	if b.account == "" {
-		b.account = strconv.FormatUint(key, 16)
-		b.probeOffset = rand.Float64()
+// enforce sets the quota of a server to its limit, relaxed if it was not confirmed for long. The
+// caller holds the lock.
+func (t *Throttle) enforce(key uint64, entry *limitEntry, now time.Duration) {
+	if entry.account == "" {
+		entry.account = strconv.FormatUint(key, 16)
+		entry.probeOffset = rand.Float64()
 	}
-	if !b.limited() {
-		t.quotas.SetLimit(b.account, beechquota.Limit{})
+	if !entry.limited() {
+		t.quotas.SetLimit(entry.account, beechquota.Limit{})
 		return
 	}
-	b.enforced = b.effectiveRate(now)
-	t.quotas.SetLimit(b.account, beechquota.Limit{Rate: max(b.enforced, minRate), Burst: burst})
+	entry.enforced = entry.effectiveRate(now)
+	t.quotas.SetLimit(entry.account, beechquota.Limit{Rate: max(entry.enforced, minRate), Burst: burst})
 }
 
-// believed is the limit as far as it is believed still: what is not named again rises.
-func (b *limitEntry) effectiveRate(now time.Duration) float64 {
-	unsure := now - b.confirmedAt - relaxAfter
-	if unsure <= 0 {
-		return b.Rate
+// effectiveRate returns the rate to enforce, which rises if the limit is not confirmed.
+func (e *limitEntry) effectiveRate(now time.Duration) float64 {
+	unconfirmed := now - e.confirmedAt - relaxAfter
+	if unconfirmed <= 0 {
+		return e.Rate
 	}
-	rise := min(math.Exp2(float64(unsure)/float64(relaxDoubling)), maxRelaxFactor)
-	return b.Rate*rise + probeRate
+	factor := min(math.Exp2(float64(unconfirmed)/float64(relaxDoubling)), maxRelaxFactor)
+	return e.Rate*factor + probeRate
 }
 
-// tell logs an event, if there is one.
-func (t *Throttle) emit(e Event, field string) {
+// emit passes on an event, if there is one.
+func (t *Throttle) emit(e Event, header string) {
 	switch v := e.(type) {
 	case LimitStarted:
-		v.Header = field
+		v.Header = header
 		t.onEvent(v)
 	case LimitChanged:
-		v.Header = field
+		v.Header = header
 		t.onEvent(v)
 	case LimitEnded:
 		t.onEvent(v)
 	}
 }
 
-// Check tells whether a server may be sent a request now, and takes nothing.
+// Check returns whether a server may be sent a request now, without consuming anything.
 func (t *Throttle) Check(server string) beechquota.Decision {
-	b := t.lookup(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return beechquota.Admitted{}
 	}
-	return t.quotas.Check(b.account, 1)
+	return t.quotas.Check(entry.account, 1)
 }
 
-// Acquire takes a request from what a server may be sent, if there is something left.
+// Acquire consumes a request of a server's limit if it admits one.
 func (t *Throttle) Acquire(server string) beechquota.Decision {
-	b := t.lookup(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return beechquota.Admitted{}
 	}
-	d := t.quotas.Admit(b.account, 1)
+	d := t.quotas.Admit(entry.account, 1)
 	if admitted, ok := d.(beechquota.Admitted); ok {
 		t.mu.Lock()
-		b.sent++
+		entry.sent++
 		t.sent++
 		t.mu.Unlock()
 		if admitted.Urgent {
@@ -311,52 +312,52 @@
 	return d
 }
 
-// Refund returns a request that was not sent.
+// Refund returns a request that could not be sent.
 func (t *Throttle) Refund(server string) {
-	if b := t.lookup(server); b != nil {
-		t.quotas.Refund(b.account, 1)
+	if entry := t.lookup(server); entry != nil {
+		t.quotas.Refund(entry.account, 1)
 	}
 }
 
-// CountWithheld counts a request that did not go to a server for its limit.
+// CountWithheld counts a request that was not sent to a server because of its limit.
 func (t *Throttle) CountWithheld(server string) {
-	b := t.lookup(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b.withheld++
+	entry.withheld++
 	t.withheld++
 }
 
-// ProbeDue tells whether this gate is to ask a server again, as its limit has not been named
-// for a while. If all gates asked at once, a server in need would be sent a burst.
+// ProbeDue reports whether this gate should probe a server whose limit has not been confirmed for
+// a while. If all gates probed at once, an overloaded server would receive a burst.
 func (t *Throttle) ProbeDue(server string) bool {
-	b := t.lookup(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Now()-b.confirmedAt > freshFor+time.Duration(b.probeOffset*float64(freshFor))
+	return t.clock.Now()-entry.confirmedAt > freshFor+time.Duration(entry.probeOffset*float64(freshFor))
 }
 
-// Limited tells whether a server names a limit.
+// Limited reports whether a server has a limit.
 func (t *Throttle) Limited(server string) bool { return t.lookup(server) != nil }
 
-// Rate is the requests a second that a server takes now, as far as that is believed.
+// Rate returns the requests per second that are currently allowed to a server.
 func (t *Throttle) Rate(server string) float64 {
-	b := t.lookup(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return unlimited
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(b.enforced, minRate)
+	return max(entry.enforced, minRate)
 }
 
-// belief gives what is believed of a server that has a limit, nil of others.
+// lookup returns the entry of a server with a limit, or nil.
 func (t *Throttle) lookup(server string) *limitEntry {
 	if !t.HasLimits() {
 		return nil
@@ -365,50 +366,50 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
-	if b := t.table.entries[key]; b.limited() {
-		return b
+	if entry := t.table.entries[key]; entry.limited() {
+		return entry
 	}
 	return nil
 }
 
-// sweep has limits rise that are not named again, and forgets old ones. The caller holds
-// the lock.
+// sweep relaxes limits that have not been confirmed, and deletes old ones. The caller holds the
+// lock.
 func (t *Throttle) sweep() {
 	now := t.clock.Now()
 	if now-t.lastSweep < sweepInterval {
 		return
 	}
 	t.lastSweep = now
-	for key, b := range t.table.entries {
+	for key, entry := range t.table.entries {
 		switch {
-		case now-b.confirmedAt > retention:
-			if b.limited() {
+		case now-entry.confirmedAt > retention:
+			if entry.limited() {
 				t.limitedServers.Add(-1)
-				t.quotas.SetLimit(b.account, beechquota.Limit{})
+				t.quotas.SetLimit(entry.account, beechquota.Limit{})
 			}
 			delete(t.table.entries, key)
-		case b.limited() && b.effectiveRate(now) != b.enforced:
-			t.enforce(key, b, now)
+		case entry.limited() && entry.effectiveRate(now) != entry.enforced:
+			t.enforce(key, entry, now)
 		}
 	}
 }
 
-func (t *Throttle) status(key uint64, b *limitEntry, now time.Duration) LimitStatus {
+func (t *Throttle) status(key uint64, entry *limitEntry, now time.Duration) LimitStatus {
 	name := cmp.Or(t.serverIDs[key], strconv.FormatUint(key, 16))
-	return LimitStatus{Server: name, Rate: b.Rate, Age: max(now-b.confirmedAt, 0), Sent: b.sent, Withheld: b.withheld}
+	return LimitStatus{Server: name, Rate: entry.Rate, Age: max(now-entry.confirmedAt, 0), Sent: entry.sent, Withheld: entry.withheld}
 }
 
-// State gives what is believed, those that were asked most first.
+// State returns a snapshot with the servers that had the most requests sent or withheld.
 func (t *Throttle) State() State {
 	counting := t.quotas.State()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	s := State{Sent: t.sent, Withheld: t.withheld, Invalid: t.invalid, Quota: counting}
-	for key, b := range t.table.entries {
-		if b.limited() {
+	for key, entry := range t.table.entries {
+		if entry.limited() {
 			s.Limited++
-			s.Servers = append(s.Servers, t.status(key, b, now))
+			s.Servers = append(s.Servers, t.status(key, entry, now))
 		}
 	}
 	slices.SortFunc(s.Servers, func(x, y LimitStatus) int {
--- a/internal/decision/beechthrottle/throttle_test.go
+++ b/internal/decision/beechthrottle/throttle_test.go
@@ -12,16 +12,16 @@
 )
 
 type (
-	// fleet is gates in virtual time.
+	// fleet is a set of gates in virtual time.
 	fleet struct {
 		clock  *clockwork.FakeClock
 		start  time.Time
 		gates  []*Throttle
 		events [][]Event
-		urgent []bool // gates that are to speak at once
+		urgent []bool // gates that must send an update at once
 	}
 
-	// since gives the time since a fleet began.
+	// elapsed is a Clock that returns the time since a fleet was created.
 	elapsed struct{ f *fleet }
 )
 
@@ -39,7 +39,7 @@
 	return f
 }
 
-// add starts a gate among so many.
+// add starts a gate, in a fleet of n gates.
 func (f *fleet) add(n int) *Throttle {
 	i := len(f.gates)
 	f.events, f.urgent = append(f.events, nil), append(f.urgent, false)
@@ -50,8 +50,8 @@
 	return t
 }
 
-// live lets time pass, in which gates speak each 300 ms and at once where it is urgent,
-// and calls step every ten milliseconds.
+// run lets time pass. Gates send updates every 300 ms, and at once when it is urgent; step is
+// called every 10 ms.
 func (f *fleet) run(length time.Duration, step func()) {
 	for n := range int(length / (10 * time.Millisecond)) {
 		f.clock.Advance(10 * time.Millisecond)
@@ -77,25 +77,25 @@
 	if !f.gates[i].HasUpdate() {
 		return
 	}
-	w := f.gates[i].NextUpdate()
+	update := f.gates[i].NextUpdate()
 	for j, to := range f.gates {
 		if j != i {
-			to.ApplyUpdate(w, fmt.Sprint("gate-", i))
+			to.ApplyUpdate(update, fmt.Sprint("gate-", i))
 		}
 	}
 }
 
-// ask has a gate send a request to the server, which answers at once with a limit.
-func (f *fleet) request(i int, said ServerLimit) bool {
+// request has a gate send a request to the server, which responds at once with a limit.
+func (f *fleet) request(i int, limit ServerLimit) bool {
 	if _, ok := f.gates[i].Acquire(server).(beechquota.Admitted); !ok {
 		return false
 	}
-	f.gates[i].Observe(server, 0, said, f.now())
+	f.gates[i].Observe(server, 0, limit, f.now())
 	return true
 }
 
-// A gate has never been answered by a server in need. It knows of the limit from the
-// others, and keeps to it with them.
+// Only one gate gets a response that names a limit. The others must learn of it, and all gates
+// together must keep to it.
 func TestLimitReachesOtherGates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(8)
@@ -103,11 +103,11 @@
 	f.exchange()
 	for i, g := range f.gates {
 		is.True(g.Limited(server))
-		began, ok := f.events[i][0].(LimitStarted)
+		started, ok := f.events[i][0].(LimitStarted)
 		is.True(ok)
-		is.Equal(began.Source != "", i != 0)
-		is.Equal(began.Rate, 2.0)
-		is.Equal(began.Server, server)
+		is.Equal(started.Source != "", i != 0)
+		is.Equal(started.Rate, 2.0)
+		is.Equal(started.Server, server)
 	}
 	var sent []time.Duration
 	f.run(30*time.Second, func() {
@@ -127,10 +127,10 @@
 	}
 }
 
-// tolerated of two requests a second in a window.
+// maxInWindow is the number of requests that bounds allow in a window at two requests per second.
 const maxInWindow = 2*4*3/2 + 5
 
-// A gate starts while a server is in need, and asks. The others tell it before it sends.
+// A gate starts while a server has a limit. It must learn of the limit before it sends.
 func TestStartingGateLearnsLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
@@ -143,7 +143,7 @@
 	is.True(fresh.Limited(server))
 }
 
-// A server's need is over: its limit is lifted at all gates by one answer.
+// A server's response names no limit any more. The limit must be lifted at all gates.
 func TestLimitIsLiftedAtAllGates(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
@@ -159,8 +159,8 @@
 	}
 }
 
-// A server names 0, and nobody would ever hear that its need is over. It is asked again,
-// seldom.
+// A server names a limit of 0. It must be probed now and then, or no gate would learn when the
+// limit ends.
 func TestZeroLimitIsProbed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
@@ -178,8 +178,8 @@
 	is.True(sent <= 10)
 }
 
-// Nobody has sent anything to a server in need for a while. It is due to be asked, by one
-// gate first, and by and by its limit is believed less.
+// No request was sent to a limited server for a while. It must become due for a probe at each
+// gate, and the limit must be relaxed gradually.
 func TestUnconfirmedLimitIsProbedAndRelaxed(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -199,8 +199,8 @@
 	is.True(!f.gates[1].HasLimits())
 }
 
-// A server begins another lifetime under its ID. It has no limit, and what others say of
-// the lifetime before gives it none.
+// A server restarts under its ID. It must have no limit, also when other gates report that of its
+// previous lifetime.
 func TestServerRestartEndsLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -215,8 +215,8 @@
 	is.True(!f.gates[1].Limited(server))
 }
 
-// A gate was suspended while a server's need began and grew. What it believed before must
-// not lift the limit at the others.
+// A gate's update from a time at which a server had no limit arrives seconds late. It must not
+// lift the limit that the server has named since.
 func TestOldUpdateDoesNotLiftLimit(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -232,8 +232,8 @@
 	is.True(f.gates[0].Limited(server))
 }
 
-// Answers name limits that cannot be used. They are counted and told, and neither lift
-// the last good one nor keep it for ever.
+// Responses name invalid limits. These must be counted and logged, and neither lift the last valid
+// limit nor confirm it.
 func TestInvalidLimits(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -253,18 +253,18 @@
 	is.True(!g.HasLimits())
 }
 
-// A gate hears no other. It keeps to a share of the limit.
+// A gate receives no updates. It must keep to its share of a limit.
 func TestIsolatedGateKeepsToItsShare(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
-	alone := f.gates[3]
-	alone.Observe(server, 0, RateLimit{Rate: 4}, f.now())
+	isolated := f.gates[3]
+	isolated.Observe(server, 0, RateLimit{Rate: 4}, f.now())
 	f.gates = f.gates[3:]
 	sent := 0
 	f.run(20*time.Second, func() {
-		if _, ok := alone.Acquire(server).(beechquota.Admitted); ok {
+		if _, ok := isolated.Acquire(server).(beechquota.Admitted); ok {
 			sent++
-			alone.Observe(server, 0, RateLimit{Rate: 4}, f.now())
+			isolated.Observe(server, 0, RateLimit{Rate: 4}, f.now())
 		}
 	})
 	t.Log(sent)
--- a/internal/decision/beechthrottle/update.go
+++ b/internal/decision/beechthrottle/update.go
@@ -8,55 +8,59 @@
 )
 
 type (
-	// Update is what a gate tells the others: which servers name limits, and what it has
-	// sent them.
+	// Update is the state that a gate sends to the others: the limits of servers, and the
+	// requests it has sent to them.
 	Update struct {
 		Quota  beechquota.Update
 		Limits []LimitUpdate
 	}
 
-	// LimitUpdate is a server's limit as a gate knows it.
+	// LimitUpdate is a server's limit as a gate knows it. Times are sent as ages, because gates
+	// have different clocks.
 	LimitUpdate struct {
-		Server      uint64 // hash of its ID
-		StartTime   uint64
-		Rate        float64 // below 0: it names none any more
+		Server      uint64  // hash of its ID
+		StartTime   uint64  // see Observation
+		Rate        float64 // negative: the server has no limit any more
 		SentAge     time.Duration
-		ReceivedAge time.Duration // both ago
+		ReceivedAge time.Duration
 	}
 )
 
 const (
-	// repeats of what has changed, as words are lost.
+	// updateSends is the number of updates that report each change, because updates may be
+	// lost.
 	updateSends = 3
-	// refreshEvery what this gate has from servers themselves is told again.
+	// refreshInterval is the time between repetitions of what this gate got from servers
+	// themselves.
 	refreshInterval = 2 * time.Second
-	// wayMost is how long a word may have been under way.
+	// maxTransit is the longest time that an update may have been in transit.
 	maxTransit = 150 * time.Millisecond
-	// askFor is how long a gate that has started speaks though it knows no limit: those
-	// that know of some tell it.
+	// startupTime is how long a gate that has started sends updates although it knows no
+	// limits: gates that know some send them in return.
 	startupTime = 3 * time.Second
-	// oldest word that is believed.
+	// maxAge is the greatest age at which an observation in an update is accepted.
 	maxAge = time.Hour
 )
 
-// HasUpdate tells whether there is something to tell the other gates, or to ask them.
+// HasUpdate reports whether there is something to send to the other gates, or to request from
+// them.
 func (t *Throttle) HasUpdate() bool {
 	if t.HasLimits() || t.quotas.Age() < startupTime {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, b := range t.table.entries {
-		if b.sendsLeft > 0 {
+	for _, entry := range t.table.entries {
+		if entry.sendsLeft > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// NextUpdate gives what the other gates are to be told now.
+// NextUpdate returns the update to send to the other gates now.
 func (t *Throttle) NextUpdate() Update {
-	w := Update{Quota: t.quotas.NextUpdate()}
+	update := Update{Quota: t.quotas.NextUpdate()}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
@@ -65,35 +69,35 @@
 	if refresh {
 		t.lastRefresh = now
 	}
-	for key, b := range t.table.entries {
-		if b.sendsLeft == 0 && !(refresh && b.direct) && !w.Quota.Full {
+	for key, entry := range t.table.entries {
+		if entry.sendsLeft == 0 && !(refresh && entry.direct) && !update.Quota.Full {
 			continue
 		}
-		b.sendsLeft = max(b.sendsLeft-1, 0)
-		told := LimitUpdate{Server: key, StartTime: b.StartTime, Rate: b.Rate, SentAge: now - b.Sent, ReceivedAge: now - b.Received}
-		if !b.limited() {
-			told.Rate = -1
+		entry.sendsLeft = max(entry.sendsLeft-1, 0)
+		limit := LimitUpdate{Server: key, StartTime: entry.StartTime, Rate: entry.Rate, SentAge: now - entry.Sent, ReceivedAge: now - entry.Received}
+		if !entry.limited() {
+			limit.Rate = -1
 		}
-		w.Limits = append(w.Limits, told)
+		update.Limits = append(update.Limits, limit)
 	}
-	return w
+	return update
 }
 
-// ApplyUpdate takes in another gate's word.
-func (t *Throttle) ApplyUpdate(w Update, from string) {
-	for _, told := range w.Limits {
-		if told.ReceivedAge < 0 || told.SentAge < told.ReceivedAge || told.SentAge > maxAge || math.IsNaN(told.Rate) || told.Rate > math.MaxInt32 {
+// ApplyUpdate applies an update received from another gate.
+func (t *Throttle) ApplyUpdate(update Update, source string) {
+	for _, limit := range update.Limits {
+		if limit.ReceivedAge < 0 || limit.SentAge < limit.ReceivedAge || limit.SentAge > maxAge || math.IsNaN(limit.Rate) || limit.Rate > math.MaxInt32 {
 			continue
 		}
 		t.mu.Lock()
 		now := t.clock.Now()
-		n := Observation{StartTime: told.StartTime, Rate: told.Rate, Sent: now - told.SentAge - maxTransit, Received: now - told.ReceivedAge}
-		if told.Rate < 0 {
-			n.Rate = unlimited
+		o := Observation{StartTime: limit.StartTime, Rate: limit.Rate, Sent: now - limit.SentAge - maxTransit, Received: now - limit.ReceivedAge}
+		if limit.Rate < 0 {
+			o.Rate = unlimited
 		}
-		event, _ := t.apply(told.Server, n, from)
+		event, _ := t.apply(limit.Server, o, source)
 		t.mu.Unlock()
 		t.emit(event, "")
 	}
-	t.quotas.ApplyUpdate(w.Quota)
+	t.quotas.ApplyUpdate(update.Quota)
 }
