--- a/internal/decision/beechsaturation/doc.go
+++ b/internal/decision/beechsaturation/doc.go
@@ -1,38 +1,38 @@
-// Package beechsaturation has gates tell one another which servers are full.
+// Package beechsaturation lets gates inform each other which servers are full.
 //
-// # Load it answers
+// # Purpose
 //
-// A server without a keeper says that it is full with the answer that turns a request away,
-// and only the gate that sent it hears that. Every gate then finds out by itself, again and
-// again: with many gates most requests go to the full server first. Each of them is an
-// attempt that its caller waits for, and that the retry budget pays for.
+// A server without a keeper says that it is full in the response that rejects a request, and
+// only the gate that sent the request receives that. Each gate would then find out on its own,
+// again and again: with many gates, most requests would go to the full server first. Each of
+// these costs its caller the time of an attempt, and counts against the retry budget.
 //
-// # How it decides
+// # Algorithm
 //
-// A gate whose request was turned away tells the others at once, unless it has heard of that
-// server already. A server is believed to be full for fullFor, or as long as it asked for,
-// longer where it was full the last time too, but never for long. Each gate adds a random
-// part: one of them is the first to ask again, and the others hear from it. So a full
-// server is asked about as often by all gates as it would be by one.
+// A gate whose request was rejected informs the others at once, unless it already knows that
+// the server is full. A server counts as full for defaultFullTime, or for the time it asked
+// for. The default is longer if the server was full the last time too, and both are bounded.
+// Each gate adds a random part, so that one of them is the first to try again and the others
+// learn from it. All gates together therefore probe a full server about as often as a single
+// gate would.
 //
-// A server that is believed to be full may still be used. It is the last choice, not
-// excluded: where all servers of a service are full, room that becomes free would
-// otherwise stay empty until the belief ends.
+// A server that counts as full may still be used, as the last choice. If it were excluded and
+// all servers of a service were full, capacity that becomes free would stay unused until the
+// entry ends.
 //
-// All gates together send a bounded number of words, however many servers are full. What is
-// not told costs an attempt.
+// All gates together send a bounded number of updates, however many servers are full. What is
+// not sent costs an attempt.
 //
-// # Bad input
+// # Invalid input
 //
-// Times that make no sense are cut. Words on servers that are not known take little memory
-// and end by themselves.
+// Implausible times are bounded. Entries for unknown servers take little memory and expire.
 //
 // # Usage
 //
-//	r := beechsaturation.New(clock, news)
-//	r.TurnedAway(server, retryAfter) // by its answer
-//	r.Took(server, sent)             // an answer to a request that was sent then
-//	if r.Knows(server) { ... }        // while choosing
-//	word := r.Word()                 // when news is called: tell the other gates
-//	r.Hear(word)                     // another gate's
+//	t := beechsaturation.New(clock, onUpdate)
+//	t.Rejected(server, retryAfter) // the server rejected a request
+//	t.Answered(server, sent)       // the server processed a request that was sent then
+//	if t.IsFull(server) { ... }    // while choosing a server
+//	update := t.NextUpdate()       // when onUpdate is called: send it to the other gates
+//	t.ApplyUpdate(update)          // received from another gate
 package beechsaturation
--- a/internal/decision/beechsaturation/tracker.go
+++ b/internal/decision/beechsaturation/tracker.go
@@ -13,7 +13,7 @@
 )
 
 type (
-	// Tracker is what a gate knows of full servers. It is safe for concurrent use.
+	// Tracker tracks which servers are full, at one gate. It is safe for concurrent use.
 	Tracker struct {
 		clock    clockwork.Clock
 		onUpdate func()
@@ -23,174 +23,177 @@
 		state   State
 	}
 
-	// FullServer says that a server is full, and for how long.
+	// FullServer reports that a server is full, and for how much longer.
 	FullServer struct {
-		Server    uint64
+		Server    uint64 // hash of the server's ID
 		Remaining time.Duration
 	}
 
-	// State counts what has happened so far.
+	// State contains counts for metrics.
 	State struct {
-		Full            int // servers, now
-		Rejections      int `json:"TurnedAway"` // requests of this gate, where it knew nothing
-		KnownRejections int `json:"Again"`      // those of servers that it had heard of
-		Reports         int `json:"Heard"`      // words on servers
+		Full            int // servers that are full now
+		Rejections      int `json:"TurnedAway"` // rejected requests of this gate, by servers not known to be full
+		KnownRejections int `json:"Again"`      // rejected requests of this gate, by servers known to be full
+		Reports         int `json:"Heard"`      // reports of full servers by other gates
 	}
 
+	// fullEntry is kept for repeatWindow after until.
 	fullEntry struct {
 		since         time.Time
 		until         time.Time
-		announceUntil time.Time // until when others are to believe it; zero: they need not be told
-		repeats       int       // times that it was full once more, one after the other
+		announceUntil time.Time // end to announce to the other gates; zero if there is nothing to announce
+		repeats       int       // how often in a row the server was full again
 	}
 )
 
 const (
-	// fullFor is how long a server that names no time is taken to be full.
+	// defaultFullTime is how long a server counts as full if its response names no time.
 	defaultFullTime = 150 * time.Millisecond
-	// fullShift doublings of it at most are for one that stays full.
+	// maxDoublings limits how often defaultFullTime is doubled for a server that stays full.
 	maxDoublings = 2
-	// staysWithin is the time after a belief in which a server that is full again has
-	// stayed so.
+	// repeatWindow is the time after an entry's end within which a server that is full again
+	// counts as having stayed full.
 	repeatWindow = time.Second
-	// fullMost bounds the time that a server asks for.
+	// maxFullTime bounds the time that a server's response may name.
 	maxFullTime = 2 * time.Second
-	// serversMost bounds memory.
+	// maxServers bounds memory.
 	maxServers = 4096
-	// wordSpace between words of a gate, times the number of gates: all of them together
-	// send 50 a second.
+	// updateSpacing times the number of gates is the time between a gate's updates, so that all
+	// gates together send at most 50 per second.
 	updateSpacing = 20 * time.Millisecond
 )
 
-// New returns a register. news is called when the other gates are to be told; it must not
-// block.
-func New(clock clockwork.Clock, news func()) *Tracker {
-	return &Tracker{clock: clock, onUpdate: news, entries: make(map[uint64]fullEntry)}
+// New returns an empty tracker. onUpdate is called when there is an update to send to the other
+// gates; it must not block.
+func New(clock clockwork.Clock, onUpdate func()) *Tracker {
+	return &Tracker{clock: clock, onUpdate: onUpdate, entries: make(map[uint64]fullEntry)}
 }
 
-// UpdateInterval is the least time between words of one of so many gates.
+// UpdateInterval returns the minimum time between two updates of a gate, for the given number of
+// gates.
 func UpdateInterval(gates int) time.Duration { return updateSpacing * time.Duration(max(gates, 1)) }
 
-// Rejected takes in that a server turned a request away as it is full, and after which
-// time it asks to be tried again; 0 is not told.
-func (r *Tracker) Rejected(server string, after time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	key, now := xxhash.Sum64String(server), r.clock.Now()
-	if now.Before(r.entries[key].until) {
-		r.state.KnownRejections++
+// Rejected records that a server rejected a request because it is full. after is the time after
+// which the server asked for a retry, 0 if it named none.
+func (t *Tracker) Rejected(server string, after time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	key, now := xxhash.Sum64String(server), t.clock.Now()
+	if now.Before(t.entries[key].until) {
+		t.state.KnownRejections++
 		return
 	}
-	r.state.Rejections++
+	t.state.Rejections++
 	if after > 0 {
 		after = min(max(after, defaultFullTime), maxFullTime)
 	} else {
-		after = defaultFullTime << min(r.repeatCount(key), maxDoublings)
+		after = defaultFullTime << min(t.repeatCount(key), maxDoublings)
 	}
-	if r.markFull(key, after, now.Add(after)) {
-		r.onUpdate()
+	if t.markFull(key, after, now.Add(after)) {
+		t.onUpdate()
 	}
 }
 
-// Answered takes in that a server answered a request that was sent at a time.
-func (r *Tracker) Answered(server string, sent time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Answered records that a server processed a request that was sent at the given time. The server is
+// no longer full, unless the request was sent before the entry was made.
+func (t *Tracker) Answered(server string, sent time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	key := xxhash.Sum64String(server)
-	if b, ok := r.entries[key]; ok && sent.After(b.since) {
-		delete(r.entries, key)
+	if entry, ok := t.entries[key]; ok && sent.After(entry.since) {
+		delete(t.entries, key)
 	}
 }
 
-// IsFull tells whether a server is believed to be full.
-func (r *Tracker) IsFull(server string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.entries) == 0 { // as it mostly is, and every choice asks for each server
+// IsFull reports whether a server counts as full.
+func (t *Tracker) IsFull(server string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.entries) == 0 { // the usual case, and this is called for each server in each choice
 		return false
 	}
-	b, ok := r.entries[xxhash.Sum64String(server)]
-	return ok && r.clock.Now().Before(b.until)
+	entry, ok := t.entries[xxhash.Sum64String(server)]
+	return ok && t.clock.Now().Before(entry.until)
 }
 
-// NextUpdate is what the other gates are to hear, the most lasting first. Each server is told
-// once.
-func (r *Tracker) NextUpdate() []FullServer {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.clock.Now()
-	var word []FullServer
-	for key, b := range r.entries {
-		if left := b.announceUntil.Sub(now); !b.announceUntil.IsZero() && left > 0 {
-			word = append(word, FullServer{Server: key, Remaining: left})
+// NextUpdate returns the full servers to send to the other gates, those with the most remaining
+// time first. Each entry is sent once.
+func (t *Tracker) NextUpdate() []FullServer {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	var update []FullServer
+	for key, entry := range t.entries {
+		if remaining := entry.announceUntil.Sub(now); !entry.announceUntil.IsZero() && remaining > 0 {
+			update = append(update, FullServer{Server: key, Remaining: remaining})
 		}
-		b.announceUntil = time.Time{}
-		r.entries[key] = b
+		entry.announceUntil = time.Time{}
+		t.entries[key] = entry
 	}
-	slices.SortFunc(word, func(x, y FullServer) int {
+	slices.SortFunc(update, func(x, y FullServer) int {
 		return cmp.Or(cmp.Compare(y.Remaining, x.Remaining), cmp.Compare(x.Server, y.Server))
 	})
-	return word
+	return update
 }
 
-// ApplyUpdate takes in another gate's word.
-func (r *Tracker) ApplyUpdate(word []FullServer) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, told := range word {
-		if told.Remaining > 0 {
-			r.state.Reports++
-			r.markFull(told.Server, min(told.Remaining, maxFullTime), time.Time{})
+// ApplyUpdate applies an update received from another gate.
+func (t *Tracker) ApplyUpdate(update []FullServer) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, server := range update {
+		if server.Remaining > 0 {
+			t.state.Reports++
+			t.markFull(server.Server, min(server.Remaining, maxFullTime), time.Time{})
 		}
 	}
 }
 
-// State gives what has happened so far.
-func (r *Tracker) State() State {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s, now := r.state, r.clock.Now()
-	for _, b := range r.entries {
-		if now.Before(b.until) {
+// State returns the current counts.
+func (t *Tracker) State() State {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s, now := t.state, t.clock.Now()
+	for _, entry := range t.entries {
+		if now.Before(entry.until) {
 			s.Full++
 		}
 	}
 	return s
 }
 
-// believe takes a server for full for a time and a random part of it. The caller holds the lock.
-func (r *Tracker) markFull(key uint64, left time.Duration, told time.Time) bool {
-	if len(r.entries) >= maxServers {
-		r.sweep()
+// markFull makes an entry for the given time and a random part of it. The caller holds the lock.
+func (t *Tracker) markFull(key uint64, remaining time.Duration, announceUntil time.Time) bool {
+	if len(t.entries) >= maxServers {
+		t.sweep()
 	}
-	old, known := r.entries[key]
-	if !known && len(r.entries) >= maxServers {
+	old, known := t.entries[key]
+	if !known && len(t.entries) >= maxServers {
 		return false
 	}
-	now := r.clock.Now()
-	until := now.Add(left + time.Duration(rand.Float64()*float64(left)))
+	now := t.clock.Now()
+	until := now.Add(remaining + time.Duration(rand.Float64()*float64(remaining)))
 	if old.until.After(until) {
 		until = old.until
 	}
-	r.entries[key] = fullEntry{since: now, until: until, announceUntil: told, repeats: r.repeatCount(key)}
+	t.entries[key] = fullEntry{since: now, until: until, announceUntil: announceUntil, repeats: t.repeatCount(key)}
 	return true
 }
 
-// again is how often in a row a server has been full once more if it is full now. The
+// repeatCount returns how often in a row a server has been full again, if it is full now. The
 // caller holds the lock.
-func (r *Tracker) repeatCount(key uint64) int {
-	b, known := r.entries[key]
-	switch now := r.clock.Now(); {
-	case !known || now.Sub(b.until) > repeatWindow:
+func (t *Tracker) repeatCount(key uint64) int {
+	entry, known := t.entries[key]
+	switch now := t.clock.Now(); {
+	case !known || now.Sub(entry.until) > repeatWindow:
 		return 0
-	case now.Before(b.until):
-		return b.repeats
+	case now.Before(entry.until):
+		return entry.repeats
 	}
-	return min(b.repeats+1, maxDoublings)
+	return min(entry.repeats+1, maxDoublings)
 }
 
-// sweep drops what is over. The caller holds the lock.
-func (r *Tracker) sweep() {
-	now := r.clock.Now()
-	maps.DeleteFunc(r.entries, func(_ uint64, b fullEntry) bool { return now.Sub(b.until) > repeatWindow })
+// sweep deletes old entries. The caller holds the lock.
+func (t *Tracker) sweep() {
+	now := t.clock.Now()
+	maps.DeleteFunc(t.entries, func(_ uint64, entry fullEntry) bool { return now.Sub(entry.until) > repeatWindow })
 }
--- a/internal/decision/beechsaturation/tracker_test.go
+++ b/internal/decision/beechsaturation/tracker_test.go
@@ -11,34 +11,34 @@
 )
 
 func newTracker(clock clockwork.Clock) (*Tracker, *int) {
-	news := 0
-	return New(clock, func() { news++ }), &news
+	updates := 0
+	return New(clock, func() { updates++ }), &updates
 }
 
-// A server turns several requests of one gate away. The others are told once, and believe
-// it for a while.
+// A server rejects several requests of one gate. The gate must send that once, and the other gates
+// must treat the server as full for a while.
 func TestFullServerIsAnnouncedOnce(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
-	here, news := newTracker(clock)
+	here, updates := newTracker(clock)
 	there, _ := newTracker(clock)
 	for range 3 {
 		here.Rejected("s", 0)
 	}
-	is.Equal(*news, 1)
-	word := here.NextUpdate()
-	is.Equal(len(word), 1)
+	is.Equal(*updates, 1)
+	update := here.NextUpdate()
+	is.Equal(len(update), 1)
 	is.Equal(len(here.NextUpdate()), 0)
-	there.ApplyUpdate(word)
+	there.ApplyUpdate(update)
 	is.True(there.IsFull("s"))
-	there.Rejected("s", 0) // it was on its way
+	there.Rejected("s", 0) // this request was sent before the update arrived
 	is.Equal(len(there.NextUpdate()), 0)
 	clock.Advance(2 * defaultFullTime)
 	is.True(!here.IsFull("s") && !there.IsFull("s"))
 	is.Equal(there.State(), State{KnownRejections: 1, Reports: 1})
 }
 
-// A server asks for a time. It is kept to, but not an hour.
+// A server names a retry time. It must be followed, but not for an hour.
 func TestRetryTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -52,8 +52,8 @@
 	is.Equal(r.State().Full, 0)
 }
 
-// A server answers a request. It has room, unless the request was sent before it turned
-// another one away.
+// A server processes a request. It must no longer count as full, unless that request was sent before
+// the rejected one.
 func TestAnswerClearsFullState(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -68,7 +68,7 @@
 	is.True(!r.IsFull("s"))
 }
 
-// Anybody may name servers. What is kept is bounded.
+// Updates name many servers. The number of entries must be bounded.
 func TestEntriesAreBounded(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -82,11 +82,12 @@
 	is.True(r.IsFull("s"))
 }
 
-// Many gates have callers for some servers of which one is full, or all are. It is asked
-// about as often as one gate alone would ask, and words stay few.
+// Many gates send requests to some servers of which one or all are full. Each must be probed about as
+// often as by a single gate, and with few updates.
 func TestFullServerIsProbedAsByOneGate(t *testing.T) {
 	const (
-		wayTime = 2 * time.Millisecond // of an answer, and of a word
+		// transit is the time that a response or an update takes.
+		transit = 2 * time.Millisecond // of a response or an update
 		length  = 10 * time.Second
 		step    = time.Millisecond
 	)
@@ -98,34 +99,34 @@
 				r, _ := newTracker(clock)
 				all = append(all, r)
 			}
-			type due struct {
+			type event struct {
 				at time.Duration
 				do func()
 			}
-			var dues []due
-			spoke := make([]time.Duration, gates)
-			asked, words := 0, 0
+			var events []event
+			nextUpdate := make([]time.Duration, gates)
+			probes, updateCount := 0, 0
 			for at := time.Duration(0); at < length; at += step {
-				for len(dues) > 0 && dues[0].at <= at {
-					dues[0].do()
-					dues = dues[1:]
+				for len(events) > 0 && events[0].at <= at {
+					events[0].do()
+					events = events[1:]
 				}
 				for i, r := range all {
 					server := fmt.Sprint(rand.IntN(servers))
-					if rand.IntN(gates) < 4 && !r.IsFull(server) { // 4,000 requests a second in all
-						asked++
-						dues = append(dues, due{at + wayTime, func() { r.Rejected(server, 0) }})
+					if rand.IntN(gates) < 4 && !r.IsFull(server) { // 4,000 requests per second in all
+						probes++
+						events = append(events, event{at + transit, func() { r.Rejected(server, 0) }})
 					}
-					if at < spoke[i] {
+					if at < nextUpdate[i] {
 						continue
 					}
-					if word := r.NextUpdate(); len(word) > 0 {
-						spoke[i] = at + UpdateInterval(gates)
-						words++
-						dues = append(dues, due{at + wayTime, func() {
+					if update := r.NextUpdate(); len(update) > 0 {
+						nextUpdate[i] = at + UpdateInterval(gates)
+						updateCount++
+						events = append(events, event{at + transit, func() {
 							for _, other := range all {
 								if other != r {
-									other.ApplyUpdate(word)
+									other.ApplyUpdate(update)
 								}
 							}
 						}})
@@ -133,13 +134,13 @@
 				}
 				clock.Advance(step)
 			}
-			perServer := float64(asked) / float64(servers) / length.Seconds()
-			t.Logf("%d gates, %d full servers: each asked %.1f times a second, %d words a second", gates, servers, perServer, words/int(length.Seconds()))
+			perServer := float64(probes) / float64(servers) / length.Seconds()
+			t.Logf("%d gates, %d full servers: each probed %.1f times per second, %d updates per second", gates, servers, perServer, updateCount/int(length.Seconds()))
 			if perServer > 10 {
-				t.Errorf("each is asked %.1f times a second", perServer)
+				t.Errorf("each server is probed %.1f times per second", perServer)
 			}
-			if words > 50*int(length.Seconds()) {
-				t.Errorf("%d words", words)
+			if updateCount > 50*int(length.Seconds()) {
+				t.Errorf("%d updates", updateCount)
 			}
 		}
 	}
