--- a/internal/decision/beechsuspect/registry.go
+++ b/internal/decision/beechsuspect/registry.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// sameTime is how far apart two reports of one event may be. Each hop between
-	// processes makes a record look younger by its transit; were that believed, two
-	// processes that tell each other would keep a suspicion alive for ever.
+	// sameEventWithin is how far apart two reports of one event may be. Each transfer between
+	// processes makes a record look younger by its transit time. If that were taken for a later
+	// event, two processes that send records to each other would keep a suspicion alive forever.
 	sameEventWithin = 2 * time.Second
 
-	// lastPart: a record in the last tenth of its time is not taken in as new.
-	// Two processes whose records are a little apart would else give it back to
-	// each other each time it expires at one of them.
+	// nearExpiryDivisor: a record in the last tenth of its retention is not accepted as new.
+	// Otherwise two processes whose records are slightly apart would return it to each other
+	// whenever it expires at one of them.
 	nearExpiryDivisor = 10
 
-	// news is how long a change is passed on with heartbeats: several of them,
-	// so that one that is lost does no harm.
+	// recentTime is how long a change is included in heartbeats: in several of them, because
+	// one may be lost.
 	recentTime = 5 * time.Second
 
-	// maxCrashes bounds what is told of a request.
+	// maxCrashes bounds the crashes counted for a request.
 	maxCrashes = 16
 )
 
 type (
-	// Settings of the register. Zero values are taken from Defaults.
+	// Settings of a registry. Zero values are replaced by those of Defaults.
 	Settings struct {
-		Retention   time.Duration // how long a suspicion or its clearing lasts
-		RefusalTime time.Duration // after the second crash; doubles with each more, up to half of Keep
-		MaxRecords  int           // records
+		Retention   time.Duration // how long a suspicion or a clearing is kept
+		RefusalTime time.Duration // after the second crash; doubles with each further one, up to half of Retention
+		MaxRecords  int
 	}
 
-	// Record is a request that was running when a server crashed. Age is the
-	// time since its last crash, or since it was cleared.
+	// Record describes a request that was running when a server crashed. Age is the time since
+	// the last crash, or since the request was cleared.
 	Record struct {
 		Fingerprint uint64
 		Crashes     int
@@ -45,21 +45,19 @@
 		Cleared     bool
 	}
 
-	// Verdict is the answer to Check: Clear, Alone or Refuse.
+	// Verdict is the answer to Check: Allow, Isolate or Refuse.
 	Verdict interface{ verdict() }
 
-	// Allow lets the request run as any other.
+	// Allow lets the request run without restrictions.
 	Allow struct{}
 
-	// Isolate lets the request run beside no other suspect.
+	// Isolate lets the request run, but not at the same time as another suspect.
 	Isolate struct{}
 
-	// Refuse turns the request away, not run. After says when it may be tried
-	// again.
+	// Refuse rejects the request before it runs. It may be retried after After.
 	Refuse struct{ After time.Duration }
 
-	// Registry holds the suspects that one process knows. It is safe for
-	// concurrent use.
+	// Registry holds the suspects known to one process. It is safe for concurrent use.
 	Registry struct {
 		mu       sync.Mutex
 		settings Settings
@@ -70,22 +68,21 @@
 
 	entry struct {
 		crashes      int
-		lastEvent    time.Time // of the last crash or the clearing
+		lastEvent    time.Time // last crash, or the clearing
 		cleared      bool
-		triedCrashes int       // crashes that were known when it was last let run
+		triedCrashes int       // crashes known when the request was last allowed to run
 		changed      time.Time // when this process learned of it
 	}
 )
 
-// Defaults are the settings where none are given; the package comment says
-// why.
+// Defaults are the default settings; the package comment gives the reasons.
 var Defaults = Settings{Retention: 30 * time.Minute, RefusalTime: 5 * time.Minute, MaxRecords: 1024}
 
 func (Allow) verdict()   {}
 func (Isolate) verdict() {}
 func (Refuse) verdict()  {}
 
-// New returns an empty register.
+// New returns an empty registry.
 func New(s Settings, c clockwork.Clock) *Registry {
 	if s.Retention <= 0 {
 		s.Retention = Defaults.Retention
@@ -99,10 +96,10 @@
 	return &Registry{settings: s, clock: c, now: c.Now(), entries: make(map[uint64]*entry)}
 }
 
-// RecordCrash tells what was running when a server crashed. A request that was let
-// run as a suspect has crashed once more than was known then. One that was let
-// run before anything was known has crashed once, however many processes tell
-// of that crash, so that none is refused for a single one.
+// RecordCrash records the requests that were running when a server crashed. A request that was
+// allowed to run as a suspect has crashed once more than was known then. One that was allowed to
+// run before any crash was known has crashed once, however many processes report that crash, so
+// that no request is refused after a single crash.
 func (r *Registry) RecordCrash(running []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,9 +119,8 @@
 	r.evict()
 }
 
-// RecordSuccess clears a request that ran to its end. It is no poison, and a
-// process that has not heard so yet must not bring the suspicion back; so the
-// record stays, as cleared.
+// RecordSuccess clears a request that has finished. The record is kept as cleared, because a process
+// that does not know of the clearing yet must not restore the suspicion.
 func (r *Registry) RecordSuccess(fingerprint uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,7 +132,7 @@
 	*e = entry{crashes: e.crashes, lastEvent: r.now, cleared: true, changed: r.now}
 }
 
-// Check says how a request may run, and is asked before each attempt.
+// Check returns how a request may run. It must be called before each attempt.
 func (r *Registry) Check(fingerprint uint64) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,9 +148,9 @@
 	return Isolate{}
 }
 
-// RecordAttempt tells that another process lets the request run, and how many crashes
-// it knows of. Merged as a record, whose crash is of now, a request that may be
-// tried again after its refusal would be refused anew by each process it comes to.
+// RecordAttempt records that another process lets a request run, and the number of crashes known
+// there. A record passed to Merge would count as a crash that happened now: a request that may be
+// retried after its refusal would be refused again by each process it reaches.
 func (r *Registry) RecordAttempt(fingerprint uint64, crashes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,57 +169,57 @@
 	r.evict()
 }
 
-// List gives all records, for a process that starts; the most dangerous first,
-// then the latest.
+// List returns all records, for a process that starts: those with the most crashes first, and of
+// these the latest.
 func (r *Registry) List() []Record { return r.list(0) }
 
-// RecentChanges gives the records that changed lately, for heartbeats. The whole list
-// on each would cost more than all else that heartbeats carry.
+// RecentChanges returns the records that changed recently, for heartbeats. All records would take
+// more space than the rest of a heartbeat.
 func (r *Registry) RecentChanges() []Record { return r.list(recentTime) }
 
-// Merge takes in other processes' records. The later event counts, and of one
-// crash that both know the higher number.
+// Merge merges the records of other processes. The later event applies, and the higher number of
+// crashes if both records know of the same crash.
 func (r *Registry) Merge(records []Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateTime()
-	for _, n := range records {
-		if n.Fingerprint == 0 || n.Crashes <= 0 || n.Age >= r.settings.Retention {
+	for _, record := range records {
+		if record.Fingerprint == 0 || record.Crashes <= 0 || record.Age >= r.settings.Retention {
 			continue
 		}
-		r.mergeRecord(n)
+		r.mergeRecord(record)
 	}
 	r.evict()
 }
 
-func (r *Registry) mergeRecord(n Record) {
-	crashes := min(n.Crashes, maxCrashes)
-	at := r.now.Add(-max(n.Age, 0))
-	e := r.lookup(n.Fingerprint)
-	if e == nil && n.Age >= r.settings.Retention-r.settings.Retention/nearExpiryDivisor {
+func (r *Registry) mergeRecord(record Record) {
+	crashes := min(record.Crashes, maxCrashes)
+	at := r.now.Add(-max(record.Age, 0))
+	e := r.lookup(record.Fingerprint)
+	if e == nil && record.Age >= r.settings.Retention-r.settings.Retention/nearExpiryDivisor {
 		return
 	}
 	if e == nil {
-		r.entries[n.Fingerprint] = &entry{crashes: crashes, lastEvent: at, cleared: n.Cleared, changed: r.now}
+		r.entries[record.Fingerprint] = &entry{crashes: crashes, lastEvent: at, cleared: record.Cleared, changed: r.now}
 		return
 	}
 	later := at.Sub(e.lastEvent)
 	switch {
-	case e.cleared == n.Cleared && crashes > e.crashes:
+	case e.cleared == record.Cleared && crashes > e.crashes:
 		e.crashes, e.changed = crashes, r.now
 		if later > 0 {
 			e.lastEvent = at
 		}
-	case e.cleared == n.Cleared && later > sameEventWithin:
+	case e.cleared == record.Cleared && later > sameEventWithin:
 		e.lastEvent, e.changed = at, r.now
-	case e.cleared != n.Cleared && overrides(n.Cleared, later):
-		*e = entry{crashes: crashes, lastEvent: at, cleared: n.Cleared, changed: r.now}
+	case e.cleared != record.Cleared && overrides(record.Cleared, later):
+		*e = entry{crashes: crashes, lastEvent: at, cleared: record.Cleared, changed: r.now}
 	}
 }
 
-// overrides tells whether news replaces what is known where one says cleared
-// and the other not. A request is cleared after its crash, so at about the same
-// time the clearing is the later of the two.
+// overrides reports whether a record replaces the known entry, where one of them is cleared and the
+// other is not. later is how much later the record's event is. A request is cleared after its crash,
+// so if both events have about the same time, the clearing is the later one.
 func overrides(cleared bool, later time.Duration) bool {
 	if cleared {
 		return later > -sameEventWithin
@@ -231,7 +227,7 @@
 	return later > sameEventWithin
 }
 
-// live gives a record that has not expired.
+// lookup returns an entry that has not expired, or nil.
 func (r *Registry) lookup(fingerprint uint64) *entry {
 	e := r.entries[fingerprint]
 	if e != nil && r.now.Sub(e.lastEvent) >= r.settings.Retention {
@@ -241,7 +237,7 @@
 	return e
 }
 
-// refusal is how long a request is refused after its last crash.
+// refusalTime returns how long a request is refused after its last crash.
 func (r *Registry) refusalTime(crashes int) time.Duration {
 	if crashes < 2 {
 		return 0
@@ -249,13 +245,13 @@
 	return min(r.settings.RefusalTime<<(crashes-2), r.settings.Retention/2)
 }
 
-func (r *Registry) list(changed time.Duration) []Record {
+func (r *Registry) list(within time.Duration) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.updateTime()
 	var out []Record
 	for f, e := range r.entries {
-		if r.lookup(f) == nil || (changed > 0 && r.now.Sub(e.changed) > changed) {
+		if r.lookup(f) == nil || (within > 0 && r.now.Sub(e.changed) > within) {
 			continue
 		}
 		out = append(out, Record{Fingerprint: f, Crashes: e.crashes, Age: r.now.Sub(e.lastEvent), Cleared: e.cleared})
@@ -266,29 +262,29 @@
 	return out
 }
 
-// rank orders records by the harm that forgetting them would do.
-func (n Record) severity() int {
-	if n.Cleared {
+// severity orders records by the harm done if they were deleted.
+func (r Record) severity() int {
+	if r.Cleared {
 		return 0
 	}
-	return n.Crashes
+	return r.Crashes
 }
 
-// shrink keeps the number of records within Max. A crash of a large batch must not
-// push out what has crashed twice.
+// evict deletes records beyond MaxRecords, the least severe and oldest first. A crash of a large
+// batch must not evict requests that have crashed twice.
 func (r *Registry) evict() {
 	if len(r.entries) <= r.settings.MaxRecords {
 		return
 	}
-	type kept struct {
+	type item struct {
 		fingerprint uint64
 		entry       *entry
 	}
-	all := make([]kept, 0, len(r.entries))
+	all := make([]item, 0, len(r.entries))
 	for f, e := range r.entries {
-		all = append(all, kept{f, e})
+		all = append(all, item{f, e})
 	}
-	slices.SortFunc(all, func(a, b kept) int {
+	slices.SortFunc(all, func(a, b item) int {
 		return cmp.Or(b.entry.severity()-a.entry.severity(), b.entry.lastEvent.Compare(a.entry.lastEvent), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	for _, k := range all[r.settings.MaxRecords:] {
@@ -298,7 +294,7 @@
 
 func (e *entry) severity() int { return Record{Crashes: e.crashes, Cleared: e.cleared}.severity() }
 
-// tick takes over the time, which stands still while the clock steps back.
+// updateTime advances the registry's time, which never goes back.
 func (r *Registry) updateTime() {
 	if now := r.clock.Now(); now.After(r.now) {
 		r.now = now
--- a/internal/decision/beechsuspect/registry_test.go
+++ b/internal/decision/beechsuspect/registry_test.go
@@ -19,18 +19,18 @@
 	return out, clock
 }
 
-// One request crashes each engine that runs it; it ran in a batch of 20. Its
-// caller sends it again, through the same or another entry host. Two engines may
-// crash and no more; the 19 others must be served, and the refusal must end.
+// A request in a batch of 20 crashes each engine that runs it, and its caller retries through the same
+// or another entry host. At most two engines may crash, the other 19 requests must be served, and the
+// refusal must end.
 func TestPoisonRequestIsStopped(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		entry int // where it is sent again
+		entry int // the entry host that gets the retry
 	}{{"same entry", 0}, {"other entry", 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			r, clock := newRegistries(4) // two entries, two agents
-			gossip := func() {
+			r, clock := newRegistries(4) // two entry hosts, two agents
+			exchange := func() {
 				for range 2 {
 					for _, from := range r {
 						for _, to := range r {
@@ -50,12 +50,12 @@
 			}
 			r[2].RecordCrash(batch)
 			r[2].Merge(nil)
-			r[0].Merge(r[2].RecentChanges()) // the heartbeat comes before the failed replies
+			r[0].Merge(r[2].RecentChanges()) // the heartbeat arrives before the failed replies
 			r[0].RecordCrash(batch)
-			gossip()
+			exchange()
 			crashes := 1
 			for _, f := range batch {
-				is.Equal(r[c.entry].Check(f), Isolate{}) // one crash, told twice
+				is.Equal(r[c.entry].Check(f), Isolate{}) // one crash, reported twice
 				is.Equal(r[3].Check(f), Isolate{})
 				if f == poison {
 					r[3].RecordCrash([]uint64{f})
@@ -66,7 +66,7 @@
 					r[c.entry].RecordSuccess(f)
 				}
 			}
-			gossip()
+			exchange()
 			for _, each := range r {
 				is.Equal(each.Check(poison), Refuse{After: Defaults.RefusalTime - time.Second})
 				for f := range uint64(19) {
@@ -82,27 +82,27 @@
 	}
 }
 
-// Two processes tell each other of a crash on every heartbeat, each a little
-// late. The suspicion must still end.
+// Two processes send each other a crash with every heartbeat, each slightly delayed. The suspicion
+// must expire nevertheless.
 func TestUpdatesDoNotExtendSuspicions(t *testing.T) {
 	is := is.New(t)
 	r, clock := newRegistries(2)
 	r[0].RecordCrash([]uint64{1})
 	for range 40 * 60 {
-		news := r[0].List()
+		records := r[0].List()
 		clock.Advance(500 * time.Millisecond)
-		r[1].Merge(news)
-		news = r[1].List()
+		r[1].Merge(records)
+		records = r[1].List()
 		clock.Advance(500 * time.Millisecond)
-		r[0].Merge(news)
+		r[0].Merge(records)
 	}
 	is.Equal(r[0].Check(1), Allow{})
 	is.Equal(r[1].Check(1), Allow{})
 	is.Equal(len(r[0].List())+len(r[1].List()), 0)
 }
 
-// A process that was cut off still holds a suspicion that others have cleared,
-// and one that was cleared may crash a server later. The later event counts.
+// A process that was cut off still has a suspicion that others have cleared, and a request that was
+// cleared crashes a server later. The later event must apply.
 func TestLaterEventCounts(t *testing.T) {
 	is := is.New(t)
 	r, clock := newRegistries(2)
@@ -110,7 +110,7 @@
 	r[1].Merge(r[0].List())
 	clock.Advance(500 * time.Millisecond)
 	r[1].RecordSuccess(1)
-	r[1].Merge(r[0].List()) // old news
+	r[1].Merge(r[0].List()) // outdated
 	is.Equal(r[1].Check(1), Allow{})
 	r[0].Merge(r[1].List())
 	is.Equal(r[0].Check(1), Allow{})
@@ -123,9 +123,9 @@
 	is.Equal(len(r[0].List()), 1)
 }
 
-// The refusal of a request has ended and its caller tries again: the entry host
-// lets it run alone, and the agent, which may never have heard of it, must too.
-// If it crashes once more, the agent knows that it was not the first time.
+// The refusal of a request has ended and its caller retries. The entry host lets it run isolated, and
+// so must the agent, which may not know of it. If the request crashes the engine again, the agent must
+// count the earlier crashes too.
 func TestRetryAfterRefusalReachesAgent(t *testing.T) {
 	is := is.New(t)
 	r, clock := newRegistries(2)
@@ -135,7 +135,7 @@
 	entry.RecordCrash([]uint64{poison})
 	clock.Advance(Defaults.RefusalTime)
 	is.Equal(entry.Check(poison), Isolate{})
-	for range 3 { // tries that were turned away for other reasons
+	for range 3 { // attempts that were rejected for other reasons
 		agent.RecordAttempt(poison, 2)
 		is.Equal(agent.Check(poison), Isolate{})
 		entry.Merge(agent.RecentChanges())
@@ -152,8 +152,8 @@
 	is.Equal(agent.Check(2), Isolate{})
 }
 
-// Large batches crash again and again, and a process sends records that make no
-// sense. Memory is bounded, and what crashed twice is kept.
+// Large batches crash repeatedly, and a process sends invalid records. Memory must be bounded, and
+// requests that crashed twice must be kept.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
