--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -89,7 +89,7 @@
 		gates   int
 		seen    most // gates, by keepers' words
 
-		pace       *beechrollout.Pace
+		pace       *beechrollout.LoadWindow
 		passedOver string        // what is wrong with servers' entries now
 		news       chan struct{} // a follow is due now
 		turnNews   chan struct{} // an engine's turn has ended
@@ -153,7 +153,7 @@
 		others:   newRoster(),
 		budgets:  NewBudgets(s.Bounds.Retries, s.Bounds.Spare, time.Duration(s.Bounds.Window), needs.Clock),
 		named:    make(map[string]naming),
-		pace:     beechrollout.NewPace(),
+		pace:     beechrollout.NewLoadWindow(),
 		news:     make(chan struct{}, 1),
 		turnNews: make(chan struct{}, 1), spentNews: make(chan struct{}, 1), limitNews: make(chan struct{}, 1), fullNews: make(chan struct{}, 1),
 	}
@@ -164,7 +164,7 @@
 	weights := time.Duration(s.Bounds.Weights)
 	g.full = beechsaturation.New(needs.Clock, g.foundFull)
 	g.placer = beechplace.New(beechplace.Settings{
-		Zone: s.Zone, OldMost: max(weights-oldMargin, weights/2), OldBegin: max(weights-beginMargin, weights/2),
+		Zone: s.Zone, OutdatedSoftLimit: max(weights-oldMargin, weights/2), OutdatedHardLimit: max(weights-beginMargin, weights/2),
 	}, needs.Clock, g.health, g.limits, g.full, g.announce)
 	g.core = beechattempt.New(g.placer, needs.Backend, needs.Pool, g.budgets, g.suspects, g, needs.Clock, needs.Log)
 	g.serverCopy = beechmirror.New(beechmirror.Settings{
@@ -281,7 +281,7 @@
 	lost := make(map[netip.AddrPort]bool)
 	next := 0
 	return beechtask.Every(ctx, g.clock, keptInterval, func() {
-		stores := g.placer.Kept()
+		stores := g.placer.KVStores()
 		if len(stores) == 0 {
 			return
 		}
@@ -289,7 +289,7 @@
 		next++
 		err := g.needs.Pool.Reach(ctx, kept)
 		if err != nil {
-			g.placer.KeptFailed(kept)
+			g.placer.KVStoreFailed(kept)
 		}
 		if was := lost[kept]; was != (err != nil) {
 			lost[kept] = err != nil
