--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -12,79 +12,80 @@
 )
 
 type (
-	// Ask is what decides whether a request is let in.
-	Ask struct {
+	// AdmissionRequest holds what decides whether a request is admitted.
+	AdmissionRequest struct {
 		Host string // without a port
 		Path string
 		Key  string
 	}
 
-	// Admission is Admitted, NoRoute, NoWorkspace or NotKnown.
+	// Admission is Admitted, NoRoute, UnknownKey or Undecided.
 	Admission interface{ admission() }
 
-	// Admitted lets a request in under a configuration.
+	// Admitted admits a request under a configuration.
 	Admitted struct {
 		Route     *beechcall.Route
 		Service   string
 		Workspace beechcall.Workspace
 		Version   uint64
-		BodyBytes int64 // most; 0 is no bound
+		BodyBytes int64 // maximum size of the body; 0 is unlimited
 	}
 
-	// NoRoute says that no route matches.
+	// NoRoute is returned if no route matches.
 	NoRoute struct{}
 
-	// NoWorkspace says that the key is nobody's.
-	NoWorkspace struct{}
+	// UnknownKey is returned if the key belongs to no workspace.
+	UnknownKey struct{}
 
-	// NotKnown says that this gate cannot tell, since it does not know the
-	// configuration, or not well enough.
-	NotKnown struct{ After time.Duration }
+	// Undecided is returned if this gate cannot decide because its configuration is missing or
+	// too old.
+	Undecided struct{ After time.Duration }
 )
 
 const (
-	// revokeShare of the operators' bound may pass without the store's word on
-	// the keys: the rest is for the request's own way to its server.
+	// revokeShare is the share of the operators' bound for which keys are accepted without
+	// confirmation by the store. The rest of the bound is left for the request's way to its
+	// server.
 	revokeShare = 0.84
-	// denySure is the age up to which a gate may say that a route or key is not
-	// there; an older belief may lack what was added.
-	denySure = 2600 * time.Millisecond
-	// notKnownAfter is when to come back to a gate that has lost the store;
-	// other gates may serve at once.
-	notKnownAfter = 200 * time.Millisecond
+	// denyMaxAge is the age of the configuration up to which a route or key is reported as
+	// missing; an older configuration may lack recent additions.
+	denyMaxAge = 2600 * time.Millisecond
+	// undecidedRetryAfter is the retry time given by a gate that has lost the store. It is
+	// short, as other gates may serve the request at once.
+	undecidedRetryAfter = 200 * time.Millisecond
 )
 
-func (Admitted) admission()    {}
-func (NoRoute) admission()     {}
-func (NoWorkspace) admission() {}
-func (NotKnown) admission()    {}
+func (Admitted) admission()   {}
+func (NoRoute) admission()    {}
+func (UnknownKey) admission() {}
+func (Undecided) admission()  {}
 
-// Admit decides whether a request is let in.
-func (g *Gate) Admit(ask Ask) Admission {
-	a := g.admit(ask)
-	switch v := a.(type) {
+// Admit decides whether a request is admitted.
+func (g *Gate) Admit(request AdmissionRequest) Admission {
+	admission := g.admit(request)
+	switch v := admission.(type) {
 	case NoRoute:
 		g.metrics.denied.Add("no route", 1)
-	case NoWorkspace:
+	case UnknownKey:
 		g.metrics.denied.Add("no workspace", 1)
-	case NotKnown:
+	case Undecided:
 		g.metrics.denied.Add("not known", 1)
-		g.log.Debug("request not let in", zap.String("host", ask.Host), zap.String("path", ask.Path), zap.Duration("age", g.belief.Age()), zap.Duration("after", v.After))
+		g.log.Debug("request not admitted", zap.String("host", request.Host), zap.String("path", request.Path), zap.Duration("age", g.freshness.Age()), zap.Duration("after", v.After))
 	case Admitted:
 	}
-	return a
+	return admission
 }
 
-func (g *Gate) admit(ask Ask) Admission {
+func (g *Gate) admit(request AdmissionRequest) Admission {
 	c := g.configuration.Load()
 	if c == nil {
-		return NotKnown{After: notKnownAfter}
+		return Undecided{After: undecidedRetryAfter}
 	}
-	age := g.belief.Age()
-	route, ok := c.Find(ask.Host, ask.Path)
+	age := g.freshness.Age()
+	route, ok := c.Find(request.Host, request.Path)
 	if !ok {
-		if age > denySure {
-			return NotKnown{After: notKnownAfter}
+		if age > denyMaxAge {
+			return Undecided{After: undecidedRetryAfter}
 		}
 		return NoRoute{}
 	}
@@ -93,23 +94,23 @@
 		return admitted
 	}
 	if age > time.Duration(float64(g.bounds.Load().Revoke)*revokeShare) {
-		return NotKnown{After: notKnownAfter}
+		return Undecided{After: undecidedRetryAfter}
 	}
-	workspace, ok := c.Workspaces[ask.Key]
+	workspace, ok := c.Workspaces[request.Key]
 	if !ok {
-		if age > denySure {
-			return NotKnown{After: notKnownAfter}
+		if age > denyMaxAge {
+			return Undecided{After: undecidedRetryAfter}
 		}
-		return NoWorkspace{}
+		return UnknownKey{}
 	}
 	admitted.Workspace = workspace
 	return admitted
 }
 
-// Serve answers a call that was let in, as far as its workspace's quota goes.
+// Serve runs an admitted call if its workspace's quota permits.
 func (g *Gate) Serve(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) {
-	if !g.spend(ctx, call, out) {
+	if !g.chargeQuota(ctx, call, out) {
 		return
 	}
-	g.spent(call, g.core.Serve(ctx, call, out))
+	g.settleQuota(call, g.core.Serve(ctx, call, out))
 }
--- /dev/null
+++ b/internal/process/beechgate/configuration.go
@@ -0,0 +1,150 @@
+package beechgate
+
+import (
+	"net/netip"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/beechring/beechring/internal/request/beechcall"
+	"github.com/beechring/beechring/internal/state/beechmirror"
+)
+
+// announcedVersion is a version of a model's weights that operators announced.
+type announcedVersion struct {
+	beechcall.Named
+	learnedAt  time.Time // when this gate learned of it
+	lateLogged bool      // a warning that not all engines can load it in time was logged
+}
+
+// connectionSkew is the factor on a gate's even share of a server's connections. It exceeds 1
+// because some gates have more callers than others.
+const connectionSkew = 1.8
+
+// setOperators applies the operators' documents. Invalid documents leave the last valid state
+// in force.
+func (g *Gate) setOperators(items []beechmirror.Item) {
+	c, named, err := g.deps.Operators(items)
+	if err != nil {
+		g.log.Error("invalid operator document ignored", zap.Error(err))
+	}
+	previous := g.configuration.Load()
+	if c != nil && (previous == nil || c.Revision > previous.Revision) {
+		g.configuration.Store(c)
+		g.placer.SetConfiguration(c)
+		g.setQuotas(c)
+		g.limitConnections(c)
+		g.log.Info("configuration in force", zap.Uint64("version", c.Version), zap.Uint64("revision", c.Revision), zap.Int("routes", len(c.Routes)))
+		if previous == nil {
+			g.requestFollow()
+		}
+	}
+	for _, version := range named {
+		if !g.placer.SetLatestVersion(version.Model, version.Version) {
+			continue
+		}
+		g.mu.Lock()
+		g.announced[version.Model] = announcedVersion{Named: version, learnedAt: g.clock.Now()}
+		g.mu.Unlock()
+		g.log.Info("weights named", zap.String("model", version.Model), zap.Uint64("version", version.Version), zap.Uint64("revision", version.Revision))
+		g.requestFollow()
+	}
+}
+
+// limitConnections bounds this gate's connections to each server, so that all gates together
+// stay within what the server accepts.
+func (g *Gate) limitConnections(c *beechcall.Configuration) {
+	limit := 0
+	for _, s := range c.Services {
+		if s.MaxConnections > 0 && (limit == 0 || s.MaxConnections < limit) {
+			limit = s.MaxConnections
+		}
+	}
+	g.mu.Lock()
+	gates := max(g.gates, 2)
+	g.mu.Unlock()
+	g.deps.Pool.Bound(int(float64(limit)*connectionSkew) / gates)
+}
+
+// logEntryError logs invalid server entries once each time that the set of them changes: they
+// may stay for long, next to entries that change often.
+func (g *Gate) logEntryError(err error) {
+	text := ""
+	if err != nil {
+		text = err.Error()
+	}
+	g.mu.Lock()
+	previous := g.entryError
+	g.entryError = text
+	g.mu.Unlock()
+	if text != "" && text != previous {
+		g.metrics.invalidEntries.Add(1)
+		g.log.Error("invalid server entry ignored", zap.Error(err))
+	}
+}
+
+func (g *Gate) setServers(items []beechmirror.Item) {
+	servers, err := g.deps.Servers(items)
+	g.logEntryError(err)
+	g.mu.Lock()
+	previous := g.servers
+	g.servers = servers
+	g.mu.Unlock()
+	ids := make([]string, 0, len(servers))
+	for _, s := range servers {
+		ids = append(ids, s.ID)
+	}
+	g.limits.SetServers(ids)
+	g.placer.SetServers(servers)
+	byService := make(map[string][]netip.AddrPort)
+	current := make(map[string]beechcall.Server, len(servers))
+	for _, s := range servers {
+		byService[s.Service] = append(byService[s.Service], s.Address)
+		current[s.ID] = s
+	}
+	for service, addresses := range byService {
+		g.health.SetServers(service, addresses)
+	}
+	g.logServerChanges(previous, servers)
+	for _, s := range previous {
+		if _, ok := current[s.ID]; !ok {
+			g.deps.Pool.Forget(s.Address)
+		}
+	}
+	if len(previous) == 0 && len(servers) > 0 {
+		g.requestFollow()
+	}
+}
+
+// logServerChanges logs changes of the server list: one line in total, and one for each server
+// of this gate's zone. One line per server at every gate would make the log volume of a fleet
+// grow quadratically.
+func (g *Gate) logServerChanges(previous, servers []beechcall.Server) {
+	removed := make(map[string]beechcall.Server, len(previous))
+	for _, s := range previous {
+		removed[s.ID] = s
+	}
+	listed, leaving := 0, 0
+	for _, s := range servers {
+		before, known := removed[s.ID]
+		delete(removed, s.ID)
+		if known && before.Leaving == s.Leaving {
+			continue
+		}
+		listed++
+		if s.Leaving {
+			leaving++
+		}
+		if s.Zone == g.settings.Zone {
+			g.log.Info("server listed", zap.String("server", s.ID), zap.Stringer("peer", s.Address), zap.String("service", s.Service), zap.Bool("leaving", s.Leaving))
+		}
+	}
+	for _, s := range removed {
+		if s.Zone == g.settings.Zone {
+			g.log.Info("server gone", zap.String("server", s.ID), zap.Stringer("peer", s.Address))
+		}
+	}
+	if listed+len(removed) > 0 {
+		g.log.Info("servers changed", zap.Int("listed", listed), zap.Int("leaving", leaving), zap.Int("gone", len(removed)), zap.Int("servers", len(servers)))
+	}
+}
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -18,111 +18,113 @@
 )
 
 const (
-	// limitLines of each message are written a second: limits may change with each answer.
-	limitLines = 10
-	// limitsMost go into one datagram: a limit is some 30 bytes.
-	limitsMost = 300
+	// maxLimitLogLines is the number of lines per second and message: limits may change with
+	// each response.
+	maxLimitLogLines = 10
+	// maxLimitsPerDatagram is chosen for about 30 bytes per limit.
+	maxLimitsPerDatagram = 300
 )
 
-// sampled writes the first limitLines of each message in a second and counts the rest.
-func sampled(log *zap.Logger, dropped *expvar.Int) *zap.Logger {
+// sampledLogger returns a logger that writes the first maxLimitLogLines of each message per
+// second and counts the rest.
+func sampledLogger(log *zap.Logger, dropped *expvar.Int) *zap.Logger {
 	count := zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 		if d&zapcore.LogDropped != 0 {
 			dropped.Add(1)
 		}
 	})
 	return log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, time.Second, limitLines, 0, count)
+		return zapcore.NewSamplerWithOptions(c, time.Second, maxLimitLogLines, 0, count)
 	}))
 }
 
-// noteLimit logs what has changed in a server's limit, or in what is known of it.
-func (g *Gate) noteLimit(e beechthrottle.Event) {
+// logLimitEvent logs a change in a server's limit or in what is known about it.
+func (g *Gate) logLimitEvent(e beechthrottle.Event) {
 	switch v := e.(type) {
-	case beechthrottle.Began:
-		g.logLimit("server's limit known", v.Standing, zap.Float64("rate", v.Rate))
-	case beechthrottle.Changed:
-		g.logLimit("server's limit changed", v.Standing, zap.Float64("rate", v.Rate), zap.Float64("was", v.Was))
-	case beechthrottle.Ended:
-		g.logLimit("server's limit ended", v.Standing, zap.Float64("was", v.Rate))
-	case beechthrottle.PassedOver:
-		g.limitLog.Warn("server's limit passed over", zap.String("server", v.Server), zap.String("text", v.Text))
+	case beechthrottle.LimitStarted:
+		g.logLimit("server's limit known", v.LimitStatus, zap.Float64("rate", v.Rate))
+	case beechthrottle.LimitChanged:
+		g.logLimit("server's limit changed", v.LimitStatus, zap.Float64("rate", v.Rate), zap.Float64("was", v.Previous))
+	case beechthrottle.LimitEnded:
+		g.logLimit("server's limit ended", v.LimitStatus, zap.Float64("was", v.Rate))
+	case beechthrottle.LimitIgnored:
+		g.limitLog.Warn("invalid server limit ignored", zap.String("server", v.Server), zap.String("text", v.Text))
 	}
 }
 
-func (g *Gate) logLimit(what string, s beechthrottle.Standing, fields ...zap.Field) {
-	g.limitLog.Info(what, append(fields, zap.String("server", s.Server), zap.String("from", s.From), zap.String("field", s.Field),
-		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Given))...)
+func (g *Gate) logLimit(message string, s beechthrottle.LimitStatus, fields ...zap.Field) {
+	g.limitLog.Info(message, append(fields, zap.String("server", s.Server), zap.String("from", s.Source), zap.String("field", s.Header),
+		zap.Duration("age", s.Age.Round(time.Millisecond)), zap.Int("given", s.Sent))...)
 }
 
-// tellLimits tells the other gates which servers name limits, and what this one has sent
-// to them: at once what the others must count with their next choice.
-func (g *Gate) tellLimits(ctx context.Context) error {
-	for number := uint32(0); ; number++ {
+// sendLimits sends the servers' limits and this gate's use of them to the other gates,
+// immediately if the others need it for their next choice.
+func (g *Gate) sendLimits(ctx context.Context) error {
+	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.Interval(g.manyGates())):
-		case <-g.limitNews:
+		case <-g.clock.After(beechquota.UpdateInterval(g.gateCount())):
+		case <-g.limitsDue:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !g.limits.Speaks() {
+		if !g.limits.HasUpdate() {
 			continue
 		}
-		for _, limits := range wireLimits(g.limits.Word()) {
-			g.toGates(number, urgent, func(pass bool) beechbeat.Message {
-				word := *limits
-				word.Sent.Pass = pass
-				return beechbeat.Limits{Limits: &word}
+		for _, limits := range packLimits(g.limits.NextUpdate()) {
+			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
+				message := *limits
+				message.Sent.Pass = pass
+				return beechbeat.Limits{Limits: &message}
 			})
 		}
-		g.clock.Sleep(spentSpace)
+		g.clock.Sleep(usageSendPause)
 	}
 }
 
-// limitChanged has the other gates told at once.
-func (g *Gate) limitChanged() {
-	beechtask.Wake(g.limitNews)
+// wakeLimitSender makes sendLimits send at once.
+func (g *Gate) wakeLimitSender() {
+	beechtask.Wake(g.limitsDue)
 }
 
-// hearLimits takes in another gate's word.
-func (g *Gate) hearLimits(from netip.AddrPort, l beechbeat.Limits) {
-	if !g.knows(from) {
+// receiveLimits handles limits sent by another gate.
+func (g *Gate) receiveLimits(from netip.AddrPort, l beechbeat.Limits) {
+	if !g.isKnownGate(from) {
 		return
 	}
 	if l.Sent.Pass {
-		passed := *l.Limits
-		passed.Sent.Pass = false
-		g.toZone(beechbeat.Limits{Limits: &passed})
+		relayed := *l.Limits
+		relayed.Sent.Pass = false
+		g.sendToZone(beechbeat.Limits{Limits: &relayed})
 	}
-	word := beechthrottle.Word{Counting: spentWord(&l.Sent, thousand)}
-	for _, told := range l.List {
-		word.Limits = append(word.Limits, beechthrottle.Told{
-			Server: told.Server, Born: told.Born, Rate: float64(told.Rate) / thousand,
-			Sent: time.Duration(told.Sent) * time.Millisecond, Received: time.Duration(told.Received) * time.Millisecond,
+	update := beechthrottle.Update{Quota: unpackUsage(&l.Sent, fixedPointScale)}
+	for _, limit := range l.List {
+		update.Limits = append(update.Limits, beechthrottle.LimitUpdate{
+			Server: limit.Server, StartTime: limit.Born, Rate: float64(limit.Rate) / fixedPointScale,
+			SentAge: time.Duration(limit.Sent) * time.Millisecond, ReceivedAge: time.Duration(limit.Received) * time.Millisecond,
 		})
 	}
-	g.limits.Hear(word, from.String())
+	g.limits.ApplyUpdate(update, from.String())
 }
 
-// wireLimits packs a word into messages that go into a datagram each.
-func wireLimits(w beechthrottle.Word) []*beechwire.Limits {
-	var all []*beechwire.Limits
-	for _, spent := range wireSpent(w.Counting, thousand) {
-		all = append(all, &beechwire.Limits{Sent: *spent})
+// packLimits splits limits into messages that fit into a datagram each.
+func packLimits(limits beechthrottle.Update) []*beechwire.Limits {
+	var messages []*beechwire.Limits
+	for _, usage := range packUsage(limits.Quota, fixedPointScale) {
+		messages = append(messages, &beechwire.Limits{Sent: *usage})
 	}
-	for n, list := range slices.Collect(slices.Chunk(w.Limits, limitsMost)) {
-		if n == len(all) {
-			next := &beechwire.Limits{Sent: all[0].Sent}
-			next.Sent.Uses, next.Sent.Full = nil, false
-			all = append(all, next)
+	for n, list := range slices.Collect(slices.Chunk(limits.Limits, maxLimitsPerDatagram)) {
+		if n == len(messages) {
+			message := &beechwire.Limits{Sent: messages[0].Sent}
+			message.Sent.Uses, message.Sent.Full = nil, false
+			messages = append(messages, message)
 		}
-		for _, told := range list {
-			all[n].List = append(all[n].List, beechwire.Limit{
-				Server: told.Server, Born: told.Born, Rate: int64(told.Rate * thousand), Sent: told.Sent.Milliseconds(), Received: told.Received.Milliseconds(),
+		for _, limit := range list {
+			messages[n].List = append(messages[n].List, beechwire.Limit{
+				Server: limit.Server, Born: limit.StartTime, Rate: int64(limit.Rate * fixedPointScale), Sent: limit.SentAge.Milliseconds(), Received: limit.ReceivedAge.Milliseconds(),
 			})
 		}
 	}
-	return all
+	return messages
 }
