--- a/internal/decision/beechhealth/tracker_test.go
+++ b/internal/decision/beechhealth/tracker_test.go
@@ -13,7 +13,7 @@
 
 // fleet simulates servers that receive requests according to their weights.
 type fleet struct {
-	t             *Tracker
+	tracker       *Tracker
 	clock         *clockwork.FakeClock
 	random        *rand.Rand
 	servers       []netip.AddrPort
@@ -33,11 +33,11 @@
 		latencyFactor: func(int, time.Duration) float64 { return 1 }, fails: func(int, time.Duration) bool { return false },
 		sent: make([]int, n), stepsOut: make([]int, n), ejections: make([]int, n), wasOut: make([]bool, n),
 	}
-	f.t = New(Settings{}, f.clock)
+	f.tracker = New(Settings{}, f.clock)
 	for i := range n {
 		f.servers = append(f.servers, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i / 256), byte(i)}), 7000))
 	}
-	f.t.SetServers("m", f.servers)
+	f.tracker.SetServers("m", f.servers)
 	return f
 }
 
@@ -49,7 +49,7 @@
 		}
 		zero := 0
 		for i, a := range f.servers {
-			w := f.t.Weight(a)
+			w := f.tracker.Weight(a)
 			if w == 0 {
 				f.stepsOut[i]++
 				zero++
@@ -67,13 +67,13 @@
 func (f *fleet) send() {
 	for {
 		i := f.random.IntN(len(f.servers))
-		if f.random.Float64() >= f.t.Weight(f.servers[i]) {
+		if f.random.Float64() >= f.tracker.Weight(f.servers[i]) {
 			continue
 		}
 		f.sent[i]++
 		tokens := f.random.IntN(4000)
 		first := time.Duration(float64(tokens+100) * f.latencyFactor(i, f.elapsed) * (0.5 + f.random.Float64()) * float64(100*time.Microsecond))
-		f.t.Observe(Sample{Server: f.servers[i], Model: "m", FirstToken: first, Tokens: tokens, Failed: f.fails(i, f.elapsed)})
+		f.tracker.Observe(Sample{Server: f.servers[i], Model: "m", FirstToken: first, Tokens: tokens, Failed: f.fails(i, f.elapsed)})
 		return
 	}
 }
@@ -95,11 +95,11 @@
 	f.run(40 * time.Second)
 	hit := f.sent[3] - before
 	f.run(10 * time.Second)
-	early := f.t.Weight(f.servers[3])
+	early := f.tracker.Weight(f.servers[3])
 	f.run(90 * time.Second)
-	t.Logf("requests to the slow server: %d in 20 s healthy, %d in 40 s slow; weight 10 s later %.2f, at the end %.2f; ejections %v", before, hit, early, f.t.Weight(f.servers[3]), f.ejections)
+	t.Logf("requests to the slow server: %d in 20 s healthy, %d in 40 s slow; weight 10 s later %.2f, at the end %.2f; ejections %v", before, hit, early, f.tracker.Weight(f.servers[3]), f.ejections)
 	is.True(hit*2 <= before)
-	is.Equal(f.t.Weight(f.servers[3]), 1.0)
+	is.Equal(f.tracker.Weight(f.servers[3]), 1.0)
 	for i, n := range f.stepsOut {
 		is.True(i == 3 || n == 0) // no other server is affected
 	}
@@ -127,8 +127,8 @@
 	is := is.New(t)
 	flap := func(s Settings) *fleet {
 		f := newFleet(10)
-		f.t = New(s, f.clock)
-		f.t.SetServers("m", f.servers)
+		f.tracker = New(s, f.clock)
+		f.tracker.SetServers("m", f.servers)
 		f.fails = func(i int, at time.Duration) bool { return i == 0 && at/(20*time.Second)%2 == 1 }
 		f.run(20 * time.Minute)
 		return f
@@ -162,11 +162,11 @@
 	for n, want := range map[int]float64{1: 1, 2: 0} {
 		f := newFleet(n)
 		for range 50 {
-			f.t.Observe(Sample{Server: f.servers[0], Model: "m", Failed: true})
-			f.t.Observe(Sample{Server: f.servers[n-1], Model: "m", FirstToken: time.Second, Failed: n == 1})
+			f.tracker.Observe(Sample{Server: f.servers[0], Model: "m", Failed: true})
+			f.tracker.Observe(Sample{Server: f.servers[n-1], Model: "m", FirstToken: time.Second, Failed: n == 1})
 			f.clock.Advance(20 * time.Millisecond)
 		}
-		is.Equal(f.t.Weight(f.servers[0]), want)
+		is.Equal(f.tracker.Weight(f.servers[0]), want)
 	}
 }
 
@@ -193,10 +193,10 @@
 	f := newFleet(4)
 	f.fails = func(i int, _ time.Duration) bool { return i == 0 }
 	f.run(10 * time.Second)
-	is.Equal(f.t.Weight(f.servers[0]), 0.0)
-	f.t.SetServers("m", f.servers[1:])
-	is.Equal(f.t.Weight(f.servers[0]), 1.0) // forgotten
-	is.Equal(len(f.t.Status()), 3)
+	is.Equal(f.tracker.Weight(f.servers[0]), 0.0)
+	f.tracker.SetServers("m", f.servers[1:])
+	is.Equal(f.tracker.Weight(f.servers[0]), 1.0) // forgotten
+	is.Equal(len(f.tracker.Status()), 3)
 }
 
 func BenchmarkWeight(b *testing.B) {
@@ -207,7 +207,7 @@
 	i := 0
 	for b.Loop() {
 		i++
-		f.t.Weight(f.servers[i%400])
+		f.tracker.Weight(f.servers[i%400])
 	}
 }
 
@@ -220,7 +220,7 @@
 			for b.Loop() {
 				i++
 				f.clock.Advance(time.Millisecond)
-				f.t.Observe(Sample{Server: f.servers[i%n], Model: "m", FirstToken: time.Second, Tokens: 1000})
+				f.tracker.Observe(Sample{Server: f.servers[i%n], Model: "m", FirstToken: time.Second, Tokens: 1000})
 			}
 		})
 	}
--- a/internal/decision/beechlimit/limiter_test.go
+++ b/internal/decision/beechlimit/limiter_test.go
@@ -226,12 +226,12 @@
 		end  func(*Grant)
 		left float64
 	}{
-		{"less", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 100}) }, 4900},
-		{"more", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 9000}) }, -4000},
-		{"nothing", func(g *Grant) { g.Release(Usage{Known: true}) }, 5000},
-		{"negative", func(g *Grant) { g.Release(Usage{Known: true, Tokens: -1 << 62}) }, 5000},
-		{"absurd", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 1 << 62}) }, -60000},
-		{"unknown", func(g *Grant) { g.Release(Usage{}) }, 1000},
+		{"less than estimated", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 100}) }, 4900},
+		{"more than estimated", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 9000}) }, -4000},
+		{"no tokens used", func(g *Grant) { g.Release(Usage{Known: true}) }, 5000},
+		{"negative usage", func(g *Grant) { g.Release(Usage{Known: true, Tokens: -1 << 62}) }, 5000},
+		{"excessive usage", func(g *Grant) { g.Release(Usage{Known: true, Tokens: 1 << 62}) }, -60000},
+		{"unknown usage", func(g *Grant) { g.Release(Usage{}) }, 1000},
 		{"not run", func(g *Grant) { g.Cancel() }, 5000},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/decision/beechretry/budget_test.go
+++ b/internal/decision/beechretry/budget_test.go
@@ -89,19 +89,19 @@
 		o    Outcome
 		want Decision
 	}{
-		{"better server", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, Server: first, PreferredServer: second}, Retry{Server: second}},
-		{"better is the same", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, PreferredServer: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"recommended server", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, Server: first, PreferredServer: second}, Retry{Server: second}},
+		{"recommended server is the same", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, PreferredServer: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
 		{"another server", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, RetryAfter: time.Minute}, Retry{}},
-		{"one server, later", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: 400 * time.Millisecond}, Retry{Delay: 400 * time.Millisecond, Server: first}},
-		{"one server, much later", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"only server, available soon", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: 400 * time.Millisecond}, Retry{Delay: 400 * time.Millisecond, Server: first}},
+		{"only server, available much later", Outcome{Attempt: 1, Ran: RanNo, Rejected: true, OnlyServer: true, Server: first, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
 		{"may have run", Outcome{Attempt: 1, Ran: RanUnknown}, GiveUp{Ran: RanUnknown}},
-		{"nothing said", Outcome{}, GiveUp{Ran: RanUnknown}},
+		{"empty outcome", Outcome{}, GiveUp{Ran: RanUnknown}},
 		{"ran", Outcome{Attempt: 1, Ran: RanYes, PreferredServer: second}, GiveUp{Ran: RanYes}},
 		{"not run", Outcome{Attempt: 1, Ran: RanNo, PreferredServer: second}, Retry{Server: second}},
 		{"last attempt", Outcome{Attempt: 3, Ran: RanNo, PreferredServer: second, RetryAfter: time.Minute}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
-		{"deadline", Outcome{Attempt: 1, Ran: RanNo, OnlyServer: true, Server: first, RetryAfter: 500 * time.Millisecond, Deadline: soon}, GiveUp{Ran: RanNo, RetryAfter: 500 * time.Millisecond}},
-		{"deadline gone", Outcome{Attempt: 1, Ran: RanNo, PreferredServer: second, RetryAfter: time.Minute, Deadline: clock.Now()}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
-		{"before the first", Outcome{Attempt: -5, Ran: RanNo, PreferredServer: second, RetryAfter: -time.Hour}, Retry{Server: second}},
+		{"deadline before the retry", Outcome{Attempt: 1, Ran: RanNo, OnlyServer: true, Server: first, RetryAfter: 500 * time.Millisecond, Deadline: soon}, GiveUp{Ran: RanNo, RetryAfter: 500 * time.Millisecond}},
+		{"deadline passed", Outcome{Attempt: 1, Ran: RanNo, PreferredServer: second, RetryAfter: time.Minute, Deadline: clock.Now()}, GiveUp{Ran: RanNo, RetryAfter: time.Minute}},
+		{"negative attempt number", Outcome{Attempt: -5, Ran: RanNo, PreferredServer: second, RetryAfter: -time.Hour}, Retry{Server: second}},
 	} {
 		t.Run(c.name, func(t *testing.T) { is.New(t).Equal(b.Decide(c.o), c.want) })
 	}
--- a/internal/decision/beechretry/window.go
+++ b/internal/decision/beechretry/window.go
@@ -5,8 +5,8 @@
 // slidingWindow counts first attempts and retries over a sliding window. A value
 // with only slotLength set is empty.
 //
-// It replaces a credit that requests earn and the reserve caps, which holds too
-// little where many hosts share a limit: each host can hold one retry, a
+// It is used where many hosts share a limit. A credit that requests earn and the
+// reserve caps would hold too little there: each host could hold one retry, a
 // rejection must leave half of the reserve, and so no rejected request would ever
 // be retried.
 type slidingWindow struct {
--- a/internal/prompt/beechindex/blocks.go
+++ b/internal/prompt/beechindex/blocks.go
@@ -13,7 +13,7 @@
 	// second.
 	maxRuns           = 256
 	maxPendingReplies = 64
-	maxRunBlocks      = 8192
+	maxRunBlocks      = 8192    // blocks in one run
 	maxPendingBlocks  = 1 << 16 // blocks in all runs
 )
 
--- a/internal/prompt/beechindex/index_test.go
+++ b/internal/prompt/beechindex/index_test.go
@@ -241,7 +241,7 @@
 	is.True(!known)
 }
 
-func changedKeys(c Changes) map[Key]bool {
+func heldByKey(c Changes) map[Key]bool {
 	state := map[Key]bool{}
 	for _, change := range c.List {
 		state[change.Key] = change.Held
@@ -262,7 +262,7 @@
 
 	s.index.AddWaiting("loop/7", asked)
 	changes, next := s.index.Changes(next)
-	is.Equal(changedKeys(changes), map[Key]bool{asked[0].Key: true, asked[1].Key: true})
+	is.Equal(heldByKey(changes), map[Key]bool{asked[0].Key: true, asked[1].Key: true})
 
 	s.storeRun("loop/7", asked, 0)
 	s.reply(1, "loop/7", asked, 0)
@@ -272,7 +272,7 @@
 
 	s.index.RemoveWaiting("loop/7", asked)
 	changes, next = s.index.Changes(next)
-	is.Equal(changedKeys(changes), map[Key]bool{asked[1].Key: false})
+	is.Equal(heldByKey(changes), map[Key]bool{asked[1].Key: false})
 
 	s.crash()
 	changes, _ = s.index.Changes(next)
