--- a/internal/decision/beechquota/doc.go
+++ b/internal/decision/beechquota/doc.go
@@ -6,8 +6,8 @@
 // A workspace may send many times its usual rate through all gates at once, or have a few
 // callers that use only one or two gates. Giving each gate an equal share of the limit fails
 // in both cases: it refuses the few callers what the workspace has not used, and every gate
-// that starts grants the burst of its share once more. Asking a central store for each
-// request would be too slow.
+// that starts grants the burst of its share once more. The store cannot be asked for each
+// request.
 //
 // # Algorithm
 //
