--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// spentSpace is that between urgent ones: a workspace far beyond its quota would
-	// otherwise have each of its requests told to all gates.
-	spentSpace = 50 * time.Millisecond
-	// startHold and a share of the objective are the longest that a call waits for a gate
-	// that starts.
-	startHold      = 250 * time.Millisecond
-	startHoldShare = 2
-	startPoll      = 20 * time.Millisecond
-	// usesMost go into one datagram: a use is some 20 bytes.
-	usesMost = 400
+	// usageSendPause is the pause between urgent messages: otherwise each request of a
+	// workspace far over its quota would be announced to all gates.
+	usageSendPause = 50 * time.Millisecond
+	// startupWait and the objective divided by startupWaitDivisor bound the wait of a call for
+	// a gate that is starting.
+	startupWait         = 250 * time.Millisecond
+	startupWaitDivisor  = 2
+	startupPollInterval = 20 * time.Millisecond
+	// maxUsesPerDatagram is chosen for some 20 bytes per use.
+	maxUsesPerDatagram = 400
 )
 
 func quotaBounds(q beechsettings.Quota) beechquota.Bounds {
 	return beechquota.Bounds{Window: time.Duration(q.Window), Overage: q.Overage, Slack: q.Slack}
 }
 
-// setQuotas puts the workspaces' quotas of a configuration in force.
+// setQuotas applies the workspaces' quotas of a configuration.
 func (g *Gate) setQuotas(c *beechcall.Configuration) {
 	limits := make(map[string]beechquota.Limit)
 	unknown := make(map[string]bool)
@@ -48,121 +48,121 @@
 	g.quotas.SetLimits(limits, unknown)
 }
 
-// askQuota asks whether a call may go on. A gate that has just started knows its own
-// share only; it will hear the others in a moment, which is sooner than its caller
-// would be back.
-func (g *Gate) askQuota(ctx context.Context, call *beechcall.Call) beechquota.Decision {
-	until := g.clock.Now().Add(min(startHold, call.Route.Objective/startHoldShare))
+// admitQuota decides whether the workspace's quota admits a call. A gate that has just started
+// knows only its own share, so a call that exceeds it waits until the other gates have sent
+// their usage, which takes less time than a retry of the caller.
+func (g *Gate) admitQuota(ctx context.Context, call *beechcall.Call) beechquota.Decision {
+	deadline := g.clock.Now().Add(min(startupWait, call.Route.Objective/startupWaitDivisor))
 	for {
-		d := g.quotas.Admit(call.Workspace.Name, call.Size())
-		refused, ok := d.(beechquota.Refused)
-		if !ok || !refused.Starting || !g.clock.Now().Before(until) {
-			return d
+		decision := g.quotas.Admit(call.Workspace.Name, call.Size())
+		refused, ok := decision.(beechquota.Refused)
+		if !ok || !refused.Starting || !g.clock.Now().Before(deadline) {
+			return decision
 		}
 		select {
-		case <-g.clock.After(startPoll):
+		case <-g.clock.After(startupPollInterval):
 		case <-ctx.Done():
-			return d
+			return decision
 		}
 	}
 }
 
-// spend takes a call's size from its workspace's quota, or answers it.
-func (g *Gate) spend(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) bool {
-	switch d := g.askQuota(ctx, call).(type) {
+// chargeQuota charges a call to its workspace's quota, or refuses it.
+func (g *Gate) chargeQuota(ctx context.Context, call *beechcall.Call, out beechattempt.Responder) bool {
+	switch decision := g.admitQuota(ctx, call).(type) {
 	case beechquota.Refused:
 		g.metrics.denied.Add("over quota", 1)
 		g.log.Warn("request refused", zap.String("request", call.ID), zap.String("route", call.Route.Name), zap.String("reason", "over quota"),
-			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", d.After),
-			zap.Float64("left", d.Level), zap.Float64("unread", d.Unreported), zap.Float64("rate", d.Limit.Rate), zap.Float64("burst", d.Limit.Burst),
-			zap.Bool("alone", d.Isolated), zap.Duration("age", d.UpdateAge))
-		out.Refuse(beechattempt.OverQuota{After: d.After})
+			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", decision.After),
+			zap.Float64("left", decision.Level), zap.Float64("unread", decision.Unreported), zap.Float64("rate", decision.Limit.Rate), zap.Float64("burst", decision.Limit.Burst),
+			zap.Bool("alone", decision.Isolated), zap.Duration("age", decision.UpdateAge))
+		out.Reject(beechattempt.QuotaExceeded{RetryAfter: decision.After})
 		return false
 	case beechquota.Admitted:
-		if d.Urgent {
-			beechtask.Wake(g.spentNews)
+		if decision.Urgent {
+			beechtask.Wake(g.usageDue)
 		}
 	}
 	return true
 }
 
-// spent settles a call's size: each server that may have run it counts.
-func (g *Gate) spent(call *beechcall.Call, runs int) {
+// settleQuota corrects the charge for a call: each server that may have run it counts.
+func (g *Gate) settleQuota(call *beechcall.Call, attempts int) {
 	switch {
-	case runs == 0:
+	case attempts == 0:
 		g.quotas.Refund(call.Workspace.Name, call.Size())
-	case runs > 1:
-		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(runs-1))
+	case attempts > 1:
+		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(attempts-1))
 	}
 }
 
-// manyGates is how many gates there are, as far as this one knows.
-func (g *Gate) manyGates() int {
+// gateCount returns the number of gates known to this one.
+func (g *Gate) gateCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gates
 }
 
-// tellSpent tells the other gates what this one has admitted.
-func (g *Gate) tellSpent(ctx context.Context) error {
-	for number := uint32(0); ; number++ {
+// sendUsage sends this gate's quota usage to the other gates.
+func (g *Gate) sendUsage(ctx context.Context) error {
+	for round := uint32(0); ; round++ {
 		urgent := false
 		select {
-		case <-g.clock.After(beechquota.UpdateInterval(g.manyGates())):
-		case <-g.spentNews:
+		case <-g.clock.After(beechquota.UpdateInterval(g.gateCount())):
+		case <-g.usageDue:
 			urgent = true
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		if !g.quotas.HasLimits() {
-			continue // there is nothing to agree on
+			continue // without quotas there is nothing to agree on
 		}
-		for _, spent := range wireSpent(g.quotas.NextUpdate(), 1) {
-			g.toGates(number, urgent, func(pass bool) beechbeat.Message {
-				word := *spent
-				word.Pass = pass
-				return beechbeat.Spent{Spent: &word}
+		for _, usage := range packUsage(g.quotas.NextUpdate(), 1) {
+			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
+				message := *usage
+				message.Pass = pass
+				return beechbeat.Spent{Spent: &message}
 			})
 		}
-		g.clock.Sleep(spentSpace)
+		g.clock.Sleep(usageSendPause)
 	}
 }
 
-// hearSpent takes in what another gate has admitted.
-func (g *Gate) hearSpent(from netip.AddrPort, s beechbeat.Spent) {
-	if !g.knows(from) {
+// receiveUsage handles quota usage sent by another gate.
+func (g *Gate) receiveUsage(from netip.AddrPort, s beechbeat.Spent) {
+	if !g.isKnownGate(from) {
 		return
 	}
 	if s.Pass {
-		passed := *s.Spent
-		passed.Pass = false
-		g.toZone(beechbeat.Spent{Spent: &passed})
+		relayed := *s.Spent
+		relayed.Pass = false
+		g.sendToZone(beechbeat.Spent{Spent: &relayed})
 	}
-	g.quotas.ApplyUpdate(spentWord(s.Spent, 1))
+	g.quotas.ApplyUpdate(unpackUsage(s.Spent, 1))
 }
 
-// spentWord unpacks a word whose amounts are told as so many parts of one.
-func spentWord(s *beechwire.Spent, parts float64) beechquota.Update {
-	word := beechquota.Update{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
+// unpackUsage converts usage from the wire, where amounts are integers in units of 1/scale.
+func unpackUsage(s *beechwire.Spent, scale float64) beechquota.Update {
+	update := beechquota.Update{Host: s.Host, Lifetime: s.Lifetime, Age: time.Duration(s.Age) * time.Millisecond, Settled: s.Settled, Full: s.Full}
 	for _, u := range s.Uses {
-		word.Usages = append(word.Usages, beechquota.Usage{Workspace: u.Workspace, Total: float64(u.Total) / parts, Level: float64(u.Level) / parts})
+		update.Usages = append(update.Usages, beechquota.Usage{Workspace: u.Workspace, Total: float64(u.Total) / scale, Level: float64(u.Level) / scale})
 	}
-	return word
+	return update
 }
 
-// wireSpent packs a word into messages that go into a datagram each, amounts as so many
-// parts of one. Only one that holds all buckets may say so.
-func wireSpent(w beechquota.Update, parts float64) []*beechwire.Spent {
-	var all []*beechwire.Spent
+// packUsage splits usage into messages that fit into a datagram each, with amounts in units of
+// 1/scale. Only a single message with all buckets may be marked as full.
+func packUsage(usage beechquota.Update, scale float64) []*beechwire.Spent {
+	var messages []*beechwire.Spent
 	for {
-		n := min(len(w.Usages), usesMost)
-		spent := &beechwire.Spent{Host: w.Host, Lifetime: w.Lifetime, Age: w.Age.Milliseconds(), Settled: w.Settled, Full: w.Full && n == len(w.Usages) && all == nil}
-		for _, u := range w.Usages[:n] {
-			spent.Uses = append(spent.Uses, beechwire.Use{Workspace: u.Workspace, Total: uint64(u.Total * parts), Level: int64(u.Level * parts)})
+		n := min(len(usage.Usages), maxUsesPerDatagram)
+		message := &beechwire.Spent{Host: usage.Host, Lifetime: usage.Lifetime, Age: usage.Age.Milliseconds(), Settled: usage.Settled, Full: usage.Full && n == len(usage.Usages) && messages == nil}
+		for _, u := range usage.Usages[:n] {
+			message.Uses = append(message.Uses, beechwire.Use{Workspace: u.Workspace, Total: uint64(u.Total * scale), Level: int64(u.Level * scale)})
 		}
-		all = append(all, spent)
-		if w.Usages = w.Usages[n:]; len(w.Usages) == 0 {
-			return all
+		messages = append(messages, message)
+		if usage.Usages = usage.Usages[n:]; len(usage.Usages) == 0 {
+			return messages
 		}
 	}
 }
--- /dev/null
+++ b/internal/request/beechattempt/dispatcher.go
@@ -0,0 +1,127 @@
+package beechattempt
+
+import (
+	"context"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"go.uber.org/zap"
+
+	"github.com/beechring/beechring/internal/decision/beechretry"
+	"github.com/beechring/beechring/internal/decision/beechsuspect"
+	"github.com/beechring/beechring/internal/request/beechcall"
+	"github.com/beechring/beechring/internal/request/beechplace"
+)
+
+type (
+	// Dispatcher serves calls. It is safe for concurrent use.
+	Dispatcher struct {
+		placer   *beechplace.Placer
+		backend  beechcall.Backend
+		budget   RetryBudget
+		suspects *beechsuspect.Registry
+		crashes  *crashDetector
+		observer Observer
+		clock    clockwork.Clock
+		log      *zap.Logger
+		timeouts *routeTimeouts
+	}
+
+	// RetryBudget bounds the retries to each service; *beechgate.Budgets implements it.
+	RetryBudget interface {
+		RecordRequest(service string)
+		Decide(service string, o beechretry.Outcome) beechretry.Decision
+	}
+
+	// Observer receives measurements of servers and calls.
+	Observer interface {
+		// ObserveAttempt is called with the time to an answer's first byte, or for a
+		// failure. Unread is the number of prompt tokens that the server had to prefill.
+		ObserveAttempt(server beechcall.Server, model string, firstByte time.Duration, unread int, failed bool)
+		// ObserveEnd is called when a call has ended.
+		ObserveEnd(r Result)
+	}
+
+	// Result describes how a call ended.
+	Result struct {
+		Call      *beechcall.Call
+		Outcome   string            // answered, refused, failed, overdue, broken or left
+		Choice    beechplace.Choice // of the last attempt; zero if there was none
+		Attempts  int
+		FirstByte time.Duration // until the first byte
+		Duration  time.Duration // of the whole call
+	}
+
+	// Responder sends a caller its answer, in the protocol of the listener that accepted
+	// the call. Exactly one of Reject, Respond and StartStream is called, once; a stream
+	// ends with EndStream or AbortStream.
+	Responder interface {
+		Reject(r Rejection)
+		Respond(status int, header http.Header, body []byte)
+		StartStream(status int, header http.Header)
+		SendEvents(data []byte) error // complete events only
+		EndStream()
+		AbortStream()
+	}
+
+	// Rejection is the answer to a call that no server has answered: NotExecuted,
+	// QuotaExceeded, OutcomeUnknown or DeadlineExceeded.
+	Rejection interface{ rejection() }
+
+	// NotExecuted means that the request has not been executed and will not be.
+	// RetryAfter is when the caller may retry.
+	NotExecuted struct {
+		RetryAfter time.Duration
+		Reason     string
+	}
+
+	// QuotaExceeded means that the workspace has used up its quota. The request has not
+	// been executed and will not be. RetryAfter is when quota will be available again.
+	QuotaExceeded struct{ RetryAfter time.Duration }
+
+	// OutcomeUnknown means that the request may have been executed.
+	OutcomeUnknown struct{ Reason string }
+
+	// DeadlineExceeded means that the deadline has passed; the request may have been
+	// executed.
+	DeadlineExceeded struct{}
+)
+
+func (NotExecuted) rejection()      {}
+func (QuotaExceeded) rejection()    {}
+func (OutcomeUnknown) rejection()   {}
+func (DeadlineExceeded) rejection() {}
+
+// New returns a dispatcher. The dependencies are used until the last call has ended.
+func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget RetryBudget, suspects *beechsuspect.Registry,
+	observer Observer, clock clockwork.Clock, log *zap.Logger,
+) *Dispatcher {
+	return &Dispatcher{
+		placer: placer, backend: backend, budget: budget, suspects: suspects, crashes: newCrashDetector(prober, suspects, clock, log),
+		observer: observer, clock: clock, log: log, timeouts: newRouteTimeouts(),
+	}
+}
+
+// Serve answers a call. The context ends when the caller disconnects, which cancels the
+// attempt under way. It returns the number of attempts that may have been executed.
+func (d *Dispatcher) Serve(ctx context.Context, call *beechcall.Call, out Responder) int {
+	if refuse, ok := d.suspects.Check(call.Fingerprint()).(beechsuspect.Refuse); ok {
+		d.log.Warn("request refused", zap.String("request", call.ID), zap.String("reason", "it crashed servers before"), zap.Duration("after", refuse.After))
+		out.Reject(NotExecuted{RetryAfter: refuse.After, Reason: "suspect"})
+		return 0
+	}
+	limited, cancel := clockwork.WithDeadline(ctx, d.clock, call.Deadline)
+	defer cancel()
+	r := &execution{dispatcher: d, call: call, out: out, callerCtx: ctx, started: d.clock.Now()}
+	outcome := r.serve(limited)
+	d.observer.ObserveEnd(Result{Call: call, Outcome: outcome, Choice: r.choice, Attempts: r.attempts, FirstByte: r.firstByte, Duration: d.clock.Since(r.started)})
+	return r.attempts - r.notExecuted
+}
+
+// jitter returns a random duration around delay, so that callers that were rejected together
+// do not retry together.
+func jitter(delay time.Duration) time.Duration {
+	return delay/2 + time.Duration(rand.Int64N(int64(delay)))
+}
