--- a/internal/process/beechentry/completion.go
+++ b/internal/process/beechentry/completion.go
@@ -127,7 +127,7 @@
 	r.Adapter = adapter
 	r.Weights = weights
 	r.Generation = j.configuration.Generation
-	r.Priority = j.configuration.Priority(j.workspace.Priority)
+	r.Priority = j.configuration.PriorityRank(j.workspace.Priority)
 	r.Salt = chain.Salt
 	r.Levels = wireLevels(chain.Levels)
 	r.PromptTokens = chain.PromptTokens
--- a/internal/process/beechentry/configuration.go
+++ b/internal/process/beechentry/configuration.go
@@ -54,7 +54,7 @@
 			live = append(live, m.Host.Address)
 		}
 	}
-	return beechmanifest.Watches(self, live, watchersPerZone)
+	return beechmanifest.IsWatcher(self, live, watchersPerZone)
 }
 
 // applyConfigurations puts what a new configuration says into the limits, until
--- a/internal/process/beechentry/routes.go
+++ b/internal/process/beechentry/routes.go
@@ -100,7 +100,7 @@
 	if !strings.EqualFold(scheme, "Bearer") || key == "" {
 		return nil, nil, notRun(http.StatusUnauthorized, typeKey, "missing_key", "give the workspace's key as Authorization: Bearer KEY")
 	}
-	workspace, known := configuration.WorkspaceOf(strings.TrimSpace(key))
+	workspace, known := configuration.WorkspaceByKey(strings.TrimSpace(key))
 	if !known {
 		return nil, nil, notRun(http.StatusUnauthorized, typeKey, "invalid_api_key", "the key is not one of any workspace")
 	}
--- a/internal/process/beechentry/service.go
+++ b/internal/process/beechentry/service.go
@@ -28,7 +28,7 @@
 		return nil, f
 	}
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicesPath+name)
-	once := c.Once(name, r.Method, r.URL.Path[len(servicesPath+name):])
+	once := c.NonIdempotent(name, r.Method, r.URL.Path[len(servicesPath+name):])
 	if once && key == "" {
 		return nil, notRun(http.StatusBadRequest, typeInvalid, "idempotency_key_required",
 			"this call may not be repeated; give it an %s", headerIdempotency)
@@ -50,7 +50,7 @@
 		ContentType: r.Header.Get("Content-Type"),
 		Headers:     beechshare.WireRequestHeaders(r.Header),
 		Generation:  c.Generation,
-		Priority:    c.Priority(workspace.Priority),
+		Priority:    c.PriorityRank(workspace.Priority),
 		Repeatable:  !once,
 		BodyBytes:   len(body),
 	}
--- a/internal/state/beechmanifest/bench_test.go
+++ b/internal/state/beechmanifest/bench_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// BenchmarkHeld reports what a configuration of 9,300 workspaces holds in each
+// BenchmarkConfigurationMemory reports what a configuration of 9,300 workspaces holds in each
 // process, and how many values of the platform's service it takes.
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkConfigurationMemory(b *testing.B) {
 	const workspaces = 9300
-	data, err := Encode(normal(large(workspaces)))
+	data, err := Encode(canonical(manifestOfSize(workspaces)))
 	if err != nil {
 		b.Fatal(err)
 	}
-	parts, err := cut(normal(large(workspaces)))
+	parts, err := split(canonical(manifestOfSize(workspaces)))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/state/beechmanifest/check.go
+++ b/internal/state/beechmanifest/check.go
@@ -13,9 +13,9 @@
 	problems []Problem
 }
 
-const listShown = 10
+const maxNamesShown = 10
 
-func checkAcross(m *Manifest) []Problem {
+func checkConsistency(m *Manifest) []Problem {
 	c := &checker{manifest: m}
 	c.targets()
 	c.priorities()
@@ -44,14 +44,14 @@
 
 func (c *checker) uniqueNames() {
 	m := c.manifest
-	c.unique("models", "name", modelNames(m))
-	c.unique("priorities", "", m.Priorities)
-	c.unique("workspaces", "name", workspaceNames(m))
-	c.unique("pools", "name", poolNames(m))
-	c.unique("services", "name", serviceNames(m))
+	c.requireUnique("models", "name", modelNames(m))
+	c.requireUnique("priorities", "", m.Priorities)
+	c.requireUnique("workspaces", "name", workspaceNames(m))
+	c.requireUnique("pools", "name", poolNames(m))
+	c.requireUnique("services", "name", serviceNames(m))
 }
 
-func (c *checker) unique(list, field string, names []string) {
+func (c *checker) requireUnique(list, field string, names []string) {
 	first := make(map[string]int, len(names))
 	for i, n := range names {
 		at, ok := first[n]
@@ -87,9 +87,9 @@
 	priorities, models, services := setOf(c.manifest.Priorities), setOf(modelNames(c.manifest)), setOf(serviceNames(c.manifest))
 	for i, w := range c.manifest.Workspaces {
 		place := fmt.Sprintf("workspaces/%d", i)
-		c.known(place+"/priority", "priority", w.Priority, priorities, c.manifest.Priorities)
-		c.knownAll(place+"/models", "model", w.Models, models, modelNames(c.manifest))
-		c.knownAll(place+"/services", "service", w.Services, services, serviceNames(c.manifest))
+		c.requireKnown(place+"/priority", "priority", w.Priority, priorities, c.manifest.Priorities)
+		c.requireAllKnown(place+"/models", "model", w.Models, models, modelNames(c.manifest))
+		c.requireAllKnown(place+"/services", "service", w.Services, services, serviceNames(c.manifest))
 	}
 }
 
@@ -97,7 +97,7 @@
 	models, services := setOf(modelNames(c.manifest)), setOf(serviceNames(c.manifest))
 	for i, p := range c.manifest.Pools {
 		place := fmt.Sprintf("pools/%d", i)
-		c.knownAll(place+"/models", "model", p.Models, models, modelNames(c.manifest))
+		c.requireAllKnown(place+"/models", "model", p.Models, models, modelNames(c.manifest))
 		switch p.Kind {
 		case KindEngine:
 			if p.Service != "" {
@@ -110,20 +110,20 @@
 			if len(p.Models) > 0 {
 				c.add(place+"/models", "is set on a pool of a plain service", "no models where kind is service")
 			}
-			c.known(place+"/service", "service", p.Service, services, serviceNames(c.manifest))
+			c.requireKnown(place+"/service", "service", p.Service, services, serviceNames(c.manifest))
 		default:
 			c.add(place+"/kind", fmt.Sprintf("%q", p.Kind), "engine or service")
 		}
 	}
 }
 
-func (c *checker) knownAll(place, what string, names []string, known map[string]bool, all []string) {
+func (c *checker) requireAllKnown(place, what string, names []string, known map[string]bool, all []string) {
 	for i, n := range names {
-		c.known(fmt.Sprintf("%s/%d", place, i), what, n, known, all)
+		c.requireKnown(fmt.Sprintf("%s/%d", place, i), what, n, known, all)
 	}
 }
 
-func (c *checker) known(place, what, name string, known map[string]bool, all []string) {
+func (c *checker) requireKnown(place, what, name string, known map[string]bool, all []string) {
 	if known[name] {
 		return
 	}
@@ -134,8 +134,8 @@
 	if len(names) == 0 {
 		return "none, since the manifest lists none"
 	}
-	if len(names) > listShown {
-		return fmt.Sprintf("one of %s and %d more", strings.Join(names[:listShown], ", "), len(names)-listShown)
+	if len(names) > maxNamesShown {
+		return fmt.Sprintf("one of %s and %d more", strings.Join(names[:maxNamesShown], ", "), len(names)-maxNamesShown)
 	}
 	return "one of " + strings.Join(names, ", ")
 }
--- a/internal/state/beechmanifest/configuration.go
+++ b/internal/state/beechmanifest/configuration.go
@@ -27,9 +27,9 @@
 	keySum [sha256.Size]byte
 )
 
-// maxUnescapes bounds how often a path is decoded: once by an entry host, once
+// maxDecodedPaths bounds how often a path is decoded: once by an entry host, once
 // by a server, and once more for a server behind it.
-const maxUnescapes = 4
+const maxDecodedPaths = 4
 
 // Compile makes the look-ups of a manifest that Parse has accepted.
 func Compile(m *Manifest, generation uint64) *Configuration {
@@ -67,13 +67,13 @@
 	}
 }
 
-// WorkspaceOf gives the workspace of a bearer key.
+// WorkspaceByKey gives the workspace of a bearer key.
 //
 // The look-up is by the key's SHA-256, and the sum found is compared in
 // constant time. What the time of a look-up shows is something about the sum
 // of the key that was sent, and nobody can choose a key for the sum it will
 // have, so a wrong key cannot be improved byte by byte.
-func (c *Configuration) WorkspaceOf(bearerKey string) (*Workspace, bool) {
+func (c *Configuration) WorkspaceByKey(bearerKey string) (*Workspace, bool) {
 	sum := keySum(sha256.Sum256([]byte(bearerKey)))
 	w, ok := c.keys[sum]
 	if !ok {
@@ -111,22 +111,22 @@
 	return s, ok
 }
 
-// Priority gives the rank of a priority, 0 served first; an unknown one is
+// PriorityRank gives the rank of a priority, 0 served first; an unknown one is
 // served last.
-func (c *Configuration) Priority(name string) int {
+func (c *Configuration) PriorityRank(name string) int {
 	if i := slices.Index(c.Manifest.Priorities, name); i >= 0 {
 		return i
 	}
 	return len(c.Manifest.Priorities)
 }
 
-// Once tells whether a call of a service may not be repeated. A call that a
+// NonIdempotent tells whether a call of a service may not be repeated. A call that a
 // backend server might read as one that may not be repeated is taken for one,
 // however its path and method are spelt: the wrong guess here bills or ships
 // twice.
-func (c *Configuration) Once(service, method, requestPath string) bool {
+func (c *Configuration) NonIdempotent(service, method, requestPath string) bool {
 	s, ok := c.services[service]
-	return ok && s.once(method, requestPath)
+	return ok && s.nonIdempotent(method, requestPath)
 }
 
 // AllowsModel tells whether the workspace may use a model.
@@ -145,8 +145,8 @@
 	return len(w.Services) == 0 || slices.Contains(w.Services, name)
 }
 
-func (s *Service) once(method, requestPath string) bool {
-	spellings := spellingsOf(requestPath)
+func (s *Service) nonIdempotent(method, requestPath string) bool {
+	spellings := pathVariants(requestPath)
 	for _, r := range s.Once {
 		if r.Method != "" && !strings.EqualFold(r.Method, method) {
 			continue
@@ -161,12 +161,12 @@
 	return false
 }
 
-// spellingsOf gives the paths that a backend server might read: as it came,
+// pathVariants gives the paths that a backend server might read: as it came,
 // with its percent signs decoded, more than once if need be, and each without
 // dots and double slashes; all in lower case.
-func spellingsOf(requestPath string) []string {
+func pathVariants(requestPath string) []string {
 	var all []string
-	for range maxUnescapes {
+	for range maxDecodedPaths {
 		lower := strings.ToLower(requestPath)
 		clean := path.Clean("/" + lower)
 		all = append(all, lower, clean, clean+"/")
--- a/internal/state/beechmanifest/head.go
+++ b/internal/state/beechmanifest/head.go
@@ -51,12 +51,12 @@
 	// HeadKey is the key of the published manifest's head.
 	HeadKey = "manifest/head"
 
-	partPrefix       = "manifest/part/"
-	format           = 1
-	historyKept      = 64
-	workspacesInPart = 64
-	maxBuckets       = 1024
-	changeBytes      = 16
+	partPrefix        = "manifest/part/"
+	headFormat        = 1
+	maxHistory        = 64
+	workspacesPerPart = 64
+	maxBuckets        = 1024
+	changeIDBytes     = 16
 )
 
 // ErrNone says that no manifest has been published.
@@ -69,8 +69,8 @@
 
 func partKey(sum string) string { return partPrefix + sum }
 
-func newChange() string {
-	b := make([]byte, changeBytes)
+func newChangeID() string {
+	b := make([]byte, changeIDBytes)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
@@ -85,36 +85,36 @@
 		return head{}, ErrNone
 	}
 	var h head
-	err := beechstore.Unseal(v.Key, v.Data, format, &h)
+	err := beechstore.Unseal(v.Key, v.Data, headFormat, &h)
 	if err == nil && (h.Generation == 0 || len(h.Parts) == 0) {
 		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it names no generation or no part")}
 	}
 	return h, err
 }
 
-// normal is the manifest with its workspaces in the order of their names:
+// canonical is the manifest with its workspaces in the order of their names:
 // the order says nothing, and parts made of it then differ only where the
 // manifest does.
-func normal(m *Manifest) *Manifest {
+func canonical(m *Manifest) *Manifest {
 	n := *m
 	n.Workspaces = slices.Clone(m.Workspaces)
 	slices.SortFunc(n.Workspaces, func(a, b Workspace) int { return cmp.Compare(a.Name, b.Name) })
 	return &n
 }
 
-// cut divides a normal manifest: everything but the workspaces is the first
+// split divides a normal manifest: everything but the workspaces is the first
 // part, the workspaces go by the hash of their names into a power of two of
 // buckets, so that a change of one workspace changes one small part.
-func cut(m *Manifest) ([]part, error) {
+func split(m *Manifest) ([]part, error) {
 	base := *m
 	base.Workspaces = nil
-	parts := make([]part, 0, 1+len(m.Workspaces)/workspacesInPart)
+	parts := make([]part, 0, 1+len(m.Workspaces)/workspacesPerPart)
 	p, err := newPart(base)
 	if err != nil {
 		return nil, err
 	}
 	parts = append(parts, p)
-	for _, bucket := range bucketsOf(m.Workspaces) {
+	for _, bucket := range bucketWorkspaces(m.Workspaces) {
 		p, err := newPart(bucket)
 		if err != nil {
 			return nil, err
@@ -124,9 +124,9 @@
 	return parts, nil
 }
 
-func bucketsOf(workspaces []Workspace) [][]Workspace {
+func bucketWorkspaces(workspaces []Workspace) [][]Workspace {
 	n := 1
-	for n*workspacesInPart < len(workspaces) && n < maxBuckets {
+	for n*workspacesPerPart < len(workspaces) && n < maxBuckets {
 		n *= 2
 	}
 	buckets := make([][]Workspace, n)
@@ -164,5 +164,5 @@
 		}
 		m.Workspaces = append(m.Workspaces, workspaces...)
 	}
-	return normal(&m), nil
+	return canonical(&m), nil
 }
--- a/internal/state/beechmanifest/history_test.go
+++ b/internal/state/beechmanifest/history_test.go
@@ -162,7 +162,7 @@
 		var last uint64
 		for life.Err() == nil {
 			changed := holder.Changed()
-			last = f.inForce(holder, last)
+			last = f.checkActive(holder, last)
 			select {
 			case <-changed:
 			case <-life.Done():
@@ -173,7 +173,7 @@
 	}
 }
 
-func (f *fleet) inForce(h *Holder, last uint64) uint64 {
+func (f *fleet) checkActive(h *Holder, last uint64) uint64 {
 	g, data := h.Encoded()
 	if g < last {
 		f.t.Errorf("a process went back from generation %d to %d", last, g)
@@ -243,21 +243,21 @@
 func headStep(s headState, input, output any) []any {
 	in, ok := input.(publishInput)
 	if !ok {
-		return only(s, output.(headState) == s)
+		return statesIf(s, output.(headState) == s)
 	}
 	next := headState{generation: in.base + 1, sum: in.sum}
 	switch o := output.(type) {
 	case Accepted:
-		return only(next, s.generation == in.base && o.Generation == next.generation)
+		return statesIf(next, s.generation == in.base && o.Generation == next.generation)
 	case Conflict:
-		return only(s, s.generation != in.base && s.generation == o.Current)
+		return statesIf(s, s.generation != in.base && s.generation == o.Current)
 	case Unknown:
-		return append(only(next, s.generation == in.base), s)
+		return append(statesIf(next, s.generation == in.base), s)
 	}
-	return only(s, true)
+	return statesIf(s, true)
 }
 
-func only(s headState, ok bool) []any {
+func statesIf(s headState, ok bool) []any {
 	if !ok {
 		return nil
 	}
@@ -280,7 +280,7 @@
 }
 
 func encodedSum(m *Manifest) string {
-	data, err := Encode(normal(m))
+	data, err := Encode(canonical(m))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/state/beechmanifest/holder.go
+++ b/internal/state/beechmanifest/holder.go
@@ -11,13 +11,13 @@
 	// Holder is the configuration that a process has in force. The generation
 	// only grows. All methods may be called at once.
 	Holder struct {
-		held atomic.Pointer[held]
+		active atomic.Pointer[active]
 
 		mu      sync.Mutex
 		changed chan struct{}
 	}
 
-	held struct {
+	active struct {
 		configuration *Configuration
 		data          []byte
 		sum           [sha256.Size]byte
@@ -31,7 +31,7 @@
 
 // Current gives the configuration in force, nil before the first.
 func (h *Holder) Current() *Configuration {
-	if v := h.held.Load(); v != nil {
+	if v := h.active.Load(); v != nil {
 		return v.configuration
 	}
 	return nil
@@ -48,7 +48,7 @@
 // Encoded gives the generation in force and its manifest as a peer's Offer
 // takes it; nil before the first.
 func (h *Holder) Encoded() (uint64, []byte) {
-	if v := h.held.Load(); v != nil {
+	if v := h.active.Load(); v != nil {
 		return v.configuration.Generation, v.data
 	}
 	return 0, nil
@@ -69,26 +69,26 @@
 // all that Publish accepts has, and is not to be changed afterwards.
 func (h *Holder) Offer(generation uint64, data []byte) (bool, error) {
 	sum := sha256.Sum256(data)
-	if now := h.held.Load(); now != nil && generation <= now.configuration.Generation {
-		return false, now.compare(generation, sum)
+	if now := h.active.Load(); now != nil && generation <= now.configuration.Generation {
+		return false, now.checkSameContent(generation, sum)
 	}
 	m, err := decode(data)
 	if err != nil {
 		return false, fmt.Errorf("offer of generation %d: %w", generation, err)
 	}
-	next := &held{configuration: Compile(m, generation), data: data, sum: sum}
+	next := &active{configuration: Compile(m, generation), data: data, sum: sum}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now := h.held.Load(); now != nil && generation <= now.configuration.Generation {
-		return false, now.compare(generation, sum)
+	if now := h.active.Load(); now != nil && generation <= now.configuration.Generation {
+		return false, now.checkSameContent(generation, sum)
 	}
-	h.held.Store(next)
+	h.active.Store(next)
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true, nil
 }
 
-func (v *held) compare(generation uint64, sum [sha256.Size]byte) error {
+func (v *active) checkSameContent(generation uint64, sum [sha256.Size]byte) error {
 	if generation == v.configuration.Generation && sum != v.sum {
 		return fmt.Errorf("offer of generation %d: its content differs from what is in force under this generation", generation)
 	}
--- a/internal/state/beechmanifest/holder_test.go
+++ b/internal/state/beechmanifest/holder_test.go
@@ -10,10 +10,10 @@
 // Old and new generations reach a process in any order, from the service and
 // from peers, some of them damaged. A process that went back would bill by
 // last week's limits.
-func TestHolderNeverGoesBack(t *testing.T) {
+func TestHolderGenerationNeverDecreases(t *testing.T) {
 	good := [][]byte{}
 	for i := range 4 {
-		data, err := Encode(normal(variant(i)))
+		data, err := Encode(canonical(variant(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestHolderIsEmptyAtFirst(t *testing.T) {
+func TestNewHolderIsEmpty(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder()
 	is.True(h.Current() == nil)
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkOffer(b *testing.B) {
-	data, err := Encode(normal(large(9300)))
+	data, err := Encode(canonical(manifestOfSize(9300)))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -79,8 +79,8 @@
 }
 
 func BenchmarkWorkspaceOf(b *testing.B) {
-	c := Compile(large(9300), 1)
+	c := Compile(manifestOfSize(9300), 1)
 	for b.Loop() {
-		c.WorkspaceOf("nobody's key")
+		c.WorkspaceByKey("nobody's key")
 	}
 }
--- a/internal/state/beechmanifest/load.go
+++ b/internal/state/beechmanifest/load.go
@@ -16,11 +16,11 @@
 // several tries, each going on where the last one ended.
 type loader struct {
 	store beechstore.Store
-	known map[string][]byte
+	parts map[string][]byte
 	clock clockwork.Clock
 }
 
-const loadTries = 4
+const maxLoadAttempts = 4
 
 // Load reads the published manifest. The error is ErrNone if there is none,
 // and beechstore.CorruptValue, beechstore.NewerFormat, MissingPart or Invalid
@@ -49,7 +49,7 @@
 		}
 		data, err := l.assemble(ctx, h)
 		var missing MissingPart
-		if err == nil || !errors.As(err, &missing) || try == loadTries {
+		if err == nil || !errors.As(err, &missing) || try == maxLoadAttempts {
 			return h.Generation, data, err
 		}
 		again, readErr := l.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
@@ -61,14 +61,14 @@
 }
 
 func (l *loader) assemble(ctx context.Context, h head) ([]byte, error) {
-	l.keepOnly(h.Parts)
+	l.retainParts(h.Parts)
 	parts := make([]part, 0, len(h.Parts))
 	for _, sum := range h.Parts {
-		data, err := l.part(ctx, h.Generation, sum)
+		data, err := l.loadPart(ctx, h.Generation, sum)
 		if err != nil {
 			return nil, err
 		}
-		l.known[sum] = data
+		l.parts[sum] = data
 		parts = append(parts, part{sum: sum, data: data})
 	}
 	m, err := join(parts)
@@ -85,21 +85,21 @@
 	return data, nil
 }
 
-func (l *loader) keepOnly(sums []string) {
+func (l *loader) retainParts(sums []string) {
 	kept := make(map[string][]byte, len(sums))
 	for _, sum := range sums {
-		if data, ok := l.known[sum]; ok {
+		if data, ok := l.parts[sum]; ok {
 			kept[sum] = data
 		}
 	}
-	l.known = kept
+	l.parts = kept
 }
 
-func (l *loader) part(ctx context.Context, generation uint64, sum string) ([]byte, error) {
-	if data, ok := l.known[sum]; ok {
+func (l *loader) loadPart(ctx context.Context, generation uint64, sum string) ([]byte, error) {
+	if data, ok := l.parts[sum]; ok {
 		return data, nil
 	}
-	v, err := l.patient(ctx, partKey(sum))
+	v, err := l.getWithinBudget(ctx, partKey(sum))
 	if err != nil {
 		return nil, fmt.Errorf("load a part of the manifest: %w", err)
 	}
@@ -112,11 +112,11 @@
 	return v.Data, nil
 }
 
-// patient waits for the budget of calls. A manifest of thousands of workspaces
+// getWithinBudget waits for the budget of calls. A manifest of thousands of workspaces
 // has more parts than a process may read at once; given up on and begun anew
 // each time it would never be read, and a process without a configuration would
 // stay so.
-func (l *loader) patient(ctx context.Context, key string) (beechstore.Value, error) {
+func (l *loader) getWithinBudget(ctx context.Context, key string) (beechstore.Value, error) {
 	for {
 		v, err := l.store.Get(ctx, key, beechstore.ImportanceConfiguration)
 		var over beechstore.OverBudget
--- a/internal/state/beechmanifest/number.go
+++ b/internal/state/beechmanifest/number.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// maxNumberText is longer than any number that a manifest needs.
-const maxNumberText = 20
+// maxNumberLength is longer than any number that a manifest needs.
+const maxNumberLength = 20
 
 // checkNumbers refuses numbers with an exponent or very many digits, before
 // the schema compares them exactly: 1e999999 would take the comparison
@@ -15,11 +15,11 @@
 func checkNumbers(field string, value any) []Problem {
 	switch v := value.(type) {
 	case json.Number:
-		if text := v.String(); len(text) > maxNumberText || strings.ContainsAny(text, "eE") {
+		if text := v.String(); len(text) > maxNumberLength || strings.ContainsAny(text, "eE") {
 			return []Problem{{
 				Field:   field,
-				Wrong:   "the number " + text[:min(len(text), maxNumberText)] + " is not in plain digits",
-				Allowed: fmt.Sprintf("a number of at most %d characters without an exponent", maxNumberText),
+				Wrong:   "the number " + text[:min(len(text), maxNumberLength)] + " is not in plain digits",
+				Allowed: fmt.Sprintf("a number of at most %d characters without an exponent", maxNumberLength),
 			}}
 		}
 	case []any:
--- a/internal/state/beechmanifest/parse.go
+++ b/internal/state/beechmanifest/parse.go
@@ -13,20 +13,20 @@
 // MaxBytes is the size of the largest manifest that Parse reads.
 const MaxBytes = 32 << 20
 
-var errTrailing = errors.New("something follows the manifest")
+var errTrailingData = errors.New("something follows the manifest")
 
 // Parse reads and checks a manifest. The error is Invalid, with every problem
 // found. Absent weights of workspaces become 1.
 func Parse(data []byte) (*Manifest, error) {
-	if problem, ok := checkText(data); !ok {
+	if problem, ok := checkEncoding(data); !ok {
 		return nil, Invalid{Problems: []Problem{problem}}
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
-		return nil, notJSON(err)
+		return nil, invalidJSON(err)
 	}
 	if problems := checkNumbers("", value); len(problems) > 0 {
-		return nil, Invalid{Problems: sorted(problems)}
+		return nil, Invalid{Problems: sortProblems(problems)}
 	}
 	if problems := checkSchema(value); len(problems) > 0 {
 		return nil, Invalid{Problems: problems}
@@ -42,15 +42,15 @@
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&m); err != nil {
-		return nil, badValue(err)
+		return nil, decodeError(err)
 	}
 	if d.More() {
-		return nil, notJSON(errTrailing)
+		return nil, invalidJSON(errTrailingData)
 	}
 	for i := range m.Workspaces {
 		m.Workspaces[i].Weight = max(1, m.Workspaces[i].Weight)
 	}
-	if problems := checkAcross(&m); len(problems) > 0 {
+	if problems := checkConsistency(&m); len(problems) > 0 {
 		return nil, Invalid{Problems: problems}
 	}
 	return &m, nil
@@ -60,11 +60,11 @@
 // empty ones.
 func Encode(m *Manifest) ([]byte, error) {
 	full := *m
-	fill(&full.Models)
-	fill(&full.Priorities)
-	fill(&full.Workspaces)
-	fill(&full.Pools)
-	fill(&full.Services)
+	emptyIfNil(&full.Models)
+	emptyIfNil(&full.Priorities)
+	emptyIfNil(&full.Workspaces)
+	emptyIfNil(&full.Pools)
+	emptyIfNil(&full.Services)
 	data, err := json.Marshal(full)
 	if err != nil {
 		return nil, fmt.Errorf("encode a manifest: %w", err)
@@ -72,13 +72,13 @@
 	return data, nil
 }
 
-func fill[T any](list *[]T) {
+func emptyIfNil[T any](list *[]T) {
 	if *list == nil {
 		*list = []T{}
 	}
 }
 
-func checkText(data []byte) (Problem, bool) {
+func checkEncoding(data []byte) (Problem, bool) {
 	if len(data) > MaxBytes {
 		return Problem{Field: "manifest", Wrong: fmt.Sprintf("has %d bytes", len(data)), Allowed: fmt.Sprintf("at most %d bytes", MaxBytes)}, false
 	}
@@ -88,16 +88,16 @@
 	return Problem{}, true
 }
 
-func notJSON(err error) error {
+func invalidJSON(err error) error {
 	return Invalid{Problems: []Problem{{Field: "manifest", Wrong: "cannot be read: " + err.Error(), Allowed: "one JSON object in UTF-8"}}}
 }
 
-// badValue covers numbers that are whole by the schema but not as Go reads
+// decodeError covers numbers that are whole by the schema but not as Go reads
 // them, such as 3.0.
-func badValue(err error) error {
+func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
 		return Invalid{Problems: []Problem{{Field: wrongType.Field, Wrong: "the " + wrongType.Value + " does not fit", Allowed: "a plain " + wrongType.Type.String()}}}
 	}
-	return notJSON(err)
+	return invalidJSON(err)
 }
--- a/internal/state/beechmanifest/parse_test.go
+++ b/internal/state/beechmanifest/parse_test.go
@@ -39,10 +39,10 @@
 	is.True(granite.Targets.WasteWeight > solis.Targets.WasteWeight)
 
 	once := Compile(granite, 1)
-	is.True(once.Once("billing", "POST", "/charges/7"))
-	is.True(once.Once("shipment", "POST", "/parcels"))
-	is.True(Compile(solis, 1).Once("booking", "POST", "/bookings"))
-	is.True(!once.Once("catalogue", "POST", "/anything"))
+	is.True(once.NonIdempotent("billing", "POST", "/charges/7"))
+	is.True(once.NonIdempotent("shipment", "POST", "/parcels"))
+	is.True(Compile(solis, 1).NonIdempotent("booking", "POST", "/bookings"))
+	is.True(!once.NonIdempotent("catalogue", "POST", "/anything"))
 }
 
 // An operator's pipeline generates a wrong field. Without the field's name and
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestParseRefusesWhatIsNoManifest(t *testing.T) {
+func TestParseRefusesInvalidInput(t *testing.T) {
 	good := example(t, "granite-loop")
 	cases := map[string][]byte{
 		"empty":         nil,
@@ -132,31 +132,31 @@
 	is.NoErr(err)
 	c := Compile(m, 7)
 	for _, w := range m.Workspaces {
-		got, ok := c.WorkspaceOf(w.Name + "-example-key")
+		got, ok := c.WorkspaceByKey(w.Name + "-example-key")
 		is.True(ok)
 		is.Equal(got.Name, w.Name)
 	}
 	for _, wrong := range []string{"", "board-example-key ", m.Workspaces[0].Keys[0]} {
-		_, ok := c.WorkspaceOf(wrong)
+		_, ok := c.WorkspaceByKey(wrong)
 		is.True(!ok)
 	}
-	is.Equal(c.Priority("batch"), 2)
-	is.Equal(c.Priority("nobody's"), 3)
+	is.Equal(c.PriorityRank("batch"), 2)
+	is.Equal(c.PriorityRank("nobody's"), 3)
 }
 
 // A caller writes the path of a charge in another way that the backend server
 // reads as the same path. If it were not seen as a charge, a retry would bill
 // a member twice.
-func TestOnceMatchesOtherSpellings(t *testing.T) {
+func TestNonIdempotentMatchesPathVariants(t *testing.T) {
 	is := is.New(t)
 	m, err := Parse(example(t, "granite-loop"))
 	is.NoErr(err)
 	c := Compile(m, 1)
 	for _, path := range []string{"/charges", "//charges", "/x/../charges", "/./charges/9", "charges", "/charges/", "/%63harges", "/CHARGES"} {
-		is.True(c.Once("billing", "post", path)) // each is a charge to some server
+		is.True(c.NonIdempotent("billing", "post", path)) // each is a charge to some server
 	}
-	is.True(!c.Once("billing", "GET", "/charges"))
-	is.True(!c.Once("nothing", "POST", "/charges"))
+	is.True(!c.NonIdempotent("billing", "GET", "/charges"))
+	is.True(!c.NonIdempotent("nothing", "POST", "/charges"))
 }
 
 func FuzzParse(f *testing.F) {
--- a/internal/state/beechmanifest/publish.go
+++ b/internal/state/beechmanifest/publish.go
@@ -55,11 +55,11 @@
 )
 
 const (
-	partTries   = 5
-	partsAtOnce = 8
+	maxPartAttempts    = 5
+	maxConcurrentParts = 8
 )
 
-var errReadable = errors.New("the published head can be read, so there is nothing to restore")
+var errHeadReadable = errors.New("the published head can be read, so there is nothing to restore")
 
 // Publish makes m the generation after base, 0 for the first. It ends by
 // ctx's deadline at the latest.
@@ -87,13 +87,13 @@
 	if err := p.writeParts(ctx); err != nil {
 		return Refused{Err: err}
 	}
-	stale, err := p.stale(ctx)
+	stale, err := p.findStale(ctx)
 	if err != nil {
 		return Refused{Err: err}
 	}
-	o := p.moveHead(ctx)
+	o := p.swapHead(ctx)
 	if _, ok := o.(Accepted); ok {
-		p.remove(ctx, stale)
+		p.deleteStale(ctx, stale)
 	}
 	return o
 }
@@ -123,7 +123,7 @@
 }
 
 func (p *publication) prepare(ctx context.Context, m *Manifest) error {
-	n := normal(m)
+	n := canonical(m)
 	data, err := Encode(n)
 	if err != nil {
 		return err
@@ -131,13 +131,13 @@
 	if _, err := Parse(data); err != nil {
 		return err
 	}
-	if p.parts, err = cut(n); err != nil {
+	if p.parts, err = split(n); err != nil {
 		return err
 	}
 	if p.old, err = p.readHead(ctx); err != nil {
 		return err
 	}
-	p.next = head{Generation: p.base + 1, Change: newChange()}
+	p.next = head{Generation: p.base + 1, Change: newChangeID()}
 	for _, x := range p.parts {
 		p.next.Parts = append(p.next.Parts, x.sum)
 	}
@@ -148,7 +148,7 @@
 	}
 	done := Change{Generation: p.next.Generation, ID: p.next.Change, At: p.clock.Now().UTC(), Sum: sumOf(data)}
 	p.next.History = append(slices.Clone(p.old.History), done)
-	if drop := len(p.next.History) - historyKept; drop > 0 {
+	if drop := len(p.next.History) - maxHistory; drop > 0 {
 		p.next.History = p.next.History[drop:]
 	}
 	return nil
@@ -156,7 +156,7 @@
 
 // readHead keeps the value for the swap; without a head the old one is zero.
 func (p *publication) readHead(ctx context.Context) (head, error) {
-	err := p.patient(ctx, func() (err error) {
+	err := p.retryOverBudget(ctx, func() (err error) {
 		p.value, err = p.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
 		return err
 	})
@@ -169,15 +169,15 @@
 	case p.restore && (errors.Is(err, ErrNone) || errors.As(err, &corrupt)):
 		return head{Generation: p.base}, nil
 	case p.restore && err == nil:
-		return head{}, errReadable
+		return head{}, errHeadReadable
 	case errors.Is(err, ErrNone):
 		return head{}, nil
 	}
 	return h, err
 }
 
-// patient waits for the budget of calls rather than give up half-way.
-func (p *publication) patient(ctx context.Context, call func() error) error {
+// retryOverBudget waits for the budget of calls rather than give up half-way.
+func (p *publication) retryOverBudget(ctx context.Context, call func() error) error {
 	for {
 		err := call()
 		var over beechstore.OverBudget
@@ -195,7 +195,7 @@
 // writeParts makes sure of each part, a few at a time.
 func (p *publication) writeParts(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(partsAtOnce)
+	g.SetLimit(maxConcurrentParts)
 	for _, x := range p.parts {
 		g.Go(func() error {
 			if err := p.ensurePart(ctx, x); err != nil {
@@ -217,7 +217,7 @@
 		return p.writePart(ctx, x)
 	}
 	var v beechstore.Value
-	err := p.patient(ctx, func() (err error) {
+	err := p.retryOverBudget(ctx, func() (err error) {
 		v, err = p.store.Get(ctx, partKey(x.sum), beechstore.ImportanceConfiguration)
 		return err
 	})
@@ -230,8 +230,8 @@
 func (p *publication) writePart(ctx context.Context, x part) error {
 	var version uint64
 	var err error
-	for range partTries {
-		err = p.patient(ctx, func() error {
+	for range maxPartAttempts {
+		err = p.retryOverBudget(ctx, func() error {
 			_, err := p.store.CompareAndSwap(ctx, partKey(x.sum), version, x.data, "", beechstore.ImportanceConfiguration)
 			return err
 		})
@@ -250,17 +250,17 @@
 	return err
 }
 
-// stale reads, before the head moves, the versions of the parts that the head
+// findStale reads, before the head moves, the versions of the parts that the head
 // before the last one named: those of the last one are kept for readers that
 // are under way.
-func (p *publication) stale(ctx context.Context) ([]staleKey, error) {
+func (p *publication) findStale(ctx context.Context) ([]staleKey, error) {
 	var keys []staleKey
 	for _, sum := range p.old.Retired {
 		if slices.Contains(p.next.Parts, sum) || slices.Contains(p.next.Retired, sum) {
 			continue
 		}
 		var v beechstore.Value
-		err := p.patient(ctx, func() (err error) {
+		err := p.retryOverBudget(ctx, func() (err error) {
 			v, err = p.store.Get(ctx, partKey(sum), beechstore.ImportanceConfiguration)
 			return err
 		})
@@ -274,10 +274,10 @@
 	return keys, nil
 }
 
-// remove deletes stale parts; one that stays only takes room.
-func (p *publication) remove(ctx context.Context, stale []staleKey) {
+// deleteStale deletes stale parts; one that stays only takes room.
+func (p *publication) deleteStale(ctx context.Context, stale []staleKey) {
 	for _, s := range stale {
-		_ = p.patient(ctx, func() error {
+		_ = p.retryOverBudget(ctx, func() error {
 			return p.store.Delete(ctx, s.key, s.version, beechstore.ImportanceRest)
 		})
 	}
--- a/internal/state/beechmanifest/publish_test.go
+++ b/internal/state/beechmanifest/publish_test.go
@@ -16,8 +16,8 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// large is a manifest with n workspaces.
-func large(n int) *Manifest {
+// manifestOfSize is a manifest with n workspaces.
+func manifestOfSize(n int) *Manifest {
 	m := variant(0)
 	m.Workspaces = nil
 	for i := range n {
@@ -29,7 +29,7 @@
 	return m
 }
 
-func published(t *testing.T, store beechstore.Store, base uint64, m *Manifest) {
+func mustPublish(t *testing.T, store beechstore.Store, base uint64, m *Manifest) {
 	t.Helper()
 	o := Publish(context.Background(), store, clockwork.NewRealClock(), base, m)
 	if o != (Accepted{Generation: base + 1}) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// spoil overwrites a key as a damaged service would.
-func spoil(t *testing.T, store beechstore.Store, key string, change func([]byte) []byte) {
+// corruptValue overwrites a key as a damaged service would.
+func corruptValue(t *testing.T, store beechstore.Store, key string, change func([]byte) []byte) {
 	t.Helper()
 	ctx := context.Background()
 	v, err := store.Get(ctx, key, 0)
@@ -58,15 +58,15 @@
 func TestPublishOneWorkspaceWritesOnePart(t *testing.T) {
 	is := is.New(t)
 	store := beechstore.NewFake(clockwork.NewRealClock())
-	m := large(9300)
-	published(t, store, 0, m)
+	m := manifestOfSize(9300)
+	mustPublish(t, store, 0, m)
 	before := store.Counts()
 	m.Workspaces[17].MaxConcurrent++
-	published(t, store, 1, m)
+	mustPublish(t, store, 1, m)
 	after := store.Counts()
 	is.Equal(after.Writes-before.Writes, 2) // one part and the head
 	m.Workspaces[17].MaxConcurrent++
-	published(t, store, 2, m)
+	mustPublish(t, store, 2, m)
 	is.Equal(store.Counts().Writes-after.Writes, 3) // and a stale part deleted
 	g, back, err := Load(context.Background(), store)
 	is.NoErr(err)
@@ -81,7 +81,7 @@
 // written it, while processes run. They would serve by half a configuration,
 // or stop; instead each says what is wrong and serves by what it has, and
 // follows again once the value is mended.
-func TestBadValuesLeaveWhatIsInForce(t *testing.T) {
+func TestInvalidStoredValuesKeepActiveConfiguration(t *testing.T) {
 	part := func(store beechstore.Store, i int) string {
 		v, _ := store.Get(context.Background(), HeadKey, 0)
 		h, _ := decodeHead(v)
@@ -108,7 +108,7 @@
 				is := is.New(t)
 				clock := clockwork.NewRealClock()
 				store, holder := beechstore.NewFake(clock), NewHolder()
-				published(t, store, 0, variant(0))
+				mustPublish(t, store, 0, variant(0))
 				var reports []error
 				w := NewWatcher(store, holder, clock, WatcherSettings{Report: func(err error) { reports = append(reports, err) }})
 				ctx, cancel := context.WithCancel(t.Context())
@@ -119,12 +119,12 @@
 				store.SetFaults(beechstore.Faults{Down: true})
 				synctest.Wait()
 				store.SetFaults(beechstore.Faults{})
-				published(t, store, 1, variant(3))
+				mustPublish(t, store, 1, variant(3))
 				key := HeadKey
 				if c.key != nil {
 					key = c.key(store)
 				}
-				spoil(t, store, key, c.change)
+				corruptValue(t, store, key, c.change)
 				time.Sleep(time.Minute)
 				is.Equal(holder.Generation(), uint64(1))
 				is.True(w.Err() != nil)
@@ -133,7 +133,7 @@
 				time.Sleep(time.Minute)
 				is.True(store.Counts().Reads-reads < 300) // paces itself while the value is bad
 
-				mend(t, store, c.key == nil)
+				repairHead(t, store, c.key == nil)
 				time.Sleep(5 * time.Second)
 				is.Equal(holder.Generation(), uint64(3))
 				is.NoErr(w.Err())
@@ -143,12 +143,12 @@
 	}
 }
 
-// mend is what the operators do: publish again if the head can be read,
+// repairHead is what the operators do: publish again if the head can be read,
 // restore it if not.
-func mend(t *testing.T, store beechstore.Store, headIsBad bool) {
+func repairHead(t *testing.T, store beechstore.Store, headIsBad bool) {
 	t.Helper()
 	if !headIsBad {
-		published(t, store, 2, variant(1))
+		mustPublish(t, store, 2, variant(1))
 		return
 	}
 	o := Publish(t.Context(), store, clockwork.NewRealClock(), 2, variant(1))
@@ -175,13 +175,13 @@
 // The reply to an operator's change is lost and the service stays down. A
 // pipeline that is told no would ship the change again, one that is told yes
 // would go on to the next; neither is known.
-func TestPublishTellsUnknownWhenItCannotSettle(t *testing.T) {
+func TestPublishReturnsUnknownIfOutcomeUnresolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock()
 		store := beechstore.NewFake(clock)
-		published(t, store, 0, variant(0))
-		lossy := &cutAfterHead{Fake: store}
+		mustPublish(t, store, 0, variant(0))
+		lossy := &lostHeadReply{Fake: store}
 		o := Publish(t.Context(), lossy, clock, 1, variant(0))
 		_, ok := o.(Unknown)
 		is.True(ok)
@@ -192,10 +192,10 @@
 	})
 }
 
-// cutAfterHead goes down with the first write of the head.
-type cutAfterHead struct{ *beechstore.Fake }
+// lostHeadReply goes down with the first write of the head.
+type lostHeadReply struct{ *beechstore.Fake }
 
-func (c *cutAfterHead) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, i beechstore.Importance) (beechstore.Value, error) {
+func (c *lostHeadReply) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, i beechstore.Importance) (beechstore.Value, error) {
 	if key == HeadKey {
 		c.SetFaults(beechstore.Faults{LoseReplies: 1})
 		defer c.SetFaults(beechstore.Faults{Down: true})
@@ -205,11 +205,11 @@
 
 // The manifest of a pipeline gone wrong is larger than the service takes, or
 // its one workspace is. It is refused before anything is written.
-func TestPublishRefusesWhatIsOverLimits(t *testing.T) {
+func TestPublishRefusesOversizedPart(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
 	store := beechstore.NewFake(clock)
-	published(t, store, 0, variant(0))
+	mustPublish(t, store, 0, variant(0))
 	writes := store.Counts().Writes
 	m := variant(0)
 	for i := range 1000 {
@@ -227,12 +227,12 @@
 
 // The service is down for an hour while a process runs. The process serves by
 // what it has and takes the change that was made meanwhile within seconds.
-func TestWatcherOutlivesOutage(t *testing.T) {
+func TestWatcherRecoversAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock()
 		store, holder := beechstore.NewFake(clock), NewHolder()
-		published(t, store, 0, variant(0))
+		mustPublish(t, store, 0, variant(0))
 		ctx, cancel := context.WithCancel(t.Context())
 		w := NewWatcher(store, holder, clock, WatcherSettings{})
 		go func() { _ = w.Serve(ctx) }()
@@ -244,7 +244,7 @@
 		is.True(w.Err() != nil)
 		is.True(store.Counts().Reads-reads < 2*3600) // no storm of tries
 		store.SetFaults(beechstore.Faults{})
-		published(t, store, 1, variant(1))
+		mustPublish(t, store, 1, variant(1))
 		time.Sleep(5 * time.Second)
 		is.Equal(holder.Generation(), uint64(2))
 		is.NoErr(w.Err())
@@ -260,7 +260,7 @@
 		is := is.New(t)
 		clock := clockwork.NewRealClock()
 		store, holder := beechstore.NewFake(clock), NewHolder()
-		published(t, store, 0, large(9300))
+		mustPublish(t, store, 0, manifestOfSize(9300))
 		ctx, cancel := context.WithCancel(t.Context())
 		w := NewWatcher(&budgeted{Fake: store}, holder, clock, WatcherSettings{})
 		go func() { _ = w.Serve(ctx) }()
--- a/internal/state/beechmanifest/schema.go
+++ b/internal/state/beechmanifest/schema.go
@@ -29,8 +29,8 @@
 	//go:embed manifest.schema.json
 	schemaText []byte
 
-	loadSchema = sync.OnceValues(compileSchema)
-	printer    = message.NewPrinter(language.English)
+	loadSchema     = sync.OnceValues(compileSchema)
+	englishPrinter = message.NewPrinter(language.English)
 )
 
 func compileSchema() (*jsonschema.Schema, any) {
@@ -57,48 +57,48 @@
 		return []Problem{{Field: "manifest", Wrong: err.Error(), Allowed: "a manifest as manifest.schema.json describes it"}}
 	}
 	var problems []Problem
-	for _, leaf := range leaves(invalid) {
-		problems = append(problems, problemsOf(leaf, value, document)...)
+	for _, leaf := range leafErrors(invalid) {
+		problems = append(problems, problemsFrom(leaf, value, document)...)
 	}
-	return sorted(problems)
+	return sortProblems(problems)
 }
 
-func sorted(problems []Problem) []Problem {
+func sortProblems(problems []Problem) []Problem {
 	slices.SortFunc(problems, func(a, b Problem) int { return strings.Compare(a.Field, b.Field) })
 	return slices.Compact(problems)
 }
 
-func leaves(e *jsonschema.ValidationError) []*jsonschema.ValidationError {
+func leafErrors(e *jsonschema.ValidationError) []*jsonschema.ValidationError {
 	if len(e.Causes) == 0 {
 		return []*jsonschema.ValidationError{e}
 	}
 	var all []*jsonschema.ValidationError
 	for _, c := range e.Causes {
-		all = append(all, leaves(c)...)
+		all = append(all, leafErrors(c)...)
 	}
 	return all
 }
 
-func problemsOf(e *jsonschema.ValidationError, value, document any) []Problem {
+func problemsFrom(e *jsonschema.ValidationError, value, document any) []Problem {
 	node := findNode(document, e.SchemaURL)
 	field := strings.Join(e.InstanceLocation, "/")
 	switch k := e.ErrorKind.(type) {
 	case *kind.AdditionalProperties:
-		return eachField(field, k.Properties, "is not a known field", "one of "+strings.Join(node.properties, ", "))
+		return problemPerField(field, k.Properties, "is not a known field", "one of "+strings.Join(node.properties, ", "))
 	case *kind.Required:
-		return eachField(field, k.Missing, "is missing", "a value for each of the required fields")
+		return problemPerField(field, k.Missing, "is missing", "a value for each of the required fields")
 	}
 	if field == "" {
 		field = "manifest"
 	}
-	wrong := shown(e.InstanceLocation, value)
+	wrong := describeValue(e.InstanceLocation, value)
 	if _, ok := e.ErrorKind.(*kind.Pattern); !ok {
-		wrong += ": " + e.ErrorKind.LocalizedString(printer)
+		wrong += ": " + e.ErrorKind.LocalizedString(englishPrinter)
 	}
 	return []Problem{{Field: field, Wrong: wrong, Allowed: node.description}}
 }
 
-func eachField(parent string, names []string, wrong, allowed string) []Problem {
+func problemPerField(parent string, names []string, wrong, allowed string) []Problem {
 	problems := make([]Problem, 0, len(names))
 	for _, n := range names {
 		problems = append(problems, Problem{Field: joinField(parent, n), Wrong: wrong, Allowed: allowed})
@@ -106,13 +106,13 @@
 	return problems
 }
 
-// shown gives the wrong value, shortened. What stands among the key sums is
-// not shown: an operator may have put a bearer key there by mistake, and the
+// describeValue gives the wrong value, shortened. What stands among the key sums is
+// not describeValue: an operator may have put a bearer key there by mistake, and the
 // error goes to logs.
-func shown(location []string, value any) string {
+func describeValue(location []string, value any) string {
 	secret := slices.Contains(location, "keys")
 	for _, step := range location {
-		value = child(value, step)
+		value = childNode(value, step)
 	}
 	switch v := value.(type) {
 	case string:
@@ -136,7 +136,7 @@
 	return fmt.Sprint(value)
 }
 
-func child(value any, step string) any {
+func childNode(value any, step string) any {
 	switch v := value.(type) {
 	case map[string]any:
 		return v[step]
@@ -157,7 +157,7 @@
 			continue
 		}
 		step = strings.NewReplacer("~1", "/", "~0", "~", "%24", "$").Replace(step)
-		document = child(document, step)
+		document = childNode(document, step)
 	}
 	object, _ := document.(map[string]any)
 	description, _ := object["description"].(string)
--- a/internal/state/beechmanifest/settle.go
+++ b/internal/state/beechmanifest/swap.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	settleTries = 8
-	settlePause = 50 * time.Millisecond
+	maxSwapAttempts = 8
+	swapRetryPause  = 50 * time.Millisecond
 )
 
-var errStillUnsettled = errors.New("the head was still unsettled after the last try")
+var errOutcomeUnresolved = errors.New("the head was still unsettled after the last try")
 
-// moveHead swaps the head and settles what becomes of it. Sending the same
+// swapHead swaps the head and settles what becomes of it. Sending the same
 // swap again after a lost reply is harmless: it has the same version and
 // content, so at most one of them takes effect. Once a reply was lost a
 // refusal is no longer an answer, since the lost one may still arrive.
-func (p *publication) moveHead(ctx context.Context) Outcome {
-	data, err := beechstore.Seal(format, p.next)
+func (p *publication) swapHead(ctx context.Context) Outcome {
+	data, err := beechstore.Seal(headFormat, p.next)
 	if err != nil {
 		return Refused{Err: err}
 	}
 	lost := false
-	for range settleTries {
-		err = p.patient(ctx, func() error {
+	for range maxSwapAttempts {
+		err = p.retryOverBudget(ctx, func() error {
 			_, err := p.store.CompareAndSwap(ctx, HeadKey, p.value.Version, data, "", beechstore.ImportanceConfiguration)
 			return err
 		})
@@ -40,7 +40,7 @@
 		case !errors.As(err, &conflict) && !lost:
 			return Refused{Err: err}
 		}
-		if o, ok := p.settle(ctx); ok {
+		if o, ok := p.resolveOutcome(ctx); ok {
 			return o
 		}
 		if !p.pause(ctx) {
@@ -49,14 +49,14 @@
 	}
 	if !lost {
 		// Only conflicts whose winner could not be read: nothing was written.
-		return Refused{Err: errors.Join(err, errStillUnsettled)}
+		return Refused{Err: errors.Join(err, errOutcomeUnresolved)}
 	}
-	return Unknown{Change: p.next.Change, Err: errors.Join(err, errStillUnsettled)}
+	return Unknown{Change: p.next.Change, Err: errors.Join(err, errOutcomeUnresolved)}
 }
 
-// settle reads the head back. It is sure if the head has moved: then this
+// resolveOutcome reads the head back. It is sure if the head has moved: then this
 // change either is in the history at its generation or never will be.
-func (p *publication) settle(ctx context.Context) (Outcome, bool) {
+func (p *publication) resolveOutcome(ctx context.Context) (Outcome, bool) {
 	v, err := p.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
 	if err != nil || v.Version == p.value.Version {
 		return nil, false
@@ -81,7 +81,7 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-p.clock.After(settlePause):
+	case <-p.clock.After(swapRetryPause):
 		return true
 	}
 }
--- a/internal/state/beechmanifest/watcher.go
+++ b/internal/state/beechmanifest/watcher.go
@@ -31,12 +31,12 @@
 	// Watcher follows the published head and offers each new generation to a
 	// holder. It is a suture service.
 	Watcher struct {
-		store    beechstore.Store
-		holder   *Holder
-		clock    clockwork.Clock
-		settings WatcherSettings
-		loader   *loader
-		version  uint64 // of the head last dealt with
+		store       beechstore.Store
+		holder      *Holder
+		clock       clockwork.Clock
+		settings    WatcherSettings
+		loader      *loader
+		headVersion uint64 // of the head last dealt with
 
 		mu  sync.Mutex
 		err error
@@ -44,7 +44,7 @@
 )
 
 const (
-	firstPause      = 50 * time.Millisecond
+	minRetryPause   = 50 * time.Millisecond
 	defaultRecheck  = time.Second
 	defaultMaxPause = 2 * time.Second
 )
@@ -60,10 +60,10 @@
 	return &Watcher{store: store, holder: holder, clock: clock, settings: settings, loader: &loader{store: store, clock: clock}}
 }
 
-// Watches tells whether self is one of the n watchers among the live
+// IsWatcher tells whether self is one of the n watchers among the live
 // processes of its zone: the same at all that know the same live ones, so a
 // few of them watch and the others get the generation from their links.
-func Watches(self netip.AddrPort, live []netip.AddrPort, n int) bool {
+func IsWatcher(self netip.AddrPort, live []netip.AddrPort, n int) bool {
 	return slices.Contains(beechmember.Rank(HeadKey, live, n), self)
 }
 
@@ -71,14 +71,14 @@
 // growing pause; what is in force stays meanwhile.
 func (w *Watcher) Serve(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
+	pause.InitialInterval = minRetryPause
 	pause.MaxInterval = w.settings.MaxPause
 	for ctx.Err() == nil {
 		if w.settings.Watching != nil && !w.settings.Watching() {
 			w.wait(ctx, w.settings.Recheck)
 			continue
 		}
-		err := w.step(ctx)
+		err := w.followOnce(ctx)
 		if ctx.Err() != nil {
 			break
 		}
@@ -99,13 +99,13 @@
 	return w.err
 }
 
-// step waits for a head that differs from the last one and offers it.
-func (w *Watcher) step(ctx context.Context) error {
-	v, err := w.store.Watch(ctx, HeadKey, w.version, beechstore.ImportanceConfiguration)
+// followOnce waits for a head that differs from the last one and offers it.
+func (w *Watcher) followOnce(ctx context.Context) error {
+	v, err := w.store.Watch(ctx, HeadKey, w.headVersion, beechstore.ImportanceConfiguration)
 	if err != nil {
 		return err
 	}
-	if v.Version == w.version {
+	if v.Version == w.headVersion {
 		return nil // the wait ended without news
 	}
 	generation, data, err := w.loader.load(ctx, v)
@@ -120,7 +120,7 @@
 			return err
 		}
 	}
-	w.version = v.Version
+	w.headVersion = v.Version
 	return nil
 }
 
