--- a/internal/process/beechagent/models.go
+++ b/internal/process/beechagent/models.go
@@ -167,7 +167,7 @@
 			a.readReport(ctx)
 			return nil
 		}
-		if slot.Left() < slotMargin {
+		if slot.Remaining() < slotMargin {
 			if err := slot.Renew(ctx); err != nil {
 				return err
 			}
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -34,7 +34,7 @@
 	"github.com/beechring/beechring/internal/request/beechplace"
 	"github.com/beechring/beechring/internal/request/beechrollout"
 	"github.com/beechring/beechring/internal/state/beechmirror"
-	"github.com/beechring/beechring/internal/state/beechvouch"
+	"github.com/beechring/beechring/internal/state/beechreader"
 )
 
 type (
@@ -76,7 +76,7 @@
 		otherZones     *roster                  // gates of the other zones
 		core           *beechattempt.Dispatcher
 		socket         *beechbeat.Socket
-		peers          *beechvouch.Circle // gates of this zone, which share their reads of the store
+		peers          *beechreader.Group // gates of this zone, which share their reads of the store
 		operatorMirror *beechmirror.Mirror
 		serverMirror   *beechmirror.Mirror
 		supervisor     *suture.Supervisor
@@ -143,7 +143,7 @@
 	}
 	g := &Gate{
 		settings: s, deps: deps, log: deps.Log, clock: deps.Clock, socket: socket,
-		peers:       beechvouch.New(socket.Address()),
+		peers:       beechreader.New(socket.Address()),
 		freshness:   beechfresh.New(deps.Age),
 		health:      beechhealth.New(healthSettings, deps.Clock),
 		suspects:    beechsuspect.New(beechsuspect.Settings{}, deps.Clock),
@@ -166,10 +166,10 @@
 	}, deps.Clock, g.health, g.limits, g.overloaded, g.announcePrompt)
 	g.core = beechattempt.New(g.placer, deps.Backend, deps.Pool, g.budgets, g.suspects, g, deps.Clock, deps.Log)
 	g.serverMirror = beechmirror.New(beechmirror.Settings{
-		Prefix: deps.ServerPrefix, Interval: serverReadAges.First, Patience: readTimeout, Wait: serverWatchTimeout, Space: serverWatchPause, Linger: removalDelay, Forward: g.forwardChanges,
+		Prefix: deps.ServerPrefix, MaxAge: serverReadAges.First, ReadTimeout: readTimeout, WatchTimeout: serverWatchTimeout, WatchPause: serverWatchPause, RemovalDelay: removalDelay, Forward: g.forwardChanges,
 	}, deps.Source, beechfresh.New(deps.Age), deps.Clock, deps.Log, g.setServers)
 	g.operatorMirror = beechmirror.New(beechmirror.Settings{
-		Prefix: deps.OperatorPrefix, Interval: operatorReadAges.First, Patience: readTimeout, Wait: operatorWatchTimeout, Space: operatorWatchPause, Lost: g.serverMirror.Ask, Forward: g.forwardChanges,
+		Prefix: deps.OperatorPrefix, MaxAge: operatorReadAges.First, ReadTimeout: readTimeout, WatchTimeout: operatorWatchTimeout, WatchPause: operatorWatchPause, OnStoreLost: g.serverMirror.ReadNow, Forward: g.forwardChanges,
 	}, deps.Source, g.freshness, deps.Clock, deps.Log, g.setOperators)
 	g.supervisor = suture.New("gate", suture.Spec{EventHook: beechlog.SupervisorHook(deps.Log)})
 	for _, task := range []beechtask.Task{
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -138,7 +138,7 @@
 
 func (g *Gate) receiveRelayed(from netip.AddrPort, p beechbeat.Passed) {
 	host, err := netip.ParseAddr(p.Host)
-	if err != nil || !g.peers.Knows(from) {
+	if err != nil || !g.peers.HasPeer(from) {
 		return
 	}
 	g.receiveState(host, &p.Tell)
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -14,7 +14,7 @@
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/state/beechmirror"
-	"github.com/beechring/beechring/internal/state/beechvouch"
+	"github.com/beechring/beechring/internal/state/beechreader"
 )
 
 // inquiryInterval is the interval of inquiries to the gates that read the store for this zone.
@@ -38,10 +38,10 @@
 	// connections, and up to 2.6 s it answers 401 and 404, so the last gate must have read
 	// before. The second gate reads after the first has missed two inquiries, the others after
 	// both have. Under a shorter bound the ages shrink in proportion.
-	operatorReadAges = beechvouch.Schedule{First: 1300 * time.Millisecond, Second: 2 * time.Second, Others: 2400 * time.Millisecond}
+	operatorReadAges = beechreader.Schedule{First: 1300 * time.Millisecond, Second: 2 * time.Second, Others: 2400 * time.Millisecond}
 	// serverReadAges are the corresponding ages for servers' entries. Keepers report most
 	// changes sooner; these reads compensate for a watch that has stopped delivering.
-	serverReadAges = beechvouch.Schedule{First: 4 * time.Second, Second: 4800 * time.Millisecond, Others: 5200 * time.Millisecond}
+	serverReadAges = beechreader.Schedule{First: 4 * time.Second, Second: 4800 * time.Millisecond, Others: 5200 * time.Millisecond}
 )
 
 // inquirePeers asks the gates that read the store for this zone how old their mirrors are. If
@@ -52,13 +52,13 @@
 		now := g.clock.Now()
 		rank := g.peers.Rank(now)
 		revoke := time.Duration(g.bounds.Load().Revoke)
-		g.operatorMirror.SetInterval(operatorReadAges.Scaled(min(float64(revoke)/float64(nominalRevoke), 1)).Of(rank), rank == 0)
-		g.serverMirror.SetInterval(serverReadAges.Of(rank), rank == 0)
+		g.operatorMirror.SetMaxAge(operatorReadAges.Scaled(min(float64(revoke)/float64(nominalRevoke), 1)).ForRank(rank), rank == 0)
+		g.serverMirror.SetMaxAge(serverReadAges.ForRank(rank), rank == 0)
 		readers := g.peers.Readers(now)
 		if len(readers) == 0 || g.Draining() {
 			return
 		}
-		inquiry := g.peers.Ask(g.deps.Age.Now())
+		inquiry := g.peers.StartInquiry(g.deps.Age.Now())
 		g.sendToPeers(readers, beechbeat.Inquiry{Inquiry: &beechwire.Inquiry{Number: inquiry}})
 	})
 }
@@ -78,7 +78,7 @@
 	}
 	now := g.clock.Now()
 	first := len(g.peers.Peers(now)) == 0
-	g.peers.Named(peers, now)
+	g.peers.UpdatePeers(peers, now)
 	if first {
 		g.gatesDiscovered("zone", len(g.peers.Peers(now)))
 	}
@@ -104,11 +104,11 @@
 // mirrorCopy returns the state of a mirror. Its age is rounded up, so that peers never take it
 // for younger than it is.
 func mirrorCopy(m *beechmirror.Mirror) beechwire.Copy {
-	status, age, known := m.Vouch()
+	status, age, known := m.Status()
 	if !known {
 		return beechwire.Copy{Age: -1}
 	}
-	return beechwire.Copy{Digest: status.Digest, Age: (age + time.Millisecond - 1).Milliseconds(), Watched: status.Following}
+	return beechwire.Copy{Digest: status.Digest, Age: (age + time.Millisecond - 1).Milliseconds(), Watched: status.Watching}
 }
 
 func (g *Gate) receiveVouch(vouch beechbeat.Vouch) {
@@ -120,8 +120,8 @@
 	if c.Age < 0 {
 		return
 	}
-	confirmed, proof := g.peers.Answered(number, time.Duration(c.Age)*time.Millisecond)
-	same := m.Vouched(beechmirror.Word{Digest: c.Digest, Following: c.Watched, Proof: proof, Asked: confirmed})
+	confirmed, proof := g.peers.ConfirmedAt(number, time.Duration(c.Age)*time.Millisecond)
+	same := m.ApplyPeerStatus(beechmirror.CopyStatus{Digest: c.Digest, Watching: c.Watched, Confirmed: proof, ConfirmedAt: confirmed})
 	switch {
 	case !same:
 		g.metrics.vouches.Add("another copy", 1)
@@ -170,7 +170,7 @@
 }
 
 func (g *Gate) receiveEntries(from netip.AddrPort, e beechbeat.Entries) {
-	if !g.peers.Knows(from) {
+	if !g.peers.HasPeer(from) {
 		return
 	}
 	page := beechmirror.Page{Revision: e.Revision}
@@ -181,8 +181,8 @@
 	}
 	changes := beechmirror.Changes{After: e.After, Page: page}
 	if len(e.List) > 0 && strings.HasPrefix(e.List[0].Key, g.deps.OperatorPrefix) {
-		g.operatorMirror.Told(changes)
+		g.operatorMirror.ApplyPeerChanges(changes)
 		return
 	}
-	g.serverMirror.Told(changes)
+	g.serverMirror.ApplyPeerChanges(changes)
 }
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -100,7 +100,7 @@
 // isKnownGate reports whether the sender is a gate listed by keepers. Messages of others are
 // counted.
 func (g *Gate) isKnownGate(from netip.AddrPort) bool {
-	if g.peers.Knows(from) || g.otherZones.contains(from) {
+	if g.peers.HasPeer(from) || g.otherZones.contains(from) {
 		return true
 	}
 	g.metrics.unknownSenders.Add(1)
--- a/internal/state/beechfence/errors.go
+++ b/internal/state/beechfence/errors.go
@@ -7,16 +7,16 @@
 )
 
 type (
-	// Held says that another agent holds the server's lease. Nothing was
+	// LeaseHeld says that another agent holds the server's lease. Nothing was
 	// ordered.
-	Held struct {
+	LeaseHeld struct {
 		Server netip.AddrPort
 		After  time.Duration // the longest that a dead holder's lease lasts
 	}
 
-	// Lapsed says that the lease ended, or came too near its end, before the
+	// LeaseExpired says that the lease ended, or came too near its end, before the
 	// order was sent. Nothing was ordered.
-	Lapsed struct {
+	LeaseExpired struct {
 		Server netip.AddrPort
 		Number uint64
 	}
@@ -39,12 +39,12 @@
 )
 
 // Error gives the server and the wait.
-func (e Held) Error() string {
+func (e LeaseHeld) Error() string {
 	return fmt.Sprintf("order to %s: another agent holds its lease, for at most %s", e.Server, e.After)
 }
 
 // Error gives the server and the number.
-func (e Lapsed) Error() string {
+func (e LeaseExpired) Error() string {
 	return fmt.Sprintf("order to %s: the lease with fencing number %d has lapsed, nothing was sent", e.Server, e.Number)
 }
 
--- a/internal/state/beechfence/fence_test.go
+++ b/internal/state/beechfence/fence_test.go
@@ -150,7 +150,7 @@
 		var numbers []uint64
 		order := func(_ context.Context, n uint64) error { numbers = append(numbers, n); return nil }
 		is.NoErr(first.Order(t.Context(), order))
-		var held Held
+		var held LeaseHeld
 		is.True(errors.As(second.Order(t.Context(), order), &held))
 		is.NoErr(first.Close(t.Context()))
 		is.NoErr(second.Order(t.Context(), order))
@@ -236,7 +236,7 @@
 			for range 4 {
 				time.Sleep(upTo(r, 2*time.Second))
 				slot, err := slots.Acquire(t.Context(), 3)
-				if err != nil || slot.Left() < 2*time.Second {
+				if err != nil || slot.Remaining() < 2*time.Second {
 					continue
 				}
 				mu.Lock()
--- a/internal/state/beechfence/guard.go
+++ b/internal/state/beechfence/guard.go
@@ -36,9 +36,9 @@
 
 	// term is a time of holding the server's lease under one number.
 	term struct {
-		lease  beechstore.Lease
-		asked  time.Time
-		number uint64 // 0: none is held
+		lease       beechstore.Lease
+		requestedAt time.Time
+		number      uint64 // 0: none is held
 	}
 
 	// fenceRecord is the value under a server's fence key, which is never
@@ -50,16 +50,16 @@
 )
 
 const (
-	format        = 1
-	defaultTTL    = 10 * time.Second
-	defaultMargin = 2 * time.Second
-	idBytes       = 12
-	numberTries   = 8
+	recordFormat      = 1
+	defaultTTL        = 10 * time.Second
+	defaultMargin     = 2 * time.Second
+	idBytes           = 12
+	maxNumberAttempts = 8
 )
 
 var (
-	errContended = errors.New("the fencing number changed at each try to take it")
-	errMoved     = errors.New("another agent has taken a number since")
+	errNumberContended = errors.New("the fencing number changed at each try to take it")
+	errNumberTaken     = errors.New("another agent has taken a number since")
 )
 
 // New makes a guard that holds nothing yet.
@@ -84,18 +84,18 @@
 func (g *Guard) Order(ctx context.Context, send func(ctx context.Context, fence uint64) error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err := g.hold(ctx); err != nil {
+	if err := g.ensureTerm(ctx); err != nil {
 		return err
 	}
 	t := g.term
-	left := g.left(t)
+	left := g.remaining(t)
 	if left <= 0 {
-		return g.lapsed()
+		return g.expireTerm()
 	}
 	sendCtx, cancel := clockwork.WithTimeout(ctx, g.clock, left)
 	defer cancel()
 	err := send(sendCtx, t.number)
-	if g.left(t) <= 0 || !g.stillHighest(ctx, t) {
+	if g.remaining(t) <= 0 || !g.isHighest(ctx, t) {
 		g.term = term{}
 		return Superseded{Server: g.server, Number: t.number, Err: err}
 	}
@@ -109,7 +109,7 @@
 	if g.term.number == 0 {
 		return nil
 	}
-	mark := g.mark(g.term.lease)
+	mark := g.holderValue(g.term.lease)
 	g.term = term{}
 	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceRest)
 	if err != nil || string(v.Data) != mark {
@@ -118,46 +118,46 @@
 	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceRest)
 }
 
-// left is the time for an order under this term, by whichever clock has
+// remaining is the time for an order under this term, by whichever clock has
 // moved more.
-func (g *Guard) left(t term) time.Duration {
+func (g *Guard) remaining(t term) time.Duration {
 	now := g.clock.Now()
-	passed := max(now.Sub(t.asked), now.Round(0).Sub(t.asked.Round(0)))
+	passed := max(now.Sub(t.requestedAt), now.Round(0).Sub(t.requestedAt.Round(0)))
 	return t.lease.TTL - g.settings.Margin - passed
 }
 
-// hold makes sure that the term has time and its number is the highest. If
+// ensureTerm makes sure that the term has time and its number is the highest. If
 // another agent has held the server since, the order was decided on what was
 // true before that, so it is not given under a new number: Lapsed sends the
 // caller back to look at what the server holds now.
-func (g *Guard) hold(ctx context.Context) error {
+func (g *Guard) ensureTerm(ctx context.Context) error {
 	if g.term.number == 0 {
-		return g.take(ctx, 0)
+		return g.acquireTerm(ctx, 0)
 	}
-	r, _, err := g.read(ctx)
+	r, _, err := g.readNumber(ctx)
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", g.server, err)
 	}
 	if r.Number != g.term.number || r.Holder != g.id {
-		return g.lapsed()
+		return g.expireTerm()
 	}
 	g.renew(ctx)
-	if g.left(g.term) > 0 {
+	if g.remaining(g.term) > 0 {
 		return nil
 	}
-	return g.take(ctx, g.term.number)
+	return g.acquireTerm(ctx, g.term.number)
 }
 
-func (g *Guard) lapsed() error {
+func (g *Guard) expireTerm() error {
 	number := g.term.number
 	g.term = term{}
-	return Lapsed{Server: g.server, Number: number}
+	return LeaseExpired{Server: g.server, Number: number}
 }
 
 // renew asks for more time once half is gone. A failure leaves the term as it
 // is: its time simply runs out.
 func (g *Guard) renew(ctx context.Context) {
-	if left := g.left(g.term); left <= 0 || left > g.term.lease.TTL/2 {
+	if left := g.remaining(g.term); left <= 0 || left > g.term.lease.TTL/2 {
 		return
 	}
 	asked := g.clock.Now()
@@ -165,42 +165,42 @@
 	if err != nil {
 		return
 	}
-	g.term.lease, g.term.asked = l, asked
+	g.term.lease, g.term.requestedAt = l, asked
 }
 
-func (g *Guard) stillHighest(ctx context.Context, t term) bool {
-	r, _, err := g.read(ctx)
+func (g *Guard) isHighest(ctx context.Context, t term) bool {
+	r, _, err := g.readNumber(ctx)
 	return err == nil && r.Number == t.number && r.Holder == g.id
 }
 
-// take gets the lease and then the next number. The lease comes first: a
+// acquireTerm gets the lease and then the next number. The lease comes first: a
 // number taken without it would make a server refuse the rightful holder.
 //
 // Last is the number of the term that ran out, 0 for none: if the number has
 // moved on since, another agent was there.
-func (g *Guard) take(ctx context.Context, last uint64) error {
+func (g *Guard) acquireTerm(ctx context.Context, last uint64) error {
 	asked := g.clock.Now()
 	l, err := g.store.Grant(ctx, g.settings.TTL, beechstore.ImportanceConfiguration)
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", g.server, err)
 	}
-	if err := g.takeHolder(ctx, l); err != nil {
+	if err := g.acquireHolderKey(ctx, l); err != nil {
 		return err
 	}
-	number, err := g.takeNumber(ctx, last)
-	if errors.Is(err, errMoved) {
-		return g.lapsed()
+	number, err := g.acquireNumber(ctx, last)
+	if errors.Is(err, errNumberTaken) {
+		return g.expireTerm()
 	}
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", g.server, err)
 	}
-	g.term = term{lease: l, asked: asked, number: number}
+	g.term = term{lease: l, requestedAt: asked, number: number}
 	return nil
 }
 
-func (g *Guard) takeHolder(ctx context.Context, l beechstore.Lease) error {
+func (g *Guard) acquireHolderKey(ctx context.Context, l beechstore.Lease) error {
 	key := holderKey(g.server)
-	mark := g.mark(l)
+	mark := g.holderValue(l)
 	_, err := g.store.CompareAndSwap(ctx, key, 0, []byte(mark), l.ID, beechstore.ImportanceConfiguration)
 	var conflict beechstore.Conflict
 	var unknown beechstore.UnknownOutcome
@@ -208,7 +208,7 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &conflict):
-		return Held{Server: g.server, After: g.settings.TTL}
+		return LeaseHeld{Server: g.server, After: g.settings.TTL}
 	case errors.As(err, &unknown):
 		v, readErr := g.store.Get(ctx, key, beechstore.ImportanceConfiguration)
 		if readErr == nil && string(v.Data) == mark {
@@ -218,24 +218,24 @@
 	return fmt.Errorf("order to %s: %w", g.server, err)
 }
 
-// mark is the holder key's value: this guard under this lease. A guard that
+// holderValue is the holder key's value: this guard under this lease. A guard that
 // finds its own id under another lease must not take that for its own.
-func (g *Guard) mark(l beechstore.Lease) string { return g.id + "/" + l.ID }
+func (g *Guard) holderValue(l beechstore.Lease) string { return g.id + "/" + l.ID }
 
-// takeNumber moves the number on by one. After a lost reply it takes the next
+// acquireNumber moves the number on by one. After a lost reply it takes the next
 // one: a number that was skipped does no harm.
-func (g *Guard) takeNumber(ctx context.Context, last uint64) (uint64, error) {
-	for range numberTries {
-		r, version, err := g.read(ctx)
+func (g *Guard) acquireNumber(ctx context.Context, last uint64) (uint64, error) {
+	for range maxNumberAttempts {
+		r, version, err := g.readNumber(ctx)
 		if err != nil {
 			return 0, err
 		}
 		if last > 0 && r.Number != last && r.Holder != g.id {
-			return 0, errMoved
+			return 0, errNumberTaken
 		}
 		r.Number++
 		r.Holder = g.id
-		data, err := beechstore.Seal(format, r)
+		data, err := beechstore.Seal(recordFormat, r)
 		if err != nil {
 			return 0, err
 		}
@@ -250,16 +250,16 @@
 			return 0, err
 		}
 	}
-	return 0, errContended
+	return 0, errNumberContended
 }
 
-func (g *Guard) read(ctx context.Context) (fenceRecord, uint64, error) {
+func (g *Guard) readNumber(ctx context.Context) (fenceRecord, uint64, error) {
 	v, err := g.store.Get(ctx, fenceKey(g.server), beechstore.ImportanceConfiguration)
 	if err != nil || v.Version == 0 {
 		return fenceRecord{}, 0, err
 	}
 	var r fenceRecord
-	err = beechstore.Unseal(v.Key, v.Data, format, &r)
+	err = beechstore.Unseal(v.Key, v.Data, recordFormat, &r)
 	return r, v.Version, err
 }
 
--- a/internal/state/beechfence/slots.go
+++ b/internal/state/beechfence/slots.go
@@ -27,14 +27,14 @@
 		slots *Slots
 		value beechstore.Value
 
-		mu    sync.Mutex
-		lease beechstore.Lease
-		asked time.Time
+		mu          sync.Mutex
+		lease       beechstore.Lease
+		requestedAt time.Time
 	}
 )
 
-// maxSlotTries bounds the writes of one Acquire where there are many slots.
-const maxSlotTries = 8
+// maxSlotAttempts bounds the writes of one Acquire where there are many slots.
+const maxSlotAttempts = 8
 
 // NewSlots makes the slots of the deployment that store belongs to.
 func NewSlots(store beechstore.Store, clock clockwork.Clock, settings Settings) *Slots {
@@ -53,12 +53,12 @@
 		return nil, fmt.Errorf("take a load slot: %w", err)
 	}
 	start := rand.IntN(n)
-	for i := range min(n, maxSlotTries) {
-		v, err := s.tryOne(ctx, fmt.Sprintf("load/slot/%d", (start+i)%n), lease.ID)
+	for i := range min(n, maxSlotAttempts) {
+		v, err := s.acquireSlot(ctx, fmt.Sprintf("load/slot/%d", (start+i)%n), lease.ID)
 		var conflict beechstore.Conflict
 		switch {
 		case err == nil:
-			return &Slot{slots: s, value: v, lease: lease, asked: asked}, nil
+			return &Slot{slots: s, value: v, lease: lease, requestedAt: asked}, nil
 		case !errors.As(err, &conflict):
 			return nil, fmt.Errorf("take a load slot: %w", err)
 		}
@@ -66,8 +66,8 @@
 	return nil, Busy{Slots: n, After: s.settings.TTL / 4}
 }
 
-// tryOne settles a lost reply by reading back: the lease's id is the value.
-func (s *Slots) tryOne(ctx context.Context, key, lease string) (beechstore.Value, error) {
+// acquireSlot settles a lost reply by reading back: the lease's id is the value.
+func (s *Slots) acquireSlot(ctx context.Context, key, lease string) (beechstore.Value, error) {
 	v, err := s.store.CompareAndSwap(ctx, key, 0, []byte(lease), lease, beechstore.ImportanceConfiguration)
 	var unknown beechstore.UnknownOutcome
 	if !errors.As(err, &unknown) {
@@ -80,13 +80,13 @@
 	return v, nil
 }
 
-// Left is how long a load may still take under this slot. A load that takes
+// Remaining is how long a load may still take under this slot. A load that takes
 // longer than that runs beside whoever takes the slot next.
-func (s *Slot) Left() time.Duration {
+func (s *Slot) Remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.slots.clock.Now()
-	passed := max(now.Sub(s.asked), now.Round(0).Sub(s.asked.Round(0)))
+	passed := max(now.Sub(s.requestedAt), now.Round(0).Sub(s.requestedAt.Round(0)))
 	return s.lease.TTL - passed
 }
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		return fmt.Errorf("keep a load slot: %w", err)
 	}
-	s.lease, s.asked = l, asked
+	s.lease, s.requestedAt = l, asked
 	return nil
 }
 
--- a/internal/state/beechmirror/mirror.go
+++ b/internal/state/beechmirror/mirror.go
@@ -68,8 +68,8 @@
 		Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
 	}
 
-	// Belief is confirmed by each whole read; *beechfresh.Belief is one.
-	Belief interface {
+	// Freshness is confirmed by each whole read; *beechfresh.Freshness is one.
+	Freshness interface {
 		Now() time.Duration
 		Confirm(asked time.Duration)
 		Age() time.Duration
@@ -77,38 +77,38 @@
 
 	// Settings of a mirror.
 	Settings struct {
-		Prefix   string
-		Interval time.Duration // age at which the prefix is read whole; SetInterval changes it
-		Patience time.Duration // for a read
-		Wait     time.Duration // of a watch
-		Space    time.Duration // between watches, so that changes in a row come together
-		Linger   time.Duration // what is missing when a lost store answers again is kept for so long
-		Forward  func(Changes) // called with what a watch has told, for others that hold the same; may be nil
-		Lost     func()        // called when a whole read fails after one that did not; may be nil
+		Prefix       string
+		MaxAge       time.Duration // age at which the prefix is read whole; SetInterval changes it
+		ReadTimeout  time.Duration // for a read
+		WatchTimeout time.Duration // of a watch
+		WatchPause   time.Duration // between watches, so that changes in a row come together
+		RemovalDelay time.Duration // what is missing when a lost store answers again is kept for so long
+		Forward      func(Changes) // called with what a watch has told, for others that hold the same; may be nil
+		OnStoreLost  func()        // called when a whole read fails after one that did not; may be nil
 	}
 
 	// Mirror is the copy. It is safe for concurrent use.
 	Mirror struct {
-		settings Settings
-		source   Source
-		belief   Belief
-		clock    clockwork.Clock
-		log      *zap.Logger
-		changed  func([]Item)
+		settings  Settings
+		source    Source
+		freshness Freshness
+		clock     clockwork.Clock
+		log       *zap.Logger
+		changed   func([]Item)
 
-		mu       sync.Mutex
-		items    map[string]Item
-		gone     map[string]uint64 // revision at which a key was seen removed
-		revision uint64
-		whole    uint64 // revision of the last whole read: no change up to it is news
-		known    bool
-		failing  bool
-		regained time.Time          // when a lost store answered again
-		interval time.Duration      // age at which a whole read is due
-		replaced time.Time          // when the last whole read was taken in
-		lingered bool               // it left what may be gone
-		again    chan struct{}      // asks for a whole read now
-		endWatch context.CancelFunc // of the watch that waits now
+		mu               sync.Mutex
+		items            map[string]Item
+		removed          map[string]uint64 // revision at which a key was seen removed
+		revision         uint64
+		fullReadRevision uint64 // revision of the last whole read: no change up to it is news
+		loaded           bool
+		failing          bool
+		recoveredAt      time.Time          // when a lost store answered again
+		maxAge           time.Duration      // age at which a whole read is due
+		lastFullRead     time.Time          // when the last whole read was taken in
+		keptMissing      bool               // it left what may be gone
+		readNow          chan struct{}      // asks for a whole read now
+		cancelWatch      context.CancelFunc // of the watch that waits now
 		sharing
 	}
 )
@@ -117,36 +117,36 @@
 var ErrCompacted = errors.New("the store has dropped this history")
 
 const (
-	// lingerRead is between whole reads while entries are kept that may be gone:
+	// missingReadInterval is between whole reads while entries are kept that may be gone:
 	// the first one after that time drops them.
-	lingerRead = 500 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a call that failed; it
+	missingReadInterval = 500 * time.Millisecond
+	// minRetryPause and retryMost bound the pause after a call that failed; it
 	// doubles between them. A store that turns some hosts away still counts, and
 	// bills, each of their calls: tried each 150 ms by five hosts for 9 s they
 	// were more than half of a day's calls. The longest pause is a seventh of
 	// the time that a key may be served without the store's word.
-	retryFirst  = 150 * time.Millisecond
-	retryMost   = 600 * time.Millisecond
-	watchSlack  = time.Second
-	goneKept    = 4096
-	waitForRead = 50 * time.Millisecond
+	minRetryPause      = 150 * time.Millisecond
+	maxRetryPause      = 600 * time.Millisecond
+	watchTimeoutMargin = time.Second
+	maxRemovedKeys     = 4096
+	firstReadPoll      = 50 * time.Millisecond
 )
 
 // New returns an empty mirror. Changed is called with all items, sorted by key,
 // after each change and after the first read; calls do not overlap.
-func New(s Settings, source Source, belief Belief, clock clockwork.Clock, log *zap.Logger, changed func([]Item)) *Mirror {
+func New(s Settings, source Source, belief Freshness, clock clockwork.Clock, log *zap.Logger, changed func([]Item)) *Mirror {
 	return &Mirror{
-		settings: s, source: source, belief: belief, clock: clock, changed: changed,
+		settings: s, source: source, freshness: belief, clock: clock, changed: changed,
 		log:   log.With(zap.String("prefix", s.Prefix)),
-		items: make(map[string]Item), gone: make(map[string]uint64), interval: s.Interval, again: make(chan struct{}, 1),
-		sharing: sharing{leads: true, news: make(chan struct{}, 1)},
+		items: make(map[string]Item), removed: make(map[string]uint64), maxAge: s.MaxAge, readNow: make(chan struct{}, 1),
+		sharing: sharing{alwaysWatch: true, peerDiffers: make(chan struct{}, 1)},
 	}
 }
 
 // Read reads the whole prefix whenever the copy's age has reached the interval,
 // until the context ends.
 func (m *Mirror) Read(ctx context.Context) error {
-	retry := newRetry()
+	retry := newBackoff()
 	for ctx.Err() == nil {
 		pause := time.Duration(0)
 		if m.readOnce(ctx) {
@@ -154,88 +154,88 @@
 		} else {
 			pause = retry.NextBackOff()
 		}
-		m.waitUntilDue(ctx, pause)
+		m.waitUntilReadDue(ctx, pause)
 	}
 	return ctx.Err()
 }
 
-// waitUntilDue waits for the pause, and on until a whole read is due or asked for.
+// waitUntilReadDue waits for the pause, and on until a whole read is due or asked for.
 // While the store is lost a read is due after each pause, however young others' word
 // makes the copy: what is missing is kept until the store is found back, and a
 // server that has left would go on getting requests for as long.
-func (m *Mirror) waitUntilDue(ctx context.Context, pause time.Duration) {
+func (m *Mirror) waitUntilReadDue(ctx context.Context, pause time.Duration) {
 	for {
 		select {
-		case <-m.clock.After(max(pause, m.due())):
-		case <-m.again:
+		case <-m.clock.After(max(pause, m.timeUntilRead())):
+		case <-m.readNow:
 			return
 		case <-ctx.Done():
 			return
 		}
-		if m.due() <= 0 {
+		if m.timeUntilRead() <= 0 {
 			return
 		}
 		pause = 0
 	}
 }
 
-// due is the time until a whole read is due.
-func (m *Mirror) due() time.Duration {
+// timeUntilRead is the time until a whole read is timeUntilRead.
+func (m *Mirror) timeUntilRead() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
 	case m.failing:
 		return 0
-	case m.lingered:
-		return lingerRead - m.clock.Since(m.replaced)
+	case m.keptMissing:
+		return missingReadInterval - m.clock.Since(m.lastFullRead)
 	}
-	return m.interval - m.belief.Age()
+	return m.maxAge - m.freshness.Age()
 }
 
 func (m *Mirror) readOnce(ctx context.Context) bool {
-	asked := m.belief.Now()
-	limited, cancel := clockwork.WithTimeout(ctx, m.clock, m.settings.Patience)
+	asked := m.freshness.Now()
+	limited, cancel := clockwork.WithTimeout(ctx, m.clock, m.settings.ReadTimeout)
 	defer cancel()
 	page, err := m.source.Range(limited, m.settings.Prefix)
 	if ctx.Err() != nil {
 		return false
 	}
-	m.told(err)
+	m.recordReadResult(err)
 	if err != nil {
 		return false
 	}
-	if m.replace(page) {
-		m.cutWatch()
+	if m.applyFullRead(page) {
+		m.restartWatch()
 	}
-	m.belief.Confirm(asked)
+	m.freshness.Confirm(asked)
 	return true
 }
 
-// cutWatch ends a watch that has not told what a whole read found: its
+// restartWatch ends a watch that has not told what a whole read found: its
 // connection may have gone silent, and it would wait there to its end while
 // changes come only with the next whole reads.
-func (m *Mirror) cutWatch() {
+func (m *Mirror) restartWatch() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.endWatch != nil {
-		m.endWatch()
+	if m.cancelWatch != nil {
+		m.cancelWatch()
 	}
 }
 
-// told logs a dependency that is lost or regained, once each.
-func (m *Mirror) told(err error) {
+// recordReadResult logs a dependency that is lost or regained, once each.
+func (m *Mirror) recordReadResult(err error) {
 	m.mu.Lock()
 	was := m.failing
 	m.failing = err != nil
 	if was && err == nil {
-		m.regained = m.clock.Now()
+		m.recoveredAt = m.clock.Now()
 	}
 	m.mu.Unlock()
 	switch {
 	case err != nil && !was:
 		m.log.Warn("store lost", zap.Error(err))
-		if m.settings.Lost != nil {
-			m.settings.Lost()
+		if m.settings.OnStoreLost != nil {
+			m.settings.OnStoreLost()
 		}
 	case err == nil && was:
 		m.log.Info("store regained")
@@ -244,20 +244,20 @@
 
 // Watch follows changes until the context ends.
 func (m *Mirror) Watch(ctx context.Context) error {
-	retry := newRetry()
+	retry := newBackoff()
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		known, after := m.known, m.revision
+		known, after := m.loaded, m.revision
 		m.mu.Unlock()
-		pause := m.settings.Space
+		pause := m.settings.WatchPause
 		if !known {
-			pause = waitForRead
-		} else if m.followedElsewhere() {
-			m.waitForNews(ctx)
+			pause = firstReadPoll
+		} else if m.watchedByPeer() {
+			m.waitForPeer(ctx)
 			continue
 		} else if err := m.watchOnce(ctx, after); err != nil {
 			pause = retry.NextBackOff()
-			m.watchFailed(ctx, err, after)
+			m.handleWatchError(ctx, err, after)
 		} else {
 			retry.Reset()
 		}
@@ -269,18 +269,18 @@
 	return ctx.Err()
 }
 
-// newRetry gives the pauses between calls that fail.
-func newRetry() *backoff.ExponentialBackOff {
+// newBackoff gives the pauses between calls that fail.
+func newBackoff() *backoff.ExponentialBackOff {
 	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval, retry.MaxInterval, retry.Multiplier = retryFirst, retryMost, 2
+	retry.InitialInterval, retry.MaxInterval, retry.Multiplier = minRetryPause, maxRetryPause, 2
 	return retry
 }
 
-// watchFailed has the whole prefix read at once: its history is gone, or the
+// handleWatchError has the whole prefix read at once: its history is gone, or the
 // store is lost, which the next whole read would find out late. The failure
 // alone says nothing of the store, since waiting watches may be cut. While reads
 // fail too, they are repeated anyway.
-func (m *Mirror) watchFailed(ctx context.Context, err error, after uint64) {
+func (m *Mirror) handleWatchError(ctx context.Context, err error, after uint64) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -290,24 +290,24 @@
 		m.log.Debug("watch failed, reading all", zap.Error(err))
 	}
 	m.mu.Lock()
-	m.following = false
+	m.watching = false
 	failing := m.failing
 	m.mu.Unlock()
 	if !failing {
-		m.Ask()
+		m.ReadNow()
 	}
 }
 
 func (m *Mirror) watchOnce(ctx context.Context, after uint64) error {
-	limited, cancel := clockwork.WithTimeout(ctx, m.clock, m.settings.Wait+watchSlack)
+	limited, cancel := clockwork.WithTimeout(ctx, m.clock, m.settings.WatchTimeout+watchTimeoutMargin)
 	defer cancel()
 	untold, end := context.WithCancel(limited)
 	m.mu.Lock()
-	m.endWatch, m.following = end, true
+	m.cancelWatch, m.watching = end, true
 	m.mu.Unlock()
-	page, err := m.source.Watch(untold, m.settings.Prefix, after, m.settings.Wait)
+	page, err := m.source.Watch(untold, m.settings.Prefix, after, m.settings.WatchTimeout)
 	m.mu.Lock()
-	m.endWatch = nil
+	m.cancelWatch = nil
 	m.mu.Unlock()
 	cut := untold.Err() != nil && limited.Err() == nil
 	end()
@@ -318,39 +318,39 @@
 	if err != nil {
 		return err
 	}
-	lingers := m.merge(page)
+	lingers := m.applyWatch(page)
 	if len(page.Items) > 0 && m.settings.Forward != nil && !lingers {
 		m.settings.Forward(Changes{After: after, Page: page})
 	}
 	return nil
 }
 
-// Ask has the whole prefix read at once. A mirror that is read seldom learns
+// ReadNow has the whole prefix read at once. A mirror that is read seldom learns
 // that way that the store is lost, as another one found: what lapses with the
 // store would be taken for gone otherwise.
-func (m *Mirror) Ask() {
+func (m *Mirror) ReadNow() {
 	select {
-	case m.again <- struct{}{}:
+	case m.readNow <- struct{}{}:
 	default:
 	}
 }
 
-// replace takes in a whole read, and tells whether anything changed.
-func (m *Mirror) replace(p Page) (changed bool) {
+// applyFullRead takes in a whole read, and tells whether anything changed.
+func (m *Mirror) applyFullRead(p Page) (changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.replaced, m.lingered = m.clock.Now(), m.lingers()
-	if m.known && p.Revision < m.whole {
+	m.lastFullRead, m.keptMissing = m.clock.Now(), m.keepsMissing()
+	if m.loaded && p.Revision < m.fullReadRevision {
 		return false
 	}
-	changed = !m.known
+	changed = !m.loaded
 	next := make(map[string]Item, len(p.Items))
 	for _, item := range p.Items {
 		held, ok := m.items[item.Key]
 		switch {
 		case ok && held.Revision >= item.Revision:
 			next[item.Key] = held
-		case m.gone[item.Key] >= item.Revision:
+		case m.removed[item.Key] >= item.Revision:
 			continue
 		default:
 			next[item.Key] = item
@@ -361,36 +361,36 @@
 		if _, ok := next[key]; ok {
 			continue
 		}
-		if held.Revision > p.Revision || m.lingers() {
+		if held.Revision > p.Revision || m.keepsMissing() {
 			next[key] = held
 			continue
 		}
 		changed = true
 	}
-	m.items, m.revision, m.whole, m.known = next, max(m.revision, p.Revision), p.Revision, true
+	m.items, m.revision, m.fullReadRevision, m.loaded = next, max(m.revision, p.Revision), p.Revision, true
 	if changed {
-		m.tell()
+		m.notifyChanged()
 	}
 	return changed
 }
 
-// merge takes in what a watch has told, and tells whether what is gone lingers.
-func (m *Mirror) merge(p Page) (lingers bool) {
+// applyWatch takes in what a watch has told, and tells whether what is gone lingers.
+func (m *Mirror) applyWatch(p Page) (lingers bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lingers = m.lingers()
-	m.take(p, lingers)
+	lingers = m.keepsMissing()
+	m.applyChanges(p, lingers)
 	return lingers
 }
 
-// take takes in changes. The caller holds the lock.
-func (m *Mirror) take(p Page, lingers bool) {
+// applyChanges takes in changes. The caller holds the lock.
+func (m *Mirror) applyChanges(p Page, lingers bool) {
 	changed := false
 	for _, item := range p.Items {
 		if !strings.HasPrefix(item.Key, m.settings.Prefix) || m.items[item.Key].Revision >= item.Revision {
 			continue
 		}
-		if item.Revision <= m.whole {
+		if item.Revision <= m.fullReadRevision {
 			continue // told late: the key may have been removed since, and the whole read knows
 		}
 		if item.Removed && lingers {
@@ -399,39 +399,39 @@
 		changed = true
 		if item.Removed {
 			delete(m.items, item.Key)
-			m.remember(item)
+			m.rememberRemoval(item)
 			continue
 		}
 		m.items[item.Key] = item
 	}
 	m.revision = max(m.revision, p.Revision)
 	if changed {
-		m.tell()
+		m.notifyChanged()
 	}
 }
 
-// tell hands on what is held now. The caller holds the lock.
-func (m *Mirror) tell() {
-	list := m.list()
+// notifyChanged hands on what is held now. The caller holds the lock.
+func (m *Mirror) notifyChanged() {
+	list := m.sortedItems()
 	m.digest = digestOf(list)
 	m.changed(list)
 }
 
-// lingers tells whether the store was lost until a moment ago, or still is.
-func (m *Mirror) lingers() bool {
-	if m.settings.Linger == 0 {
+// keepsMissing tells whether the store was lost until a moment ago, or still is.
+func (m *Mirror) keepsMissing() bool {
+	if m.settings.RemovalDelay == 0 {
 		return false
 	}
-	return m.failing || (!m.regained.IsZero() && m.clock.Since(m.regained) < m.settings.Linger)
+	return m.failing || (!m.recoveredAt.IsZero() && m.clock.Since(m.recoveredAt) < m.settings.RemovalDelay)
 }
 
-func (m *Mirror) remember(item Item) {
-	if len(m.gone) >= goneKept {
-		clear(m.gone)
+func (m *Mirror) rememberRemoval(item Item) {
+	if len(m.removed) >= maxRemovedKeys {
+		clear(m.removed)
 	}
-	m.gone[item.Key] = item.Revision
+	m.removed[item.Key] = item.Revision
 }
 
-func (m *Mirror) list() []Item {
+func (m *Mirror) sortedItems() []Item {
 	return slices.SortedFunc(maps.Values(m.items), func(x, y Item) int { return strings.Compare(x.Key, y.Key) })
 }
--- a/internal/state/beechmirror/mirror_test.go
+++ b/internal/state/beechmirror/mirror_test.go
@@ -75,7 +75,7 @@
 func (b *belief) Age() time.Duration          { return time.Since(b.confirmed) }
 
 func newMirror(s *source, c clockwork.Clock, changed func([]Item)) *Mirror {
-	return New(Settings{Prefix: "servers/", Interval: time.Second, Patience: time.Second, Wait: time.Second, Linger: 2 * time.Second}, s, &belief{}, c, zap.NewNop(), changed)
+	return New(Settings{Prefix: "servers/", MaxAge: time.Second, ReadTimeout: time.Second, WatchTimeout: time.Second, RemovalDelay: 2 * time.Second}, s, &belief{}, c, zap.NewNop(), changed)
 }
 
 func keys(items []Item) []string {
@@ -92,13 +92,13 @@
 	is := is.New(t)
 	var got []Item
 	m := newMirror(&source{}, clockwork.NewFakeClock(), func(items []Item) { got = items })
-	m.replace(Page{Revision: 5, Items: []Item{{Key: "servers/a", Revision: 5, Value: []byte("new")}}})
-	m.replace(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 3, Value: []byte("old")}, {Key: "servers/b", Revision: 2}}})
+	m.applyFullRead(Page{Revision: 5, Items: []Item{{Key: "servers/a", Revision: 5, Value: []byte("new")}}})
+	m.applyFullRead(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 3, Value: []byte("old")}, {Key: "servers/b", Revision: 2}}})
 	is.Equal(keys(got), []string{"servers/a"})
 	is.Equal(string(got[0].Value), "new")
-	m.merge(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}})
+	m.applyWatch(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}})
 	is.Equal(keys(got), []string{"servers/a"})
-	m.merge(Page{Revision: 7, Items: []Item{{Key: "servers/a", Revision: 7, Removed: true}}})
+	m.applyWatch(Page{Revision: 7, Items: []Item{{Key: "servers/a", Revision: 7, Removed: true}}})
 	is.Equal(len(got), 0)
 }
 
@@ -137,15 +137,15 @@
 				highest[it.Key] = it.Revision
 			}
 		})
-		m.replace(pages[0])
+		m.applyFullRead(pages[0])
 		for range rapid.IntRange(0, 30).Draw(t, "replies") {
 			if i := rapid.IntRange(0, len(pages)-1).Draw(t, "which"); rapid.Bool().Draw(t, "whole") {
-				m.replace(pages[i])
+				m.applyFullRead(pages[i])
 			} else if i == 0 || m.revision >= uint64(i) {
-				m.merge(watches[i]) // a watch gives what follows what is known
+				m.applyWatch(watches[i]) // a watch gives what follows what is known
 			}
 		}
-		m.replace(pages[len(pages)-1])
+		m.applyFullRead(pages[len(pages)-1])
 		if len(got) != len(store) {
 			t.Fatalf("mirror has %v, the store %v", keys(got), store)
 		}
@@ -169,7 +169,7 @@
 	is.True(m.readOnce(t.Context()))
 	s.err = errDown
 	is.True(!m.readOnce(t.Context()))
-	m.merge(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}})
+	m.applyWatch(Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}})
 	is.Equal(len(got), 2)
 	s.err, s.page = nil, Page{Revision: 6, Items: []Item{{Key: "servers/b", Revision: 3}}}
 	is.True(m.readOnce(t.Context()))
@@ -184,9 +184,9 @@
 	is := is.New(t)
 	s := &source{err: errDown}
 	b := &belief{asked: 7}
-	m := New(Settings{Prefix: "op/", Interval: time.Second, Patience: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
+	m := New(Settings{Prefix: "op/", MaxAge: time.Second, ReadTimeout: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
 	m.readOnce(t.Context())
-	m.merge(Page{Revision: 4})
+	m.applyWatch(Page{Revision: 4})
 	is.Equal(b.asked, time.Duration(7))
 	s.err = nil
 	m.readOnce(t.Context())
@@ -199,7 +199,7 @@
 	is := is.New(t)
 	s := &source{page: Page{Revision: 1}}
 	m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
-	m.settings.Interval = time.Hour
+	m.settings.MaxAge = time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = m.Read(ctx) }()
@@ -220,7 +220,7 @@
 	is := is.New(t)
 	var got []Item
 	m := newMirror(&source{}, clockwork.NewFakeClock(), func(items []Item) { got = items })
-	m.replace(Page{Revision: 3, Items: []Item{{Key: "servers/c", Revision: 1}, {Key: "servers/a", Revision: 2}, {Key: "servers/b", Revision: 3}}})
+	m.applyFullRead(Page{Revision: 3, Items: []Item{{Key: "servers/c", Revision: 1}, {Key: "servers/a", Revision: 2}, {Key: "servers/b", Revision: 3}}})
 	is.True(slices.IsSorted(keys(got)))
 }
 
@@ -255,7 +255,7 @@
 		is := is.New(t)
 		s := &source{page: Page{Revision: 1}, silent: true}
 		m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
-		m.settings.Wait = time.Hour
+		m.settings.WatchTimeout = time.Hour
 		is.True(m.readOnce(t.Context()))
 		ctx, cancel := context.WithCancel(t.Context())
 		var loop sync.WaitGroup
@@ -286,18 +286,18 @@
 	var got []Item
 	servers := newMirror(s, clock, func(items []Item) { got = items })
 	operators := newMirror(s, clock, func([]Item) {})
-	operators.settings.Lost = servers.Ask
+	operators.settings.OnStoreLost = servers.ReadNow
 	is.True(servers.readOnce(t.Context()))
 	is.True(operators.readOnce(t.Context()))
 	s.refuse()
 	is.True(!operators.readOnce(t.Context()))
 	select {
-	case <-servers.again:
+	case <-servers.readNow:
 	default:
 		t.Fatal("the other mirror is not asked to read")
 	}
 	is.True(!servers.readOnce(t.Context()))
-	servers.merge(Page{Revision: 3, Items: []Item{{Key: "servers/a", Revision: 3, Removed: true}}})
+	servers.applyWatch(Page{Revision: 3, Items: []Item{{Key: "servers/a", Revision: 3, Removed: true}}})
 	is.Equal(keys(got), []string{"servers/a"})
 }
 
@@ -314,12 +314,12 @@
 		loop.Go(func() { _ = m.Read(ctx) })
 		synctest.Wait()
 		is.Equal(s.calls(), 1)
-		word, _, known := m.Vouch()
+		word, _, known := m.Status()
 		is.True(known)
-		word.Proof = true
+		word.Confirmed = true
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.Vouched(word))
+			is.True(m.ApplyPeerStatus(word))
 		}
 		is.Equal(s.calls(), 1)
 		time.Sleep(1100 * time.Millisecond) // nobody vouches any more
@@ -335,33 +335,33 @@
 	is := is.New(t)
 	s := &source{page: Page{Revision: 2, Items: []Item{{Key: "op/config", Revision: 2}}}}
 	b := &belief{}
-	m := New(Settings{Prefix: "op/", Interval: time.Second, Patience: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
-	is.True(!m.Vouched(Word{Proof: true})) // nothing was read yet
+	m := New(Settings{Prefix: "op/", MaxAge: time.Second, ReadTimeout: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
+	is.True(!m.ApplyPeerStatus(CopyStatus{Confirmed: true})) // nothing was read yet
 	is.True(m.readOnce(t.Context()))
-	old, _, _ := m.Vouch()
-	old.Proof = true
-	m.merge(Page{Revision: 5, Items: []Item{{Key: "op/config", Revision: 5}}})
+	old, _, _ := m.Status()
+	old.Confirmed = true
+	m.applyWatch(Page{Revision: 5, Items: []Item{{Key: "op/config", Revision: 5}}})
 	was := b.asked
-	is.True(!m.Vouched(old))
+	is.True(!m.ApplyPeerStatus(old))
 	is.Equal(b.asked, was)
-	m.merge(Page{Revision: 6, Items: []Item{{Key: "op/config", Revision: 6, Removed: true}}})
-	is.True(!m.Vouched(old))
+	m.applyWatch(Page{Revision: 6, Items: []Item{{Key: "op/config", Revision: 6, Removed: true}}})
+	is.True(!m.ApplyPeerStatus(old))
 }
 
 // vouchedMirror has read once, and another process that follows the store has
 // vouched for the same copy.
-func vouchedMirror(t *testing.T) (*Mirror, *source, Word) {
+func vouchedMirror(t *testing.T) (*Mirror, *source, CopyStatus) {
 	t.Helper()
 	s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}, silent: true}
 	m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
-	m.settings.Wait = time.Hour
-	m.SetInterval(time.Hour, false)
+	m.settings.WatchTimeout = time.Hour
+	m.SetMaxAge(time.Hour, false)
 	if !m.readOnce(t.Context()) {
 		t.Fatal("the store is not read")
 	}
-	word, _, _ := m.Vouch()
-	word.Proof, word.Following = true, true
-	m.Vouched(word)
+	word, _, _ := m.Status()
+	word.Confirmed, word.Watching = true, true
+	m.ApplyPeerStatus(word)
 	return m, s, word
 }
 
@@ -377,12 +377,12 @@
 		loop.Go(func() { _ = m.Watch(ctx) })
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.Vouched(word))
+			is.True(m.ApplyPeerStatus(word))
 		}
 		is.Equal(s.calls(), 1) // the whole read
 		other := word
 		other.Digest++
-		is.True(!m.Vouched(other))
+		is.True(!m.ApplyPeerStatus(other))
 		synctest.Wait()
 		is.Equal(s.calls(), 2)
 		cancel()
@@ -394,7 +394,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Watch(ctx) })
-		time.Sleep(2 * elsewhereLasts)
+		time.Sleep(2 * peerWatchTTL)
 		synctest.Wait()
 		is.Equal(s.calls(), 2) // nobody vouches: it watches by itself
 		cancel()
@@ -409,14 +409,14 @@
 	is := is.New(t)
 	var got []Item
 	m := newMirror(&source{}, clockwork.NewFakeClock(), func(items []Item) { got = items })
-	is.True(!m.Told(Changes{After: 0, Page: Page{Revision: 3}})) // nothing was read yet
-	m.replace(Page{Revision: 5, Items: []Item{{Key: "servers/a", Revision: 5}}})
-	is.True(m.Told(Changes{After: 5, Page: Page{Revision: 7, Items: []Item{{Key: "servers/b", Revision: 7}}}}))
+	is.True(!m.ApplyPeerChanges(Changes{After: 0, Page: Page{Revision: 3}})) // nothing was read yet
+	m.applyFullRead(Page{Revision: 5, Items: []Item{{Key: "servers/a", Revision: 5}}})
+	is.True(m.ApplyPeerChanges(Changes{After: 5, Page: Page{Revision: 7, Items: []Item{{Key: "servers/b", Revision: 7}}}}))
 	is.Equal(keys(got), []string{"servers/a", "servers/b"})
-	is.True(!m.Told(Changes{After: 9, Page: Page{Revision: 10, Items: []Item{{Key: "servers/c", Revision: 10}}}}))
-	is.True(!m.Told(Changes{After: 5, Page: Page{Revision: 6, Items: []Item{{Key: "servers/a", Revision: 6, Removed: true}}}})) // late
+	is.True(!m.ApplyPeerChanges(Changes{After: 9, Page: Page{Revision: 10, Items: []Item{{Key: "servers/c", Revision: 10}}}}))
+	is.True(!m.ApplyPeerChanges(Changes{After: 5, Page: Page{Revision: 6, Items: []Item{{Key: "servers/a", Revision: 6, Removed: true}}}})) // late
 	is.Equal(keys(got), []string{"servers/a", "servers/b"})
-	is.True(m.Told(Changes{After: 6, Page: Page{Revision: 10, Items: []Item{{Key: "servers/a", Revision: 9, Removed: true}}}}))
+	is.True(m.ApplyPeerChanges(Changes{After: 6, Page: Page{Revision: 10, Items: []Item{{Key: "servers/a", Revision: 9, Removed: true}}}}))
 	is.Equal(keys(got), []string{"servers/b"})
 }
 
@@ -429,18 +429,18 @@
 		is := is.New(t)
 		s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}}
 		m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
-		m.SetInterval(time.Hour, false)
+		m.SetMaxAge(time.Hour, false)
 		ctx, cancel := context.WithCancel(t.Context())
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Read(ctx) })
 		synctest.Wait()
-		word, _, _ := m.Vouch()
-		word.Proof = true
+		word, _, _ := m.Status()
+		word.Confirmed = true
 		s.refuse()
-		m.Ask()
+		m.ReadNow()
 		for range 10 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.Vouched(word))
+			is.True(m.ApplyPeerStatus(word))
 		}
 		s.mu.Lock()
 		s.err = nil
@@ -463,6 +463,6 @@
 	is.True(m.readOnce(t.Context()))
 	s.refuse()
 	is.True(!m.readOnce(t.Context()))
-	is.True(m.Told(Changes{After: 3, Page: Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}}}))
+	is.True(m.ApplyPeerChanges(Changes{After: 3, Page: Page{Revision: 4, Items: []Item{{Key: "servers/a", Revision: 4, Removed: true}}}}))
 	is.Equal(keys(got), []string{"servers/b"})
 }
--- a/internal/state/beechmirror/peers.go
+++ b/internal/state/beechmirror/peers.go
@@ -15,104 +15,104 @@
 		Page
 	}
 
-	// Word is another process's word on its copy.
-	Word struct {
-		Digest    uint64
-		Following bool          // it watches the store
-		Proof     bool          // the store confirmed it at or after Asked
-		Asked     time.Duration // by this process's clock
+	// CopyStatus is another process's word on its copy.
+	CopyStatus struct {
+		Digest      uint64
+		Watching    bool          // it watches the store
+		Confirmed   bool          // the store confirmed it at or after Asked
+		ConfirmedAt time.Duration // by this process's clock
 	}
 
 	// sharing is what a mirror knows of others that hold the same copy. The
 	// mirror's lock guards it.
 	sharing struct {
-		digest    uint64        // of the keys and revisions held
-		leads     bool          // others rely on this copy: it follows the store whatever they say
-		following bool          // by watches, the last of which has not failed
-		elsewhere time.Time     // when a process that follows the store vouched for the same copy last
-		news      chan struct{} // one that follows the store holds another copy
+		digest      uint64        // of the keys and revisions held
+		alwaysWatch bool          // others rely on this copy: it follows the store whatever they say
+		watching    bool          // by watches, the last of which has not failed
+		peerWatchAt time.Time     // when a process that follows the store vouched for the same copy last
+		peerDiffers chan struct{} // one that follows the store holds another copy
 	}
 )
 
-// elsewhereLasts is how long a process's word that it follows the store counts:
+// peerWatchTTL is how long a process's word that it follows the store counts:
 // two questions may go unanswered.
-const elsewhereLasts = 700 * time.Millisecond
+const peerWatchTTL = 700 * time.Millisecond
 
-// SetInterval changes the age at which the prefix is read whole. Leads tells
+// SetMaxAge changes the age at which the prefix is read whole. Leads tells
 // that others rely on this copy.
-func (m *Mirror) SetInterval(d time.Duration, leads bool) {
+func (m *Mirror) SetMaxAge(d time.Duration, leads bool) {
 	m.mu.Lock()
-	m.interval, m.leads = d, leads
+	m.maxAge, m.alwaysWatch = d, leads
 	m.mu.Unlock()
 }
 
-// Vouch gives this process's word on its copy, and the copy's age. It is false
+// Status gives this process's word on its copy, and the copy's age. It is false
 // before the first read.
-func (m *Mirror) Vouch() (w Word, age time.Duration, known bool) {
+func (m *Mirror) Status() (w CopyStatus, age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Word{Digest: m.digest, Following: m.following && !m.failing}, m.belief.Age(), m.known
+	return CopyStatus{Digest: m.digest, Watching: m.watching && !m.failing}, m.freshness.Age(), m.loaded
 }
 
-// Vouched takes in another process's word, and tells whether its copy is the
+// ApplyPeerStatus takes in another process's word, and tells whether its copy is the
 // same. With a proof this copy is as young as the other one.
-func (m *Mirror) Vouched(w Word) bool {
+func (m *Mirror) ApplyPeerStatus(w CopyStatus) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.known {
+	if !m.loaded {
 		return false
 	}
 	if w.Digest != m.digest {
-		if w.Following {
-			m.elsewhere = time.Time{}
+		if w.Watching {
+			m.peerWatchAt = time.Time{}
 			select {
-			case m.news <- struct{}{}:
+			case m.peerDiffers <- struct{}{}:
 			default:
 			}
 		}
 		return false
 	}
-	if w.Proof {
-		m.belief.Confirm(w.Asked)
+	if w.Confirmed {
+		m.freshness.Confirm(w.ConfirmedAt)
 	}
-	if w.Proof && w.Following {
-		m.elsewhere = m.clock.Now()
+	if w.Confirmed && w.Watching {
+		m.peerWatchAt = m.clock.Now()
 	}
 	return true
 }
 
-// Told takes in what another process's watch has told. Where changes before that
+// ApplyPeerChanges takes in what another process's watch has told. Where changes before that
 // are missing it is passed over: the copies differ then, and a watch of this
 // process's own brings all of them. That process reaches the store and forwards
 // nothing while entries may have lapsed with it, so what it says is gone is gone,
 // also where this one has lost the store.
-func (m *Mirror) Told(c Changes) bool {
+func (m *Mirror) ApplyPeerChanges(c Changes) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.known || c.After > m.revision || c.Revision <= m.revision {
+	if !m.loaded || c.After > m.revision || c.Revision <= m.revision {
 		return false
 	}
-	m.take(c.Page, false)
+	m.applyChanges(c.Page, false)
 	return true
 }
 
-// followedElsewhere tells whether a process that follows the store holds the
+// watchedByPeer tells whether a process that follows the store holds the
 // same copy, so that a watch of this one's would bring nothing else.
-func (m *Mirror) followedElsewhere() bool {
+func (m *Mirror) watchedByPeer() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.leads || m.clock.Since(m.elsewhere) >= elsewhereLasts {
+	if m.alwaysWatch || m.clock.Since(m.peerWatchAt) >= peerWatchTTL {
 		return false
 	}
-	m.following = false
+	m.watching = false
 	return true
 }
 
-// waitForNews waits until a watch of this process's own may be wanted.
-func (m *Mirror) waitForNews(ctx context.Context) {
+// waitForPeer waits until a watch of this process's own may be wanted.
+func (m *Mirror) waitForPeer(ctx context.Context) {
 	select {
-	case <-m.clock.After(elsewhereLasts):
-	case <-m.news:
+	case <-m.clock.After(peerWatchTTL):
+	case <-m.peerDiffers:
 	case <-ctx.Done():
 	}
 }
--- a/internal/state/beechreader/doc.go
+++ b/internal/state/beechreader/doc.go
@@ -1,4 +1,4 @@
-// Package beechvouch decides which processes of an availability zone read a
+// Package beechreader decides which processes of an availability zone read a
 // store for all of them, and how the others prove that their copies are young.
 //
 // Each read of a store is paid for, and so are the bytes that cross a zone's
@@ -28,9 +28,9 @@
 //
 // # Usage
 //
-//	circle := beechvouch.New(self)
-//	circle.Named(peers, now)                  // a third process's word, repeated
-//	number := circle.Ask(clock)               // sent to circle.Readers(now)
-//	at, ok := circle.Answered(number, age)    // the copy was confirmed at or after at
-//	interval := schedule.Of(circle.Rank(now)) // age at which this process reads
-package beechvouch
+//	group := beechreader.New(self)
+//	group.UpdatePeers(peers, now)                  // a third process's word, repeated
+//	number := group.StartInquiry(clock)               // sent to group.Readers(now)
+//	at, ok := group.ConfirmedAt(number, age)    // the copy was confirmed at or after at
+//	interval := schedule.ForRank(group.Rank(now)) // age at which this process reads
+package beechreader
--- a/internal/state/beechreader/group.go
+++ b/internal/state/beechreader/group.go
@@ -1,4 +1,4 @@
-package beechvouch
+package beechreader
 
 import (
 	"cmp"
@@ -12,19 +12,19 @@
 )
 
 type (
-	// Circle is the processes of a zone that share their reads, as one of them
+	// Group is the processes of a zone that share their reads, as one of them
 	// knows it. It is safe for concurrent use.
-	Circle struct {
+	Group struct {
 		self netip.AddrPort
 
-		mu    sync.Mutex
-		peers map[netip.AddrPort]time.Time // when they were named last
-		asked []question
-		last  uint64
+		mu         sync.Mutex
+		lastNamed  map[netip.AddrPort]time.Time // when they were named last
+		inquiries  []inquiry
+		lastNumber uint64
 	}
 
-	// question is one that was sent, at a time of this process's clock.
-	question struct {
+	// inquiry is one that was sent, at a time of this process's clock.
+	inquiry struct {
 		number uint64
 		sent   time.Duration
 	}
@@ -39,110 +39,110 @@
 )
 
 const (
-	// readers are asked: the one that reads, and the one that stands in for it.
-	readers = 2
-	// namedLasts is how long a peer that nobody names any more is still counted:
+	// readersPerZone are asked: the one that reads, and the one that stands in for it.
+	readersPerZone = 2
+	// peerTTL is how long a peer that nobody names any more is still counted:
 	// those who name them forget a peer after about as long.
-	namedLasts = 4 * time.Second
-	// questionsKept may be answered yet. Later answers are of no use: they make a
+	peerTTL = 4 * time.Second
+	// maxInquiries may be answered yet. Later answers are of no use: they make a
 	// copy no younger than the next question does.
-	questionsKept = 8
+	maxInquiries = 8
 )
 
 // New returns the circle of a process that knows no peers.
-func New(self netip.AddrPort) *Circle {
-	return &Circle{self: self, peers: make(map[netip.AddrPort]time.Time)}
+func New(self netip.AddrPort) *Group {
+	return &Group{self: self, lastNamed: make(map[netip.AddrPort]time.Time)}
 }
 
-// Named takes in who is in the zone now, by a third process's word.
-func (c *Circle) Named(peers []netip.AddrPort, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// UpdatePeers takes in who is in the zone now, by a third process's word.
+func (g *Group) UpdatePeers(peers []netip.AddrPort, now time.Time) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	for _, peer := range peers {
-		if peer.IsValid() && peer != c.self {
-			c.peers[peer] = now
+		if peer.IsValid() && peer != g.self {
+			g.lastNamed[peer] = now
 		}
 	}
-	maps.DeleteFunc(c.peers, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > namedLasts })
+	maps.DeleteFunc(g.lastNamed, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > peerTTL })
 }
 
 // ranked gives all processes in the order in which they read. The caller holds
 // the lock.
-func (c *Circle) ranked(now time.Time) []netip.AddrPort {
-	list := []netip.AddrPort{c.self}
-	for peer, at := range c.peers {
-		if now.Sub(at) <= namedLasts {
+func (g *Group) ranked(now time.Time) []netip.AddrPort {
+	list := []netip.AddrPort{g.self}
+	for peer, at := range g.lastNamed {
+		if now.Sub(at) <= peerTTL {
 			list = append(list, peer)
 		}
 	}
 	slices.SortFunc(list, func(x, y netip.AddrPort) int {
-		return cmp.Or(cmp.Compare(score(x), score(y)), x.Compare(y))
+		return cmp.Or(cmp.Compare(rankHash(x), rankHash(y)), x.Compare(y))
 	})
 	return list
 }
 
-func score(peer netip.AddrPort) uint64 { return xxhash.Sum64String(peer.String()) }
+func rankHash(peer netip.AddrPort) uint64 { return xxhash.Sum64String(peer.String()) }
 
 // Rank is this process's place in the order, from 0.
-func (c *Circle) Rank(now time.Time) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.Index(c.ranked(now), c.self)
+func (g *Group) Rank(now time.Time) int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return slices.Index(g.ranked(now), g.self)
 }
 
 // Readers gives the peers to ask: the first two in the order, without this
 // process itself.
-func (c *Circle) Readers(now time.Time) []netip.AddrPort {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := c.ranked(now)
-	first := list[:min(readers, len(list))]
-	return slices.DeleteFunc(slices.Clone(first), func(peer netip.AddrPort) bool { return peer == c.self })
+func (g *Group) Readers(now time.Time) []netip.AddrPort {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	list := g.ranked(now)
+	first := list[:min(readersPerZone, len(list))]
+	return slices.DeleteFunc(slices.Clone(first), func(peer netip.AddrPort) bool { return peer == g.self })
 }
 
 // Self is the address of this process.
-func (c *Circle) Self() netip.AddrPort { return c.self }
+func (g *Group) Self() netip.AddrPort { return g.self }
 
 // Peers gives all peers.
-func (c *Circle) Peers(now time.Time) []netip.AddrPort {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return slices.DeleteFunc(c.ranked(now), func(peer netip.AddrPort) bool { return peer == c.self })
+func (g *Group) Peers(now time.Time) []netip.AddrPort {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return slices.DeleteFunc(g.ranked(now), func(peer netip.AddrPort) bool { return peer == g.self })
 }
 
-// Knows tells whether a process is a peer.
-func (c *Circle) Knows(peer netip.AddrPort) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	_, ok := c.peers[peer]
+// HasPeer tells whether a process is a peer.
+func (g *Group) HasPeer(peer netip.AddrPort) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	_, ok := g.lastNamed[peer]
 	return ok
 }
 
-// Ask notes that a question is sent now, and gives its number.
-func (c *Circle) Ask(now time.Duration) uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.last++
-	c.asked = append(c.asked, question{number: c.last, sent: now})
-	c.asked = c.asked[max(len(c.asked)-questionsKept, 0):]
-	return c.last
+// StartInquiry notes that a question is sent now, and gives its number.
+func (g *Group) StartInquiry(now time.Duration) uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.lastNumber++
+	g.inquiries = append(g.inquiries, inquiry{number: g.lastNumber, sent: now})
+	g.inquiries = g.inquiries[max(len(g.inquiries)-maxInquiries, 0):]
+	return g.lastNumber
 }
 
-// Answered takes in an answer's age, and gives the time, by this process's
+// ConfirmedAt takes in an answer's age, and gives the time, by this process's
 // clock, at or after which the copy there was confirmed. It is false where the
 // answer proves nothing.
-func (c *Circle) Answered(number uint64, age time.Duration) (confirmed time.Duration, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	i := slices.IndexFunc(c.asked, func(q question) bool { return q.number == number })
+func (g *Group) ConfirmedAt(number uint64, age time.Duration) (confirmed time.Duration, ok bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	i := slices.IndexFunc(g.inquiries, func(q inquiry) bool { return q.number == number })
 	if i < 0 || age < 0 {
 		return 0, false
 	}
-	return c.asked[i].sent - age, true
+	return g.inquiries[i].sent - age, true
 }
 
-// Of gives the age for a rank.
-func (s Schedule) Of(rank int) time.Duration {
+// ForRank gives the age for a rank.
+func (s Schedule) ForRank(rank int) time.Duration {
 	switch rank {
 	case 0:
 		return s.First
--- a/internal/state/beechreader/group_test.go
+++ b/internal/state/beechreader/group_test.go
@@ -1,4 +1,4 @@
-package beechvouch
+package beechreader
 
 import (
 	"net/netip"
@@ -26,7 +26,7 @@
 	asked := map[netip.AddrPort]int{}
 	for i := range all {
 		c := New(peer(i))
-		c.Named(all, now)
+		c.UpdatePeers(all, now)
 		ranks[c.Rank(now)]++
 		for _, reader := range c.Readers(now) {
 			asked[reader]++
@@ -46,12 +46,12 @@
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	c := New(peer(0))
-	c.Named([]netip.AddrPort{peer(1), peer(2)}, now)
+	c.UpdatePeers([]netip.AddrPort{peer(1), peer(2)}, now)
 	is.Equal(len(c.Readers(now))+boolInt(c.Rank(now) < 2), 2)
-	now = now.Add(namedLasts + time.Millisecond)
+	now = now.Add(peerTTL + time.Millisecond)
 	is.Equal(c.Rank(now), 0)
 	is.Equal(len(c.Readers(now)), 0)
-	is.Equal(schedule.Of(c.Rank(now)), schedule.First)
+	is.Equal(schedule.ForRank(c.Rank(now)), schedule.First)
 }
 
 // Operators who want removed keys gone sooner have the store read as much more often.
@@ -59,9 +59,9 @@
 	is := is.New(t)
 	s := schedule.Scaled(0.5)
 	is.Equal(s, Schedule{First: 650 * time.Millisecond, Second: time.Second, Others: 1200 * time.Millisecond})
-	is.Equal(s.Of(0), s.First)
-	is.Equal(s.Of(1), s.Second)
-	is.Equal(s.Of(7), s.Others)
+	is.Equal(s.ForRank(0), s.First)
+	is.Equal(s.ForRank(1), s.Second)
+	is.Equal(s.ForRank(7), s.Others)
 }
 
 func boolInt(b bool) int {
@@ -82,7 +82,7 @@
 			c := New(peer(i))
 			for j := range n {
 				if rapid.Bool().Draw(t, "knows") {
-					c.Named([]netip.AddrPort{peer(j)}, now)
+					c.UpdatePeers([]netip.AddrPort{peer(j)}, now)
 				}
 			}
 			if c.Rank(now) == 0 {
@@ -115,7 +115,7 @@
 			case 0:
 				confirmed = now // the reader reads
 			case 1:
-				questions = append(questions, c.Ask(now))
+				questions = append(questions, c.StartInquiry(now))
 			case 2:
 				if len(questions) > 0 { // it answers some question, then or much later
 					answers = append(answers, word{rapid.SampledFrom(questions).Draw(t, "question"), now - confirmed, confirmed})
@@ -123,13 +123,13 @@
 			case 3:
 				if len(answers) > 0 {
 					a := rapid.SampledFrom(answers).Draw(t, "answer")
-					if at, ok := c.Answered(a.number, a.age); ok && at > a.truth {
+					if at, ok := c.ConfirmedAt(a.number, a.age); ok && at > a.truth {
 						t.Fatalf("believed %s, confirmed %s", at, a.truth)
 					}
 				}
 			case 4:
 				number := rapid.Uint64().Draw(t, "stranger")
-				if at, ok := c.Answered(number, -time.Duration(rapid.IntRange(1, 1<<40).Draw(t, "age"))); ok {
+				if at, ok := c.ConfirmedAt(number, -time.Duration(rapid.IntRange(1, 1<<40).Draw(t, "age"))); ok {
 					t.Fatalf("an age below zero was believed: %s", at)
 				}
 			}
