--- a/internal/state/beechmanifest/bench_test.go
+++ b/internal/state/beechmanifest/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkConfigurationMemory reports what a configuration of 9,300 workspaces holds in each
-// process, and how many values of the platform's service it takes.
+// BenchmarkConfigurationMemory reports how much memory a configuration of 9,300 workspaces takes in
+// each process, and how many values it takes in the platform's key-value service.
 func BenchmarkConfigurationMemory(b *testing.B) {
 	const workspaces = 9300
 	data, err := Encode(canonical(manifestOfSize(workspaces)))
--- a/internal/state/beechmanifest/check.go
+++ b/internal/state/beechmanifest/check.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// checker collects the problems that no schema can state: what one field says
-// about another.
+// checker collects the problems that the schema cannot detect, most of them references
+// between fields.
 type checker struct {
 	manifest *Manifest
 	problems []Problem
 }
 
+// maxNamesShown bounds the list of allowed names in an error message.
 const maxNamesShown = 10
 
 func checkConsistency(m *Manifest) []Problem {
@@ -59,26 +60,26 @@
 			first[n] = i
 			continue
 		}
-		place := fmt.Sprintf("%s/%d", list, i)
+		path := fmt.Sprintf("%s/%d", list, i)
 		if field != "" {
-			place += "/" + field
+			path += "/" + field
 		}
-		c.add(place, fmt.Sprintf("%q is at %s/%d already", n, list, at), "each name once")
+		c.add(path, fmt.Sprintf("%q is at %s/%d already", n, list, at), "each name once")
 	}
 }
 
-// uniqueKeys matters because a key names its workspace: a key that stands
-// twice would give one workspace's callers another's limits and cache.
+// uniqueKeys checks that each key occurs once. A key identifies its workspace, so with a
+// duplicate the callers of one workspace would get the limits and the cache of another.
 func (c *checker) uniqueKeys() {
 	first := map[string]string{}
 	for i, w := range c.manifest.Workspaces {
 		for j, key := range w.Keys {
-			place := fmt.Sprintf("workspaces/%d/keys/%d", i, j)
+			path := fmt.Sprintf("workspaces/%d/keys/%d", i, j)
 			if at, ok := first[key]; ok {
-				c.add(place, "the same key is at "+at, "each key in one workspace")
+				c.add(path, "the same key is at "+at, "each key in one workspace")
 				continue
 			}
-			first[key] = place
+			first[key] = path
 		}
 	}
 }
@@ -86,53 +87,53 @@
 func (c *checker) workspaces() {
 	priorities, models, services := setOf(c.manifest.Priorities), setOf(modelNames(c.manifest)), setOf(serviceNames(c.manifest))
 	for i, w := range c.manifest.Workspaces {
-		place := fmt.Sprintf("workspaces/%d", i)
-		c.requireKnown(place+"/priority", "priority", w.Priority, priorities, c.manifest.Priorities)
-		c.requireAllKnown(place+"/models", "model", w.Models, models, modelNames(c.manifest))
-		c.requireAllKnown(place+"/services", "service", w.Services, services, serviceNames(c.manifest))
+		path := fmt.Sprintf("workspaces/%d", i)
+		c.requireKnown(path+"/priority", "priority", w.Priority, priorities, c.manifest.Priorities)
+		c.requireAllKnown(path+"/models", "model", w.Models, models, modelNames(c.manifest))
+		c.requireAllKnown(path+"/services", "service", w.Services, services, serviceNames(c.manifest))
 	}
 }
 
 func (c *checker) pools() {
 	models, services := setOf(modelNames(c.manifest)), setOf(serviceNames(c.manifest))
 	for i, p := range c.manifest.Pools {
-		place := fmt.Sprintf("pools/%d", i)
-		c.requireAllKnown(place+"/models", "model", p.Models, models, modelNames(c.manifest))
+		path := fmt.Sprintf("pools/%d", i)
+		c.requireAllKnown(path+"/models", "model", p.Models, models, modelNames(c.manifest))
 		switch p.Kind {
 		case KindEngine:
 			if p.Service != "" {
-				c.add(place+"/service", fmt.Sprintf("%q on a pool of engines", p.Service), "no service where kind is engine")
+				c.add(path+"/service", fmt.Sprintf("%q on a pool of engines", p.Service), "no service where kind is engine")
 			}
 			if len(p.Models) == 0 {
-				c.add(place+"/models", "is empty on a pool of engines", "at least one model where kind is engine")
+				c.add(path+"/models", "is empty on a pool of engines", "at least one model where kind is engine")
 			}
 		case KindService:
 			if len(p.Models) > 0 {
-				c.add(place+"/models", "is set on a pool of a plain service", "no models where kind is service")
+				c.add(path+"/models", "is set on a pool of a plain service", "no models where kind is service")
 			}
-			c.requireKnown(place+"/service", "service", p.Service, services, serviceNames(c.manifest))
+			c.requireKnown(path+"/service", "service", p.Service, services, serviceNames(c.manifest))
 		default:
-			c.add(place+"/kind", fmt.Sprintf("%q", p.Kind), "engine or service")
+			c.add(path+"/kind", fmt.Sprintf("%q", p.Kind), "engine or service")
 		}
 	}
 }
 
-func (c *checker) requireAllKnown(place, what string, names []string, known map[string]bool, all []string) {
+func (c *checker) requireAllKnown(path, what string, names []string, known map[string]bool, all []string) {
 	for i, n := range names {
-		c.requireKnown(fmt.Sprintf("%s/%d", place, i), what, n, known, all)
+		c.requireKnown(fmt.Sprintf("%s/%d", path, i), what, n, known, all)
 	}
 }
 
-func (c *checker) requireKnown(place, what, name string, known map[string]bool, all []string) {
+func (c *checker) requireKnown(path, what, name string, known map[string]bool, all []string) {
 	if known[name] {
 		return
 	}
-	c.add(place, fmt.Sprintf("%q is not the name of a %s", name, what), oneOf(all))
+	c.add(path, fmt.Sprintf("%q is not the name of a %s", name, what), oneOf(all))
 }
 
 func oneOf(names []string) string {
 	if len(names) == 0 {
-		return "none, since the manifest lists none"
+		return "no name, since the manifest defines none"
 	}
 	if len(names) > maxNamesShown {
 		return fmt.Sprintf("one of %s and %d more", strings.Join(names[:maxNamesShown], ", "), len(names)-maxNamesShown)
--- a/internal/state/beechmanifest/configuration.go
+++ b/internal/state/beechmanifest/configuration.go
@@ -11,8 +11,8 @@
 )
 
 type (
-	// Configuration is a manifest at a generation, ready for look-ups. It is
-	// never changed; what it points at is not to be changed either.
+	// Configuration is one generation of a manifest with indexes for lookups. It is
+	// immutable, and callers must not modify what it points to.
 	Configuration struct {
 		Generation uint64
 		Manifest   *Manifest
@@ -27,11 +27,12 @@
 	keySum [sha256.Size]byte
 )
 
-// maxDecodedPaths bounds how often a path is decoded: once by an entry host, once
-// by a server, and once more for a server behind it.
+// maxDecodedPaths bounds how many variants of a path are checked, each decoded once more
+// than the one before: the path may be decoded by an entry host, by the backend server
+// and by another server behind that one.
 const maxDecodedPaths = 4
 
-// Compile makes the look-ups of a manifest that Parse has accepted.
+// Compile indexes a manifest that Parse has accepted.
 func Compile(m *Manifest, generation uint64) *Configuration {
 	c := &Configuration{
 		Generation: generation,
@@ -67,12 +68,12 @@
 	}
 }
 
-// WorkspaceByKey gives the workspace of a bearer key.
+// WorkspaceByKey returns the workspace of a bearer key.
 //
-// The look-up is by the key's SHA-256, and the sum found is compared in
-// constant time. What the time of a look-up shows is something about the sum
-// of the key that was sent, and nobody can choose a key for the sum it will
-// have, so a wrong key cannot be improved byte by byte.
+// The lookup uses the SHA-256 sum of the key, and the matching sum is compared in
+// constant time. The timing of the lookup can reveal something about the sum of the
+// key that was sent. As a key cannot be chosen to have a given sum, an attacker cannot
+// use it to guess a key byte by byte.
 func (c *Configuration) WorkspaceByKey(bearerKey string) (*Workspace, bool) {
 	sum := keySum(sha256.Sum256([]byte(bearerKey)))
 	w, ok := c.keys[sum]
@@ -87,32 +88,32 @@
 	return nil, false
 }
 
-// Workspace finds a workspace by name.
+// Workspace returns the workspace with a name.
 func (c *Configuration) Workspace(name string) (*Workspace, bool) {
 	w, ok := c.workspaces[name]
 	return w, ok
 }
 
-// Model finds a model by name.
+// Model returns the model with a name.
 func (c *Configuration) Model(name string) (*Model, bool) {
 	m, ok := c.models[name]
 	return m, ok
 }
 
-// Pool finds a pool by name.
+// Pool returns the pool with a name.
 func (c *Configuration) Pool(name string) (*Pool, bool) {
 	p, ok := c.pools[name]
 	return p, ok
 }
 
-// Service finds a plain service by name.
+// Service returns the plain service with a name.
 func (c *Configuration) Service(name string) (*Service, bool) {
 	s, ok := c.services[name]
 	return s, ok
 }
 
-// PriorityRank gives the rank of a priority, 0 served first; an unknown one is
-// served last.
+// PriorityRank returns the rank of a priority; 0 is the highest. An unknown priority ranks
+// after all others.
 func (c *Configuration) PriorityRank(name string) int {
 	if i := slices.Index(c.Manifest.Priorities, name); i >= 0 {
 		return i
@@ -120,40 +121,40 @@
 	return len(c.Manifest.Priorities)
 }
 
-// NonIdempotent tells whether a call of a service may not be repeated. A call that a
-// backend server might read as one that may not be repeated is taken for one,
-// however its path and method are spelt: the wrong guess here bills or ships
-// twice.
+// NonIdempotent reports whether a call of a service is not idempotent, so that it may not be
+// repeated. The case of the method and the path is ignored, and all variants of the path
+// are matched that a backend server might normalize to a path of a rule: repeating a call
+// that is not idempotent could bill or ship twice.
 func (c *Configuration) NonIdempotent(service, method, requestPath string) bool {
 	s, ok := c.services[service]
 	return ok && s.nonIdempotent(method, requestPath)
 }
 
-// AllowsModel tells whether the workspace may use a model.
+// AllowsModel reports whether the workspace may use a model.
 func (w *Workspace) AllowsModel(name string) bool {
 	return len(w.Models) == 0 || slices.Contains(w.Models, name)
 }
 
-// HasAdapter tells whether the model has an adapter; every model has the empty
-// one.
+// HasAdapter reports whether the model has an adapter. The empty name means no adapter
+// and is valid for every model.
 func (m *Model) HasAdapter(name string) bool {
 	return name == "" || slices.Contains(m.Adapters, name)
 }
 
-// AllowsService tells whether the workspace may use a plain service.
+// AllowsService reports whether the workspace may use a plain service.
 func (w *Workspace) AllowsService(name string) bool {
 	return len(w.Services) == 0 || slices.Contains(w.Services, name)
 }
 
 func (s *Service) nonIdempotent(method, requestPath string) bool {
-	spellings := pathVariants(requestPath)
+	variants := pathVariants(requestPath)
 	for _, r := range s.Once {
 		if r.Method != "" && !strings.EqualFold(r.Method, method) {
 			continue
 		}
 		prefix := strings.ToLower(r.Path)
-		for _, path := range spellings {
-			if strings.HasPrefix(path, prefix) {
+		for _, variant := range variants {
+			if strings.HasPrefix(variant, prefix) {
 				return true
 			}
 		}
@@ -161,9 +162,9 @@
 	return false
 }
 
-// pathVariants gives the paths that a backend server might read: as it came,
-// with its percent signs decoded, more than once if need be, and each without
-// dots and double slashes; all in lower case.
+// pathVariants returns the paths, in lower case, that a backend server might derive from
+// a request path: the path itself and its repeated percent-decodings, each of them also
+// without dot segments and double slashes, and with a trailing slash.
 func pathVariants(requestPath string) []string {
 	var all []string
 	for range maxDecodedPaths {
--- a/internal/state/beechmanifest/doc.go
+++ b/internal/state/beechmanifest/doc.go
@@ -1,24 +1,24 @@
-// Package beechmanifest holds the operators' configuration: its form, its
-// checks, how it is published through the platform's service and how a
-// process keeps the one in force.
+// Package beechmanifest defines the operators' configuration, the manifest: its
+// JSON format, its validation, its publication through the platform's key-value
+// service, and the manifest that is active in a process.
 //
-// A manifest is JSON. Parse checks it against manifest.schema.json and then
-// across fields; each problem names the field, what is wrong with its value
-// and what is allowed. Compile makes a Configuration of it, which answers the
-// questions asked on the path of each request.
+// Parse validates a manifest against manifest.schema.json and then checks the
+// fields against each other. Each problem names the field, what is wrong with its
+// value and what is allowed. Compile builds a Configuration, with the indexes that
+// are needed while a request is handled.
 //
-// In the platform's service the manifest is cut into parts, each under the
-// hash of its content, and one head key names the generation and its parts.
-// Publish writes the parts first and then moves the head by compare-and-swap,
-// so a reader sees the old generation or the new one, never a mixture. Each
-// Publish carries a random change id in the head. If the reply to the head's
-// write is lost, Publish reads the head back and looks for its own id; if that
-// fails too it answers Unknown, never a false yes or no.
+// In the key-value service, a manifest is split into parts, each stored under the
+// SHA-256 sum of its content. A single head key names the generation and its parts.
+// Publish writes the parts first and then replaces the head by compare-and-swap, so
+// a reader sees either the old generation or the new one, never a mixture. Each call
+// of Publish writes a random change ID into the head. If the reply to the write of
+// the head is lost, Publish reads the head back and looks for this ID. If that fails
+// too, it returns Unknown rather than a wrong success or failure.
 //
-// A Holder is what one process has in force. It takes only newer generations,
-// whoever offers them: the Watcher, which follows the head, or a peer that
-// hands over what it has. A service that is down and a value that is corrupt,
-// of a newer format or incomplete change nothing in a Holder.
+// A Holder keeps the manifest that is active in a process. It accepts only newer
+// generations, which come from the Watcher of the head or from a peer. The active
+// manifest is kept while the key-value service is down, and when a stored value is
+// corrupt, incomplete or of a newer format.
 //
 // # Usage
 //
--- a/internal/state/beechmanifest/duration.go
+++ b/internal/state/beechmanifest/duration.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// MarshalJSON writes the duration as text, such as "1.3s".
+// MarshalJSON encodes the duration as text, such as "1.3s".
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(d).String())
 }
 
-// UnmarshalJSON reads what time.ParseDuration reads.
+// UnmarshalJSON decodes text in the format of time.ParseDuration.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/state/beechmanifest/head.go
+++ b/internal/state/beechmanifest/head.go
@@ -17,30 +17,31 @@
 )
 
 type (
-	// head is the one value that says which manifest is published.
+	// head is the value under HeadKey, which determines the published manifest.
 	head struct {
 		Generation uint64   `json:"generation"`
-		Change     string   `json:"change"` // random, one for each Publish
-		Parts      []string `json:"parts"`  // sums; the first is the base, the others workspaces
-		Retired    []string `json:"retired,omitempty"`
+		Change     string   `json:"change"`            // random ID of the call of Publish
+		Parts      []string `json:"parts"`             // SHA-256 sums; the first part is the base, the others hold workspaces
+		Retired    []string `json:"retired,omitempty"` // sums of the parts of the previous head that this one does not have
 		History    []Change `json:"history"`
 	}
 
-	// Change is one accepted generation in the history.
+	// Change is an accepted generation in the history of a head.
 	Change struct {
 		Generation uint64    `json:"generation"`
 		ID         string    `json:"change"`
 		At         time.Time `json:"at"`
-		Sum        string    `json:"sum"` // SHA-256 of the whole manifest
+		Sum        string    `json:"sum"` // SHA-256 sum of the whole manifest
 	}
 
-	// part is a piece of a manifest under the hash of its content.
+	// part is a part of a manifest, identified by the SHA-256 sum of its content.
 	part struct {
 		sum  string
 		data []byte
 	}
 
-	// MissingPart says that the head names a part that is not in the service.
+	// MissingPart is the error if the head names a part that is not in the key-value
+	// service.
 	MissingPart struct {
 		Generation uint64
 		Sum        string
@@ -48,7 +49,7 @@
 )
 
 const (
-	// HeadKey is the key of the published manifest's head.
+	// HeadKey is the key of the head of the published manifest.
 	HeadKey = "manifest/head"
 
 	partPrefix        = "manifest/part/"
@@ -59,12 +60,12 @@
 	changeIDBytes     = 16
 )
 
-// ErrNone says that no manifest has been published.
+// ErrNone is the error if no manifest has been published.
 var ErrNone = errors.New("no manifest has been published")
 
-// Error gives the generation and the part.
+// Error names the generation and the part.
 func (e MissingPart) Error() string {
-	return fmt.Sprintf("manifest generation %d: its part %s is missing in the platform's service", e.Generation, e.Sum)
+	return fmt.Sprintf("manifest generation %d: part %s is missing in the platform's key-value service", e.Generation, e.Sum)
 }
 
 func partKey(sum string) string { return partPrefix + sum }
@@ -87,14 +88,13 @@
 	var h head
 	err := beechstore.Unseal(v.Key, v.Data, headFormat, &h)
 	if err == nil && (h.Generation == 0 || len(h.Parts) == 0) {
-		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it names no generation or no part")}
+		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it has no generation or no parts")}
 	}
 	return h, err
 }
 
-// canonical is the manifest with its workspaces in the order of their names:
-// the order says nothing, and parts made of it then differ only where the
-// manifest does.
+// canonical returns the manifest with its workspaces sorted by name. Their order has no
+// meaning, and sorted ones give different parts only where the manifests differ.
 func canonical(m *Manifest) *Manifest {
 	n := *m
 	n.Workspaces = slices.Clone(m.Workspaces)
@@ -102,9 +102,9 @@
 	return &n
 }
 
-// split divides a normal manifest: everything but the workspaces is the first
-// part, the workspaces go by the hash of their names into a power of two of
-// buckets, so that a change of one workspace changes one small part.
+// split divides a canonical manifest into parts. The first part holds everything except
+// the workspaces. The others are buckets of workspaces by the hash of their names, so that
+// a change of one workspace changes one small part.
 func split(m *Manifest) ([]part, error) {
 	base := *m
 	base.Workspaces = nil
@@ -124,6 +124,7 @@
 	return parts, nil
 }
 
+// bucketWorkspaces returns the non-empty buckets out of a power of two of them.
 func bucketWorkspaces(workspaces []Workspace) [][]Workspace {
 	n := 1
 	for n*workspacesPerPart < len(workspaces) && n < maxBuckets {
@@ -148,7 +149,7 @@
 	return part{sum: sumOf(data), data: data}, nil
 }
 
-// join is the reverse of cut.
+// join is the inverse of split.
 func join(parts []part) (*Manifest, error) {
 	var m Manifest
 	for i, p := range parts {
--- a/internal/state/beechmanifest/history_test.go
+++ b/internal/state/beechmanifest/history_test.go
@@ -20,7 +20,7 @@
 )
 
 type (
-	// headState is what a linearizable head would hold.
+	// headState is the state of the head in the linearizability model.
 	headState struct {
 		generation uint64
 		sum        string
@@ -33,8 +33,8 @@
 
 	readInput struct{}
 
-	// fleet is one random run: operators that publish, readers and processes
-	// that follow, all on one service through faults of their own.
+	// fleet is the state of one random run, in which operators publish, readers load and
+	// processes follow the head. Each client uses the same store with its own faults.
 	fleet struct {
 		t     *testing.T
 		seed  uint64
@@ -45,7 +45,7 @@
 
 		mu      sync.Mutex
 		history []porcupine.Operation
-		sums    map[uint64]string // what processes had in force, by generation
+		sums    map[uint64]string // of the manifests that were active in processes, by generation
 	}
 )
 
@@ -60,10 +60,10 @@
 
 var runs = flag.Int("runs", 1000, "random runs of each history test")
 
-// Operators race one another while replies of the service are lost, writes
-// arrive late, processes stall and the service goes down. If two changes were
-// accepted on one base, or an accepted one were lost, one half of the
-// deployment would bill by a manifest that its operators believe replaced.
+// Operators publish concurrently while replies are lost, writes arrive late, processes
+// stall and the key-value service goes down. If two changes were accepted on the same base,
+// or an accepted one were lost, some processes would use a manifest that the operators
+// believe to be replaced.
 func TestHeadHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(*runs) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -73,7 +73,7 @@
 }
 
 func runFleet(t *testing.T, seed uint64) {
-	clock := clockwork.NewRealClock() // virtual here
+	clock := clockwork.NewRealClock() // uses the virtual time of synctest
 	f := &fleet{t: t, seed: seed, clock: clock, fake: beechstore.NewFake(clock), sums: map[uint64]string{}}
 	ctx, cancel := context.WithTimeout(t.Context(), randomRunLength)
 	for i := range operators {
@@ -151,7 +151,7 @@
 	}
 }
 
-// follow is a process that watches, and now and then restarts.
+// follow runs a process that watches the head and restarts at random times.
 func (f *fleet) follow(ctx context.Context, client int) {
 	r, store := f.rng(client), f.store(client)
 	for ctx.Err() == nil {
@@ -176,7 +176,7 @@
 func (f *fleet) checkActive(h *Holder, last uint64) uint64 {
 	g, data := h.Encoded()
 	if g < last {
-		f.t.Errorf("a process went back from generation %d to %d", last, g)
+		f.t.Errorf("a process returned from generation %d to %d", last, g)
 	}
 	if g == 0 {
 		return last
@@ -184,7 +184,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if sum, ok := f.sums[g]; ok && sum != sumOf(data) {
-		f.t.Errorf("generation %d had two contents in force", g)
+		f.t.Errorf("generation %d was active with two different contents", g)
 	}
 	f.sums[g] = sumOf(data)
 	return g
@@ -193,7 +193,7 @@
 func (f *fleet) record(client int, call int64, in, out any) {
 	end := f.ticks.Add(1)
 	if _, ok := out.(Unknown); ok {
-		end = math.MaxInt64 // it may yet take effect
+		end = math.MaxInt64 // it may still take effect
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,17 +216,17 @@
 	}
 	for i, c := range changes {
 		if c.Generation != uint64(i+1) {
-			f.t.Errorf("history lists generation %d in place %d", c.Generation, i)
+			f.t.Errorf("history lists generation %d at index %d", c.Generation, i)
 		}
 		if sum, ok := f.sums[c.Generation]; ok && sum != c.Sum {
-			f.t.Errorf("generation %d in force is not the accepted one", c.Generation)
+			f.t.Errorf("the active manifest of generation %d is not the accepted one", c.Generation)
 		}
 	}
 	if _, _, err := Load(context.Background(), f.fake); err != nil && !errors.Is(err, ErrNone) {
 		f.t.Errorf("the published manifest cannot be read at the end: %v", err)
 	}
 	if n := uint64(len(changes)); n > 0 && f.sums[n] == "" {
-		f.t.Errorf("generation %d is in force nowhere", n)
+		f.t.Errorf("generation %d is not active in any process", n)
 	}
 }
 
@@ -264,7 +264,7 @@
 	return []any{s}
 }
 
-// variant cycles through few contents, so that parts retire and come back.
+// variant returns one of a few manifests, so that parts become unused and are used again.
 func variant(i int) *Manifest {
 	m := &Manifest{
 		Deployment: "random",
--- a/internal/state/beechmanifest/holder.go
+++ b/internal/state/beechmanifest/holder.go
@@ -8,8 +8,8 @@
 )
 
 type (
-	// Holder is the configuration that a process has in force. The generation
-	// only grows. All methods may be called at once.
+	// Holder keeps the active configuration of a process. Its generation never
+	// decreases. It is safe for concurrent use.
 	Holder struct {
 		active atomic.Pointer[active]
 
@@ -17,6 +17,7 @@
 		changed chan struct{}
 	}
 
+	// active is a configuration with the encoded manifest that it was built from.
 	active struct {
 		configuration *Configuration
 		data          []byte
@@ -24,12 +25,12 @@
 	}
 )
 
-// NewHolder starts without a configuration.
+// NewHolder returns a Holder without a configuration.
 func NewHolder() *Holder {
 	return &Holder{changed: make(chan struct{})}
 }
 
-// Current gives the configuration in force, nil before the first.
+// Current returns the active configuration, or nil if there is none yet.
 func (h *Holder) Current() *Configuration {
 	if v := h.active.Load(); v != nil {
 		return v.configuration
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// Generation gives the generation in force, 0 before the first.
+// Generation returns the active generation, or 0 if there is none yet.
 func (h *Holder) Generation() uint64 {
 	if c := h.Current(); c != nil {
 		return c.Generation
@@ -45,8 +46,8 @@
 	return 0
 }
 
-// Encoded gives the generation in force and its manifest as a peer's Offer
-// takes it; nil before the first.
+// Encoded returns the active generation and its encoded manifest, for Offer in a peer. The
+// manifest is nil if there is none yet.
 func (h *Holder) Encoded() (uint64, []byte) {
 	if v := h.active.Load(); v != nil {
 		return v.configuration.Generation, v.data
@@ -54,19 +55,19 @@
 	return 0, nil
 }
 
-// Changed gives a channel that closes with the next change. Ask for it before
-// Current, or a change between the two is missed.
+// Changed returns a channel that is closed at the next change. Call it before Current, or
+// a change between the two calls is missed.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// Offer puts a manifest in force if its generation is newer, and tells
-// whether it did. An older one is passed over without an error. A manifest
-// that cannot be read is refused, as is another one under the generation in
-// force; what is in force then stays. Data must have been through Parse, as
-// all that Publish accepts has, and is not to be changed afterwards.
+// Offer activates a manifest if its generation is newer than the active one, and reports
+// whether it did. An older generation is ignored without an error. A manifest that cannot
+// be decoded, and a different manifest with the active generation, are errors and leave
+// the active manifest unchanged. Data must have been validated with Parse, as Publish does,
+// and must not be modified afterwards.
 func (h *Holder) Offer(generation uint64, data []byte) (bool, error) {
 	sum := sha256.Sum256(data)
 	if now := h.active.Load(); now != nil && generation <= now.configuration.Generation {
@@ -74,7 +75,7 @@
 	}
 	m, err := decode(data)
 	if err != nil {
-		return false, fmt.Errorf("offer of generation %d: %w", generation, err)
+		return false, fmt.Errorf("activate manifest generation %d: %w", generation, err)
 	}
 	next := &active{configuration: Compile(m, generation), data: data, sum: sum}
 	h.mu.Lock()
@@ -90,7 +91,7 @@
 
 func (v *active) checkSameContent(generation uint64, sum [sha256.Size]byte) error {
 	if generation == v.configuration.Generation && sum != v.sum {
-		return fmt.Errorf("offer of generation %d: its content differs from what is in force under this generation", generation)
+		return fmt.Errorf("activate manifest generation %d: its content differs from the active manifest of the same generation", generation)
 	}
 	return nil
 }
--- a/internal/state/beechmanifest/holder_test.go
+++ b/internal/state/beechmanifest/holder_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Old and new generations reach a process in any order, from the service and
-// from peers, some of them damaged. A process that went back would bill by
-// last week's limits.
+// Generations reach a process in any order, from the key-value service and from peers, and
+// some of them are damaged. A process that returned to an older generation would apply
+// outdated limits.
 func TestHolderGenerationNeverDecreases(t *testing.T) {
 	good := [][]byte{}
 	for i := range 4 {
@@ -44,13 +44,13 @@
 				data := rapid.SampledFrom(good).Draw(t, "data")
 				cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 				if accepted, err := h.Offer(generation+1, data[:cut]); accepted || err == nil {
-					t.Fatal("a truncated manifest was taken")
+					t.Fatal("a truncated manifest was accepted")
 				}
 			},
 			"": func(t *rapid.T) {
 				g, data := h.Encoded()
 				if g != generation || string(data) != string(inForce) || h.Generation() != generation {
-					t.Fatalf("in force is %d, want %d", g, generation)
+					t.Fatalf("generation %d is active, want %d", g, generation)
 				}
 			},
 		})
--- a/internal/state/beechmanifest/load.go
+++ b/internal/state/beechmanifest/load.go
@@ -10,21 +10,22 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// loader reads published manifests. It has the parts that it has read, so that
-// a change costs a read of the head and of the parts that changed, and a
-// manifest of more parts than the budget of calls allows at once is loaded by
-// several tries, each going on where the last one ended.
+// loader reads published manifests. It caches the parts of the last head, so a change
+// costs reads of the head and of the changed parts only. A load that fails also keeps
+// the parts that it has read, and the next attempt reads only the others: a manifest
+// may have more parts than the call budget allows at once.
 type loader struct {
 	store beechstore.Store
-	parts map[string][]byte
+	parts map[string][]byte // by SHA-256 sum
 	clock clockwork.Clock
 }
 
+// maxLoadAttempts bounds how often a load starts again because the head has changed.
 const maxLoadAttempts = 4
 
-// Load reads the published manifest. The error is ErrNone if there is none,
-// and beechstore.CorruptValue, beechstore.NewerFormat, MissingPart or Invalid
-// if it cannot be used.
+// Load reads the published manifest and its generation. The error is ErrNone if there is
+// none, and beechstore.CorruptValue, beechstore.NewerFormat, MissingPart or Invalid if it
+// cannot be used.
 func Load(ctx context.Context, store beechstore.Store) (uint64, *Manifest, error) {
 	l := &loader{store: store, clock: clockwork.NewRealClock()}
 	v, err := store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
@@ -39,8 +40,8 @@
 	return generation, m, err
 }
 
-// load reads what the head v names, encoded as Parse reads it. If a part is
-// gone because the head has moved on meanwhile, the newer head is taken.
+// load reads the manifest of the head v and returns it encoded as by Encode. If a part was
+// deleted because a newer head was published meanwhile, it loads the newer one.
 func (l *loader) load(ctx context.Context, v beechstore.Value) (uint64, []byte, error) {
 	for try := 1; ; try++ {
 		h, err := decodeHead(v)
@@ -80,7 +81,7 @@
 		return nil, err
 	}
 	if sum := sumOf(data); len(h.History) > 0 && h.History[len(h.History)-1].Sum != sum {
-		return nil, beechstore.CorruptValue{Key: HeadKey, Err: fmt.Errorf("its parts make a manifest of sum %s, not of the one it names", sum)}
+		return nil, beechstore.CorruptValue{Key: HeadKey, Err: fmt.Errorf("the manifest assembled from its parts has the SHA-256 sum %s, which is not the one in its history", sum)}
 	}
 	return data, nil
 }
@@ -107,15 +108,15 @@
 		return nil, MissingPart{Generation: generation, Sum: sum}
 	}
 	if got := sumOf(v.Data); got != sum {
-		return nil, beechstore.CorruptValue{Key: v.Key, Err: fmt.Errorf("its content has the sum %s", got)}
+		return nil, beechstore.CorruptValue{Key: v.Key, Err: fmt.Errorf("its content has the SHA-256 sum %s", got)}
 	}
 	return v.Data, nil
 }
 
-// getWithinBudget waits for the budget of calls. A manifest of thousands of workspaces
-// has more parts than a process may read at once; given up on and begun anew
-// each time it would never be read, and a process without a configuration would
-// stay so.
+// getWithinBudget reads a value and waits while the call budget is exhausted. A manifest
+// with thousands of workspaces has more parts than a process may read at once. If a load
+// failed at the end of the budget and started again each time, it might never finish, and
+// a process that has just started would never get a configuration.
 func (l *loader) getWithinBudget(ctx context.Context, key string) (beechstore.Value, error) {
 	for {
 		v, err := l.store.Get(ctx, key, beechstore.ImportanceConfiguration)
--- a/internal/state/beechmanifest/number.go
+++ b/internal/state/beechmanifest/number.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// maxNumberLength is longer than any number that a manifest needs.
+// maxNumberLength is the longest accepted number, in characters. No valid number in a
+// manifest is longer.
 const maxNumberLength = 20
 
-// checkNumbers refuses numbers with an exponent or very many digits, before
-// the schema compares them exactly: 1e999999 would take the comparison
-// seconds and megabytes, and a few such lines would stop a whole process.
+// checkNumbers rejects numbers with an exponent or too many digits before the schema is
+// validated. Validation compares numbers exactly: for 1e999999 that takes seconds and
+// megabytes, and a few such numbers would block the whole process.
 func checkNumbers(field string, value any) []Problem {
 	switch v := value.(type) {
 	case json.Number:
--- a/internal/state/beechmanifest/parse.go
+++ b/internal/state/beechmanifest/parse.go
@@ -10,13 +10,13 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// MaxBytes is the size of the largest manifest that Parse reads.
+// MaxBytes is the size of the largest manifest that Parse accepts.
 const MaxBytes = 32 << 20
 
-var errTrailingData = errors.New("something follows the manifest")
+var errTrailingData = errors.New("unexpected data after the manifest")
 
-// Parse reads and checks a manifest. The error is Invalid, with every problem
-// found. Absent weights of workspaces become 1.
+// Parse decodes and validates a manifest. The error is of type Invalid and lists every
+// problem found. The weight of a workspace defaults to 1.
 func Parse(data []byte) (*Manifest, error) {
 	if problem, ok := checkEncoding(data); !ok {
 		return nil, Invalid{Problems: []Problem{problem}}
@@ -34,9 +34,9 @@
 	return decode(data)
 }
 
-// decode reads a manifest that its publisher has put through Parse: it checks
-// all but the schema, which at 9,300 workspaces takes several times longer
-// than the rest and would be paid by each process for each change.
+// decode decodes a manifest that its publisher has validated with Parse. It omits only the
+// validation against the schema: at 9,300 workspaces that takes several times longer than
+// the rest, and each process would repeat it for each change.
 func decode(data []byte) (*Manifest, error) {
 	var m Manifest
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -56,8 +56,8 @@
 	return &m, nil
 }
 
-// Encode writes the manifest as Parse reads it: lists that are absent become
-// empty ones.
+// Encode encodes a manifest for Parse. Nil lists that the schema requires are encoded as
+// empty lists.
 func Encode(m *Manifest) ([]byte, error) {
 	full := *m
 	emptyIfNil(&full.Models)
@@ -89,15 +89,15 @@
 }
 
 func invalidJSON(err error) error {
-	return Invalid{Problems: []Problem{{Field: "manifest", Wrong: "cannot be read: " + err.Error(), Allowed: "one JSON object in UTF-8"}}}
+	return Invalid{Problems: []Problem{{Field: "manifest", Wrong: "cannot be decoded: " + err.Error(), Allowed: "one JSON object in UTF-8"}}}
 }
 
-// decodeError covers numbers that are whole by the schema but not as Go reads
-// them, such as 3.0.
+// decodeError converts an error of the JSON decoder. The decoder rejects some values that
+// the schema accepts, such as 3.0 as an integer.
 func decodeError(err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
-		return Invalid{Problems: []Problem{{Field: wrongType.Field, Wrong: "the " + wrongType.Value + " does not fit", Allowed: "a plain " + wrongType.Type.String()}}}
+		return Invalid{Problems: []Problem{{Field: wrongType.Field, Wrong: "cannot decode the " + wrongType.Value, Allowed: "a plain " + wrongType.Type.String()}}}
 	}
 	return invalidJSON(err)
 }
--- a/internal/state/beechmanifest/parse_test.go
+++ b/internal/state/beechmanifest/parse_test.go
@@ -45,8 +45,8 @@
 	is.True(!once.NonIdempotent("catalogue", "POST", "/anything"))
 }
 
-// An operator's pipeline generates a wrong field. Without the field's name and
-// what is allowed, somebody has to read a schema while parcels wait.
+// An operator's pipeline generates an invalid field. The error must name the field and
+// what is allowed, so that operators can correct it without reading the schema.
 func TestParseNamesFieldValueAndAllowed(t *testing.T) {
 	cases := []struct {
 		name, old, with string
@@ -112,8 +112,8 @@
 	}
 }
 
-// An operator pastes a bearer key where its SHA-256 belongs. The refusal goes
-// to logs and to the pipeline's output, where the key must not be read.
+// An operator enters a bearer key instead of its SHA-256 sum. The error goes to logs and
+// to the output of the pipeline, so it must not contain the key.
 func TestParseHidesMisplacedKey(t *testing.T) {
 	is := is.New(t)
 	good := string(example(t, "granite-loop"))
@@ -144,16 +144,16 @@
 	is.Equal(c.PriorityRank("nobody's"), 3)
 }
 
-// A caller writes the path of a charge in another way that the backend server
-// reads as the same path. If it were not seen as a charge, a retry would bill
-// a member twice.
+// A caller sends a variant of a path that the backend server normalizes to the path of a
+// charge. If the call were not recognized as non-idempotent, a retry would bill a member
+// twice.
 func TestNonIdempotentMatchesPathVariants(t *testing.T) {
 	is := is.New(t)
 	m, err := Parse(example(t, "granite-loop"))
 	is.NoErr(err)
 	c := Compile(m, 1)
 	for _, path := range []string{"/charges", "//charges", "/x/../charges", "/./charges/9", "charges", "/charges/", "/%63harges", "/CHARGES"} {
-		is.True(c.NonIdempotent("billing", "post", path)) // each is a charge to some server
+		is.True(c.NonIdempotent("billing", "post", path)) // some backend servers treat each as /charges
 	}
 	is.True(!c.NonIdempotent("billing", "GET", "/charges"))
 	is.True(!c.NonIdempotent("nothing", "POST", "/charges"))
@@ -169,17 +169,17 @@
 		if err != nil {
 			var invalid Invalid
 			if !errors.As(err, &invalid) || len(invalid.Problems) == 0 || err.Error() == "" {
-				t.Fatalf("refused without a problem: %v", err)
+				t.Fatalf("refused without listing a problem: %v", err)
 			}
 			return
 		}
 		Compile(m, 1)
 		again, err := Encode(m)
 		if err != nil || !json.Valid(again) {
-			t.Fatalf("accepted but not encoded: %v", err)
+			t.Fatalf("accepted but cannot be encoded: %v", err)
 		}
 		if _, err := Parse(again); err != nil {
-			t.Fatalf("its own encoding is refused: %v", err)
+			t.Fatalf("the encoding of an accepted manifest is refused: %v", err)
 		}
 	})
 }
--- a/internal/state/beechmanifest/problem.go
+++ b/internal/state/beechmanifest/problem.go
@@ -6,14 +6,14 @@
 )
 
 type (
-	// Problem is one thing wrong with a manifest.
+	// Problem is an error in one field of a manifest.
 	Problem struct {
 		Field   string // such as workspaces/2/priority
 		Wrong   string // what is wrong with the value
 		Allowed string // what is allowed
 	}
 
-	// Invalid says that a manifest is refused, and why. It is never empty.
+	// Invalid is the error for a refused manifest. It lists at least one problem.
 	Invalid struct {
 		Problems []Problem
 	}
@@ -21,12 +21,12 @@
 
 const maxProblemsShown = 20
 
-// String gives the field, what is wrong and what is allowed.
+// String formats the problem as one line.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s: %s; allowed: %s", p.Field, p.Wrong, p.Allowed)
 }
 
-// Error lists the problems, one a line, up to a bound.
+// Error lists the first maxProblemsShown problems, each on its own line.
 func (e Invalid) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for i, p := range e.Problems {
--- a/internal/state/beechmanifest/publish.go
+++ b/internal/state/beechmanifest/publish.go
@@ -14,40 +14,40 @@
 )
 
 type (
-	// Outcome of Publish: Accepted, Conflict, Unknown or Refused.
+	// Outcome is the result of Publish or Restore: Accepted, Conflict, Unknown or Refused.
 	Outcome interface{ outcome() }
 
-	// Accepted says that the manifest is published as Generation.
+	// Accepted means that the manifest was published as Generation.
 	Accepted struct{ Generation uint64 }
 
-	// Conflict says that another change came first; nothing was changed.
-	// Current is the generation published now.
+	// Conflict means that another change was published first, and that this one
+	// was not. Current is the published generation.
 	Conflict struct{ Current uint64 }
 
-	// Unknown says that the write of the head may have taken effect, or may
-	// yet. The history tells in time, by Change.
+	// Unknown means that the write of the head may have taken effect, or may still do
+	// so. If it does, Change is in the history.
 	Unknown struct {
 		Change string
 		Err    error
 	}
 
-	// Refused says that nothing was changed, and why.
+	// Refused means that nothing was published. Err is the reason.
 	Refused struct{ Err error }
 
-	// publication is one Publish under way.
+	// publication is the state of one call of Publish or Restore.
 	publication struct {
 		store   beechstore.Store
 		clock   clockwork.Clock
 		base    uint64
-		restore bool // the old head may be lost or corrupt
+		restore bool // the old head is expected to be missing or corrupt
 		old     head
-		value   beechstore.Value // of the old head
+		value   beechstore.Value // stored value of the old head
 		next    head
 		parts   []part
 	}
 
-	// staleKey is a key to delete, at the version it had before the head
-	// moved.
+	// staleKey is a key to delete, with the version that it had before the head was
+	// replaced.
 	staleKey struct {
 		key     string
 		version uint64
@@ -59,21 +59,21 @@
 	maxConcurrentParts = 8
 )
 
-var errHeadReadable = errors.New("the published head can be read, so there is nothing to restore")
+var errHeadReadable = errors.New("nothing to restore: the published head can be read")
 
-// Publish makes m the generation after base, 0 for the first. It ends by
-// ctx's deadline at the latest.
+// Publish publishes m as the generation after base, which is 0 for the first one. It
+// returns by the deadline of ctx at the latest.
 func Publish(ctx context.Context, store beechstore.Store, clock clockwork.Clock, base uint64, m *Manifest) Outcome {
 	p := &publication{store: store, clock: clock, base: base}
 	return p.run(ctx, m)
 }
 
-// Restore makes m the generation after inForce where the head is lost or
-// corrupt, and changes nothing where it can be read. Processes take only
-// newer generations, so inForce must be the newest that any of them reports;
-// the history begins anew.
-func Restore(ctx context.Context, store beechstore.Store, clock clockwork.Clock, inForce uint64, m *Manifest) Outcome {
-	p := &publication{store: store, clock: clock, base: inForce, restore: true}
+// Restore publishes m as the generation after activeGeneration if the head is missing or
+// corrupt. If the head can be read, it changes nothing. Processes accept only newer
+// generations, so activeGeneration must be the newest that any of them reports. The history
+// starts again with the new generation.
+func Restore(ctx context.Context, store beechstore.Store, clock clockwork.Clock, activeGeneration uint64, m *Manifest) Outcome {
+	p := &publication{store: store, clock: clock, base: activeGeneration, restore: true}
 	return p.run(ctx, m)
 }
 
@@ -98,8 +98,8 @@
 	return o
 }
 
-// History gives the accepted generations that are still listed, the oldest
-// first.
+// History returns the last accepted generations, the oldest first. The head lists at most
+// maxHistory of them.
 func History(ctx context.Context, store beechstore.Store) ([]Change, error) {
 	v, err := store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
 	if err != nil {
@@ -112,8 +112,8 @@
 	return h.History, err
 }
 
-// Published gives the newest accepted generation by one read, 0 if there is
-// none.
+// Published returns the newest accepted generation, or 0 if there is none. It costs one
+// read.
 func Published(ctx context.Context, store beechstore.Store) (uint64, error) {
 	changes, err := History(ctx, store)
 	if err != nil || len(changes) == 0 {
@@ -146,15 +146,16 @@
 			p.next.Retired = append(p.next.Retired, sum)
 		}
 	}
-	done := Change{Generation: p.next.Generation, ID: p.next.Change, At: p.clock.Now().UTC(), Sum: sumOf(data)}
-	p.next.History = append(slices.Clone(p.old.History), done)
+	change := Change{Generation: p.next.Generation, ID: p.next.Change, At: p.clock.Now().UTC(), Sum: sumOf(data)}
+	p.next.History = append(slices.Clone(p.old.History), change)
 	if drop := len(p.next.History) - maxHistory; drop > 0 {
 		p.next.History = p.next.History[drop:]
 	}
 	return nil
 }
 
-// readHead keeps the value for the swap; without a head the old one is zero.
+// readHead reads the old head and keeps its value for the compare-and-swap. It returns the
+// zero head if none is published.
 func (p *publication) readHead(ctx context.Context) (head, error) {
 	err := p.retryOverBudget(ctx, func() (err error) {
 		p.value, err = p.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
@@ -176,7 +177,8 @@
 	return h, err
 }
 
-// retryOverBudget waits for the budget of calls rather than give up half-way.
+// retryOverBudget repeats a call while the call budget is exhausted, so that a publication
+// is not abandoned halfway.
 func (p *publication) retryOverBudget(ctx context.Context, call func() error) error {
 	for {
 		err := call()
@@ -192,7 +194,7 @@
 	}
 }
 
-// writeParts makes sure of each part, a few at a time.
+// writeParts calls ensurePart for each part, a few of them concurrently.
 func (p *publication) writeParts(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(maxConcurrentParts)
@@ -207,11 +209,11 @@
 	return g.Wait()
 }
 
-// ensurePart reads a part that the old head names: if it were lost or damaged,
-// the generation would be accepted but no process could take it. A part that
-// the old head does not name is written even if it is there already: the
-// write gives it a new version, and so another publisher that is about to
-// delete it as stale, at the version it saw, cannot.
+// ensurePart makes sure that a part is stored. A part that the old head names is read and,
+// if it is missing or damaged, written again; otherwise the generation would be accepted
+// but no process could load it. Any other part is written even if it is stored already:
+// the write changes its version, so that another publisher cannot delete it as stale at
+// the version that it read before.
 func (p *publication) ensurePart(ctx context.Context, x part) error {
 	if !slices.Contains(p.old.Parts, x.sum) {
 		return p.writePart(ctx, x)
@@ -250,9 +252,9 @@
 	return err
 }
 
-// findStale reads, before the head moves, the versions of the parts that the head
-// before the last one named: those of the last one are kept for readers that
-// are under way.
+// findStale reads, before the head is replaced, the versions of the parts to delete. These
+// are the parts that the head before the old one was the last to name. The parts of the
+// old head are kept for processes that are still reading them.
 func (p *publication) findStale(ctx context.Context) ([]staleKey, error) {
 	var keys []staleKey
 	for _, sum := range p.old.Retired {
@@ -274,7 +276,8 @@
 	return keys, nil
 }
 
-// deleteStale deletes stale parts; one that stays only takes room.
+// deleteStale deletes stale parts. Errors are ignored, as a part that remains only takes
+// up space.
 func (p *publication) deleteStale(ctx context.Context, stale []staleKey) {
 	for _, s := range stale {
 		_ = p.retryOverBudget(ctx, func() error {
--- a/internal/state/beechmanifest/publish_test.go
+++ b/internal/state/beechmanifest/publish_test.go
@@ -16,7 +16,7 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// manifestOfSize is a manifest with n workspaces.
+// manifestOfSize returns a manifest with n workspaces.
 func manifestOfSize(n int) *Manifest {
 	m := variant(0)
 	m.Workspaces = nil
@@ -33,11 +33,12 @@
 	t.Helper()
 	o := Publish(context.Background(), store, clockwork.NewRealClock(), base, m)
 	if o != (Accepted{Generation: base + 1}) {
-		t.Fatalf("publish on %d: %T %+v", base, o, o)
+		t.Fatalf("publish on generation %d: %T %+v", base, o, o)
 	}
 }
 
-// corruptValue overwrites a key as a damaged service would.
+// corruptValue replaces the value of a key by change of it, or deletes the key if change returns
+// nil.
 func corruptValue(t *testing.T, store beechstore.Store, key string, change func([]byte) []byte) {
 	t.Helper()
 	ctx := context.Background()
@@ -64,10 +65,10 @@
 	m.Workspaces[17].MaxConcurrent++
 	mustPublish(t, store, 1, m)
 	after := store.Counts()
-	is.Equal(after.Writes-before.Writes, 2) // one part and the head
+	is.Equal(after.Writes-before.Writes, 2) // a part and the head
 	m.Workspaces[17].MaxConcurrent++
 	mustPublish(t, store, 2, m)
-	is.Equal(store.Counts().Writes-after.Writes, 3) // and a stale part deleted
+	is.Equal(store.Counts().Writes-after.Writes, 3) // a part and the head, and a stale part deleted
 	g, back, err := Load(context.Background(), store)
 	is.NoErr(err)
 	is.Equal(g, uint64(3))
@@ -77,10 +78,10 @@
 	is.Equal(encodedSum(back), encodedSum(m))
 }
 
-// A value in the service is damaged, or a newer version of the program has
-// written it, while processes run. They would serve by half a configuration,
-// or stop; instead each says what is wrong and serves by what it has, and
-// follows again once the value is mended.
+// A value in the key-value service is damaged, or was written by a newer version of the
+// program, while processes run. Each process must report the error and keep its active
+// configuration, rather than stop or use a part of the new one. Once the value is
+// repaired, it must follow the head again.
 func TestInvalidStoredValuesKeepActiveConfiguration(t *testing.T) {
 	part := func(store beechstore.Store, i int) string {
 		v, _ := store.Get(context.Background(), HeadKey, 0)
@@ -131,7 +132,7 @@
 				is.True(strings.Contains(w.Err().Error(), c.want))
 				reads := store.Counts().Reads
 				time.Sleep(time.Minute)
-				is.True(store.Counts().Reads-reads < 300) // paces itself while the value is bad
+				is.True(store.Counts().Reads-reads < 300) // at most 5 reads per second while the value is invalid
 
 				repairHead(t, store, c.key == nil)
 				time.Sleep(5 * time.Second)
@@ -143,8 +144,8 @@
 	}
 }
 
-// repairHead is what the operators do: publish again if the head can be read,
-// restore it if not.
+// repairHead repairs the stored manifest as operators do: it publishes again if the head can be
+// read, and restores the head if not.
 func repairHead(t *testing.T, store beechstore.Store, headIsBad bool) {
 	t.Helper()
 	if !headIsBad {
@@ -153,7 +154,7 @@
 	}
 	o := Publish(t.Context(), store, clockwork.NewRealClock(), 2, variant(1))
 	if _, ok := o.(Accepted); ok {
-		t.Fatal("published on a head that cannot be read")
+		t.Fatal("published although the head cannot be read")
 	}
 	o = Restore(t.Context(), store, clockwork.NewRealClock(), 2, variant(1))
 	var newer beechstore.NewerFormat
@@ -168,13 +169,13 @@
 		t.Fatalf("restore: %T %+v", o, o)
 	}
 	if _, ok := Restore(t.Context(), store, clockwork.NewRealClock(), 7, variant(1)).(Refused); !ok {
-		t.Fatal("restored over a head that can be read")
+		t.Fatal("restored although the head can be read")
 	}
 }
 
-// The reply to an operator's change is lost and the service stays down. A
-// pipeline that is told no would ship the change again, one that is told yes
-// would go on to the next; neither is known.
+// The reply to a write of the head is lost and the key-value service stays down. Publish
+// must return Unknown: after a reported failure a pipeline would publish the change again,
+// after a reported success it would go on to the next, and either may be wrong.
 func TestPublishReturnsUnknownIfOutcomeUnresolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,11 +189,12 @@
 		store.SetFaults(beechstore.Faults{})
 		changes, err := History(t.Context(), store)
 		is.NoErr(err)
-		is.Equal(changes[1].ID, o.(Unknown).Change) // it had taken effect
+		is.Equal(changes[1].ID, o.(Unknown).Change) // the write took effect
 	})
 }
 
-// lostHeadReply goes down with the first write of the head.
+// lostHeadReply is a store that loses the reply to the first write of the head and is then
+// down.
 type lostHeadReply struct{ *beechstore.Fake }
 
 func (c *lostHeadReply) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, i beechstore.Importance) (beechstore.Value, error) {
@@ -203,8 +205,8 @@
 	return c.Fake.CompareAndSwap(ctx, key, version, data, lease, i)
 }
 
-// The manifest of a pipeline gone wrong is larger than the service takes, or
-// its one workspace is. It is refused before anything is written.
+// A faulty pipeline generates a part that is larger than the key-value service accepts.
+// The manifest must be refused before anything is written.
 func TestPublishRefusesOversizedPart(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
@@ -225,8 +227,8 @@
 	is.Equal(store.Counts().Writes, writes)
 }
 
-// The service is down for an hour while a process runs. The process serves by
-// what it has and takes the change that was made meanwhile within seconds.
+// The key-value service is down for an hour. The process must keep its configuration, and
+// within seconds of the recovery apply a change.
 func TestWatcherRecoversAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,7 +244,7 @@
 		time.Sleep(time.Hour)
 		is.Equal(holder.Generation(), uint64(1))
 		is.True(w.Err() != nil)
-		is.True(store.Counts().Reads-reads < 2*3600) // no storm of tries
+		is.True(store.Counts().Reads-reads < 2*3600) // fewer than 2 attempts per second
 		store.SetFaults(beechstore.Faults{})
 		mustPublish(t, store, 1, variant(1))
 		time.Sleep(5 * time.Second)
@@ -252,9 +254,9 @@
 	})
 }
 
-// A process starts alone, without a peer to ask, and the manifest has more
-// parts than its budget of calls allows at once. If each try began anew it
-// would never have a configuration and never serve.
+// A process starts without peers, and the manifest has more parts than its call budget
+// allows at once. If each attempt started again from the first part, the process would
+// never get a configuration.
 func TestLargeManifestLoadsWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -271,7 +273,7 @@
 	})
 }
 
-// budgeted allows 50 reads a second.
+// budgeted is a store with a budget of 50 reads per second.
 type budgeted struct {
 	*beechstore.Fake
 	second time.Time
--- a/internal/state/beechmanifest/schema.go
+++ b/internal/state/beechmanifest/schema.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // for the schema
+	_ "embed" // for manifest.schema.json
 	"fmt"
 	"slices"
 	"strings"
@@ -14,7 +14,7 @@
 	"golang.org/x/text/message"
 )
 
-// schemaNode is the part of a schema that error messages are made of.
+// schemaNode holds the parts of a JSON Schema node that appear in error messages.
 type schemaNode struct {
 	description string
 	properties  []string
@@ -22,7 +22,7 @@
 
 const (
 	schemaURL     = "manifest.schema.json"
-	maxShownValue = 60 // characters of a wrong value in an error
+	maxShownValue = 60 // characters of an invalid value in an error message
 )
 
 var (
@@ -45,7 +45,7 @@
 	return c.MustCompile(schemaURL), document
 }
 
-// checkSchema gives one problem for each value that does not fit the schema.
+// checkSchema validates a manifest against the schema and returns all problems.
 func checkSchema(value any) []Problem {
 	schema, document := loadSchema()
 	err := schema.Validate(value)
@@ -54,7 +54,7 @@
 	}
 	invalid, ok := err.(*jsonschema.ValidationError)
 	if !ok {
-		return []Problem{{Field: "manifest", Wrong: err.Error(), Allowed: "a manifest as manifest.schema.json describes it"}}
+		return []Problem{{Field: "manifest", Wrong: err.Error(), Allowed: "a manifest that conforms to manifest.schema.json"}}
 	}
 	var problems []Problem
 	for _, leaf := range leafErrors(invalid) {
@@ -106,9 +106,9 @@
 	return problems
 }
 
-// describeValue gives the wrong value, shortened. What stands among the key sums is
-// not describeValue: an operator may have put a bearer key there by mistake, and the
-// error goes to logs.
+// describeValue formats an invalid value for an error message and truncates it. Values
+// in a list of keys are hidden: an operator may have entered a bearer key instead of its
+// SHA-256 sum, and error messages are logged.
 func describeValue(location []string, value any) string {
 	secret := slices.Contains(location, "keys")
 	for _, step := range location {
@@ -149,7 +149,8 @@
 	return nil
 }
 
-// findNode looks up the schema that a validation error points at.
+// findNode returns the schema node that a validation error refers to. Location is a URL
+// with a JSON pointer as its fragment.
 func findNode(document any, location string) schemaNode {
 	_, pointer, _ := strings.Cut(location, "#")
 	for _, step := range strings.Split(strings.Trim(pointer, "/"), "/") {
--- a/internal/state/beechmanifest/swap.go
+++ b/internal/state/beechmanifest/swap.go
@@ -13,12 +13,12 @@
 	swapRetryPause  = 50 * time.Millisecond
 )
 
-var errOutcomeUnresolved = errors.New("the head was still unsettled after the last try")
+var errOutcomeUnresolved = errors.New("no changed head could be read back after the last attempt")
 
-// swapHead swaps the head and settles what becomes of it. Sending the same
-// swap again after a lost reply is harmless: it has the same version and
-// content, so at most one of them takes effect. Once a reply was lost a
-// refusal is no longer an answer, since the lost one may still arrive.
+// swapHead replaces the head by compare-and-swap and determines the outcome. After a lost
+// reply it repeats the write, which is safe: the writes have the same version and content,
+// so at most one of them takes effect. Once a reply was lost, an error of a later attempt
+// does not prove that nothing was written, as the earlier write may still arrive.
 func (p *publication) swapHead(ctx context.Context) Outcome {
 	data, err := beechstore.Seal(headFormat, p.next)
 	if err != nil {
@@ -48,14 +48,16 @@
 		}
 	}
 	if !lost {
-		// Only conflicts whose winner could not be read: nothing was written.
+		// All attempts were conflicts, and the conflicting head could not be read, so
+		// nothing was written.
 		return Refused{Err: errors.Join(err, errOutcomeUnresolved)}
 	}
 	return Unknown{Change: p.next.Change, Err: errors.Join(err, errOutcomeUnresolved)}
 }
 
-// resolveOutcome reads the head back. It is sure if the head has moved: then this
-// change either is in the history at its generation or never will be.
+// resolveOutcome reads the head back. Once the head has changed, the outcome is certain:
+// either this change is in the history at its generation, or it never will be. It returns
+// false if the outcome is still unknown.
 func (p *publication) resolveOutcome(ctx context.Context) (Outcome, bool) {
 	v, err := p.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
 	if err != nil || v.Version == p.value.Version {
--- a/internal/state/beechmanifest/watcher.go
+++ b/internal/state/beechmanifest/watcher.go
@@ -16,27 +16,27 @@
 )
 
 type (
-	// WatcherSettings of a Watcher. Zero fields get the defaults named.
+	// WatcherSettings configures a Watcher. Zero fields get the defaults given here.
 	WatcherSettings struct {
-		// Watching tells whether this process is to watch, asked before each
-		// wait; nil: always. See Watches.
+		// Watching reports whether this process should watch the head. It is called
+		// before each watch; nil means always. See Watches.
 		Watching func() bool
-		// Report is told of each failure to follow the head, and with nil of
-		// the end of failures; nil: nobody is told.
+		// Report is called with each error while the head is followed, and with nil
+		// after the first success that follows an error. It may be nil.
 		Report   func(error)
-		Recheck  time.Duration // between questions of Watching that said no; 1 s
-		MaxPause time.Duration // longest pause after failures; 2 s
+		Recheck  time.Duration // between calls of Watching while it returns false; 1 s
+		MaxPause time.Duration // longest pause between attempts after errors; 2 s
 	}
 
-	// Watcher follows the published head and offers each new generation to a
-	// holder. It is a suture service.
+	// Watcher follows the published head and offers each new generation to a Holder. It
+	// is a suture service.
 	Watcher struct {
 		store       beechstore.Store
 		holder      *Holder
 		clock       clockwork.Clock
 		settings    WatcherSettings
 		loader      *loader
-		headVersion uint64 // of the head last dealt with
+		headVersion uint64 // version of the last head that was processed
 
 		mu  sync.Mutex
 		err error
@@ -49,7 +49,7 @@
 	defaultMaxPause = 2 * time.Second
 )
 
-// NewWatcher makes a watcher; Serve runs it.
+// NewWatcher returns a Watcher, which Serve runs.
 func NewWatcher(store beechstore.Store, holder *Holder, clock clockwork.Clock, settings WatcherSettings) *Watcher {
 	if settings.Recheck == 0 {
 		settings.Recheck = defaultRecheck
@@ -60,15 +60,15 @@
 	return &Watcher{store: store, holder: holder, clock: clock, settings: settings, loader: &loader{store: store, clock: clock}}
 }
 
-// IsWatcher tells whether self is one of the n watchers among the live
-// processes of its zone: the same at all that know the same live ones, so a
-// few of them watch and the others get the generation from their links.
+// IsWatcher reports whether self is one of the n processes among the live ones of its zone
+// that watch the head; the others get new generations through their links. Processes that
+// know the same live processes select the same watchers.
 func IsWatcher(self netip.AddrPort, live []netip.AddrPort, n int) bool {
 	return slices.Contains(beechmember.Rank(HeadKey, live, n), self)
 }
 
-// Serve follows the head until ctx ends. What fails is tried again with a
-// growing pause; what is in force stays meanwhile.
+// Serve follows the head until ctx ends. After an error it tries again with increasing
+// pauses; the active configuration is kept meanwhile.
 func (w *Watcher) Serve(ctx context.Context) error {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = minRetryPause
@@ -92,21 +92,22 @@
 	return ctx.Err()
 }
 
-// Err gives why the head cannot be followed now, nil if it can.
+// Err returns the error of the last attempt to follow the head, or nil if it succeeded.
 func (w *Watcher) Err() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.err
 }
 
-// followOnce waits for a head that differs from the last one and offers it.
+// followOnce waits until the head differs from the last one and offers its manifest to the
+// holder.
 func (w *Watcher) followOnce(ctx context.Context) error {
 	v, err := w.store.Watch(ctx, HeadKey, w.headVersion, beechstore.ImportanceConfiguration)
 	if err != nil {
 		return err
 	}
 	if v.Version == w.headVersion {
-		return nil // the wait ended without news
+		return nil // the watch timed out without a change
 	}
 	generation, data, err := w.loader.load(ctx, v)
 	if errors.Is(err, ErrNone) && w.holder.Current() == nil {
