--- a/internal/state/beechmanifest/watcher.go
+++ b/internal/state/beechmanifest/watcher.go
@@ -19,7 +19,7 @@
 	// WatcherSettings configures a Watcher. Zero fields get the defaults given here.
 	WatcherSettings struct {
 		// Watching reports whether this process should watch the head. It is called
-		// before each watch; nil means always. See Watches.
+		// before each watch; nil means always. See IsWatcher.
 		Watching func() bool
 		// Report is called with each error while the head is followed, and with nil
 		// after the first success that follows an error. It may be nil.
