--- a/internal/state/beechmirror/mirror.go
+++ b/internal/state/beechmirror/mirror.go
@@ -1,30 +1,33 @@
-// Package beechmirror keeps a copy of what lies under a prefix of a store that
-// others write, with the age of the copy.
+// Package beechmirror keeps a local copy of the items under a key prefix of a store that
+// other processes write, and tracks the age of the copy.
 //
-// A watch alone is not enough. Its silence proves nothing: it hears nothing
-// while the store drops its history, and a connection may have gone silent. So
-// the mirror also reads the whole prefix at intervals, by reads that see every
-// write before them, and only these confirm the copy. What the watch tells is
-// taken in at once.
+// A Mirror watches the prefix and applies changes at once. Receiving no changes from a
+// watch does not prove that there are none: the store may have dropped its history, or the
+// connection may hang. The mirror therefore also reads the whole prefix when the copy
+// reaches a maximum age. These full reads are linearizable, and only they confirm the copy,
+// which means that its age starts again from the time at which the read was sent.
 //
-// The copy never goes back: a reply that is older than what is held, as slow
-// replies are, changes nothing.
+// Revisions never decrease: replies that are older than the copy are ignored.
 //
-// A whole read is due when the copy's age reaches an interval. Another process
-// whose copy is the same may have read later: its word makes this copy as young as
-// that read, and no read of its own is due then. Vouch and Vouched carry that
-// word; what is compared is a digest of all keys with their revisions. Nor is a
-// watch begun while a process that watches holds the same copy: what that one is
-// told it forwards, and where a digest differs all the same, this process watches.
+// # Sharing with peers
 //
-// Entries that are renewed by their owners lapse while the store is away, and
-// are back a moment after it. Taken for gone they would leave a gate without
-// servers, though all are well; so for a moment after the store's return what
-// is missing is kept.
+// Processes with the same prefix exchange the status of their copies, through Status and
+// ApplyPeerStatus. Copies are compared by a digest of all keys and revisions. If a peer has
+// the same copy and read it later, this copy becomes as young as that read, and this
+// process does not read by itself. It also does not watch while a peer that watches has
+// the same copy, since the peer forwards the changes that it receives (ApplyPeerChanges).
+// If the digests differ, this process watches by itself.
+//
+// # Outages of the store
+//
+// Items with a lease expire while their owners cannot reach the store, and are created
+// again soon after it recovers. If the mirror removed them at once, a gate would have no
+// servers although all of them work. Missing items are therefore kept for RemovalDelay
+// after the store has recovered.
 //
 // # Usage
 //
-//	m := beechmirror.New(settings, source, belief, clock, log, func(items []beechmirror.Item) { ... })
+//	m := beechmirror.New(settings, source, freshness, clock, log, func(items []beechmirror.Item) { ... })
 //	supervisor.Add(beechtask.Task{Name: "watch", Run: m.Watch})
 //	supervisor.Add(beechtask.Task{Name: "read", Run: m.Read})
 package beechmirror
@@ -44,50 +47,52 @@
 )
 
 type (
-	// Item is a key with its value.
+	// Item is the current value of a key, or its removal.
 	Item struct {
 		Key      string
 		Value    []byte
-		Revision uint64 // of its last change
-		Created  uint64 // revision of its creation
+		Revision uint64 // of the last change
+		Created  uint64 // revision of the creation
 		Removed  bool
 	}
 
-	// Page is what a store says at a revision.
+	// Page is a reply of the store: the items or changes up to a revision.
 	Page struct {
 		Items    []Item
 		Revision uint64
 	}
 
-	// Source is the store. Errors may be ErrCompacted.
+	// Source is the store.
 	Source interface {
-		// Range reads all items under a prefix; it sees every write that was
-		// acknowledged before.
+		// Range reads all items under a prefix. The read is linearizable: it returns
+		// every write that was acknowledged before.
 		Range(ctx context.Context, prefix string) (Page, error)
-		// Watch gives changes after a revision, or none when wait is over.
+		// Watch waits for changes after a revision and returns them, or none after
+		// wait. The error is ErrCompacted if that history was dropped.
 		Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Page, error)
 	}
 
-	// Freshness is confirmed by each whole read; *beechfresh.Freshness is one.
+	// Freshness tracks the age of the copy, which each full read confirms. It is
+	// implemented by *beechfresh.Belief.
 	Freshness interface {
 		Now() time.Duration
 		Confirm(asked time.Duration)
 		Age() time.Duration
 	}
 
-	// Settings of a mirror.
+	// Settings configures a Mirror.
 	Settings struct {
 		Prefix       string
-		MaxAge       time.Duration // age at which the prefix is read whole; SetInterval changes it
-		ReadTimeout  time.Duration // for a read
+		MaxAge       time.Duration // age of the copy at which a full read is due; SetMaxAge changes it
+		ReadTimeout  time.Duration // of a full read
 		WatchTimeout time.Duration // of a watch
-		WatchPause   time.Duration // between watches, so that changes in a row come together
-		RemovalDelay time.Duration // what is missing when a lost store answers again is kept for so long
-		Forward      func(Changes) // called with what a watch has told, for others that hold the same; may be nil
-		OnStoreLost  func()        // called when a whole read fails after one that did not; may be nil
+		WatchPause   time.Duration // between watches, so that successive changes arrive together
+		RemovalDelay time.Duration // how long missing items are kept after the store has recovered; 0: not at all
+		Forward      func(Changes) // called with the changes from a watch, to send them to peers; may be nil
+		OnStoreLost  func()        // called when a full read fails and the previous one did not; may be nil
 	}
 
-	// Mirror is the copy. It is safe for concurrent use.
+	// Mirror is a local copy of the items under a prefix. It is safe for concurrent use.
 	Mirror struct {
 		settings  Settings
 		source    Source
@@ -98,53 +103,57 @@
 
 		mu               sync.Mutex
 		items            map[string]Item
-		removed          map[string]uint64 // revision at which a key was seen removed
+		removed          map[string]uint64 // revisions of the removals that a watch has returned, by key
 		revision         uint64
-		fullReadRevision uint64 // revision of the last whole read: no change up to it is news
+		fullReadRevision uint64 // revision of the last full read, which includes all changes up to it
 		loaded           bool
 		failing          bool
-		recoveredAt      time.Time          // when a lost store answered again
-		maxAge           time.Duration      // age at which a whole read is due
-		lastFullRead     time.Time          // when the last whole read was taken in
-		keptMissing      bool               // it left what may be gone
-		readNow          chan struct{}      // asks for a whole read now
-		cancelWatch      context.CancelFunc // of the watch that waits now
+		recoveredAt      time.Time          // when the store last answered again after an outage
+		maxAge           time.Duration      // age of the copy at which a full read is due
+		lastFullRead     time.Time          // when the last full read was applied
+		keptMissing      bool               // the last full read may have kept missing items
+		readNow          chan struct{}      // requests an immediate full read
+		cancelWatch      context.CancelFunc // cancels the watch in progress; nil if there is none
 		sharing
 	}
 )
 
-// ErrCompacted says that the store has dropped the history after a revision.
-var ErrCompacted = errors.New("the store has dropped this history")
+// ErrCompacted is the error of a watch if the store has dropped the history after the
+// requested revision.
+var ErrCompacted = errors.New("the store has dropped the history after this revision")
 
 const (
-	// missingReadInterval is between whole reads while entries are kept that may be gone:
-	// the first one after that time drops them.
+	// missingReadInterval is the time between full reads while missing items are kept.
+	// The first full read after RemovalDelay removes them.
 	missingReadInterval = 500 * time.Millisecond
-	// minRetryPause and retryMost bound the pause after a call that failed; it
-	// doubles between them. A store that turns some hosts away still counts, and
-	// bills, each of their calls: tried each 150 ms by five hosts for 9 s they
-	// were more than half of a day's calls. The longest pause is a seventh of
-	// the time that a key may be served without the store's word.
-	minRetryPause      = 150 * time.Millisecond
-	maxRetryPause      = 600 * time.Millisecond
+	// minRetryPause and maxRetryPause bound the pause after a failed call, which doubles
+	// with each failure. A store that refuses the calls of some hosts still counts and
+	// bills them: calls every 150 ms by five hosts for 9 s were more than half of all
+	// calls in a simulated day. maxRetryPause is a seventh of the time for which a key
+	// may be served without confirmation by the store.
+	minRetryPause = 150 * time.Millisecond
+	maxRetryPause = 600 * time.Millisecond
+	// watchTimeoutMargin is added to WatchTimeout before a watch is canceled locally.
 	watchTimeoutMargin = time.Second
-	maxRemovedKeys     = 4096
-	firstReadPoll      = 50 * time.Millisecond
+	// maxRemovedKeys bounds the remembered removals; all are forgotten when it is reached.
+	maxRemovedKeys = 4096
+	// firstReadPoll is how often Watch checks for the end of the first full read.
+	firstReadPoll = 50 * time.Millisecond
 )
 
-// New returns an empty mirror. Changed is called with all items, sorted by key,
-// after each change and after the first read; calls do not overlap.
-func New(s Settings, source Source, belief Freshness, clock clockwork.Clock, log *zap.Logger, changed func([]Item)) *Mirror {
+// New returns an empty mirror. Changed is called with all items, sorted by key, after the
+// first full read and after each change; calls do not overlap.
+func New(s Settings, source Source, freshness Freshness, clock clockwork.Clock, log *zap.Logger, changed func([]Item)) *Mirror {
 	return &Mirror{
-		settings: s, source: source, freshness: belief, clock: clock, changed: changed,
+		settings: s, source: source, freshness: freshness, clock: clock, changed: changed,
 		log:   log.With(zap.String("prefix", s.Prefix)),
 		items: make(map[string]Item), removed: make(map[string]uint64), maxAge: s.MaxAge, readNow: make(chan struct{}, 1),
 		sharing: sharing{alwaysWatch: true, peerDiffers: make(chan struct{}, 1)},
 	}
 }
 
-// Read reads the whole prefix whenever the copy's age has reached the interval,
-// until the context ends.
+// Read reads the whole prefix whenever the copy reaches its maximum age, until the context
+// ends.
 func (m *Mirror) Read(ctx context.Context) error {
 	retry := newBackoff()
 	for ctx.Err() == nil {
@@ -159,10 +168,10 @@
 	return ctx.Err()
 }
 
-// waitUntilReadDue waits for the pause, and on until a whole read is due or asked for.
-// While the store is lost a read is due after each pause, however young others' word
-// makes the copy: what is missing is kept until the store is found back, and a
-// server that has left would go on getting requests for as long.
+// waitUntilReadDue waits for the pause and then until a full read is due. ReadNow ends the
+// wait at once. During an outage of the store a read is due after each pause, even if peers
+// confirm the copy: missing items are kept until this process has reached the store again,
+// and a server that has left would get requests until then.
 func (m *Mirror) waitUntilReadDue(ctx context.Context, pause time.Duration) {
 	for {
 		select {
@@ -179,7 +188,7 @@
 	}
 }
 
-// timeUntilRead is the time until a whole read is timeUntilRead.
+// timeUntilRead returns the time until a full read is due.
 func (m *Mirror) timeUntilRead() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,9 +220,8 @@
 	return true
 }
 
-// restartWatch ends a watch that has not told what a whole read found: its
-// connection may have gone silent, and it would wait there to its end while
-// changes come only with the next whole reads.
+// restartWatch cancels a watch that has missed a change found by a full read. Its
+// connection may hang, and until its timeout changes would be noticed only by full reads.
 func (m *Mirror) restartWatch() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -222,35 +230,36 @@
 	}
 }
 
-// recordReadResult logs a dependency that is lost or regained, once each.
+// recordReadResult records whether a full read succeeded, and logs the beginning and the
+// end of an outage once each.
 func (m *Mirror) recordReadResult(err error) {
 	m.mu.Lock()
-	was := m.failing
+	wasFailing := m.failing
 	m.failing = err != nil
-	if was && err == nil {
+	if wasFailing && err == nil {
 		m.recoveredAt = m.clock.Now()
 	}
 	m.mu.Unlock()
 	switch {
-	case err != nil && !was:
+	case err != nil && !wasFailing:
 		m.log.Warn("store lost", zap.Error(err))
 		if m.settings.OnStoreLost != nil {
 			m.settings.OnStoreLost()
 		}
-	case err == nil && was:
+	case err == nil && wasFailing:
 		m.log.Info("store regained")
 	}
 }
 
-// Watch follows changes until the context ends.
+// Watch applies changes from the store until the context ends.
 func (m *Mirror) Watch(ctx context.Context) error {
 	retry := newBackoff()
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		known, after := m.loaded, m.revision
+		loaded, after := m.loaded, m.revision
 		m.mu.Unlock()
 		pause := m.settings.WatchPause
-		if !known {
+		if !loaded {
 			pause = firstReadPoll
 		} else if m.watchedByPeer() {
 			m.waitForPeer(ctx)
@@ -269,17 +278,17 @@
 	return ctx.Err()
 }
 
-// newBackoff gives the pauses between calls that fail.
+// newBackoff returns the pauses between failed calls.
 func newBackoff() *backoff.ExponentialBackOff {
 	retry := backoff.NewExponentialBackOff()
 	retry.InitialInterval, retry.MaxInterval, retry.Multiplier = minRetryPause, maxRetryPause, 2
 	return retry
 }
 
-// handleWatchError has the whole prefix read at once: its history is gone, or the
-// store is lost, which the next whole read would find out late. The failure
-// alone says nothing of the store, since waiting watches may be cut. While reads
-// fail too, they are repeated anyway.
+// handleWatchError requests an immediate full read. Either the history was dropped, or the
+// store cannot be reached, which the next full read would detect late. The failure alone
+// does not prove an outage, since connections of waiting watches may be cut. While full
+// reads fail too, they are repeated anyway.
 func (m *Mirror) handleWatchError(ctx context.Context, err error, after uint64) {
 	if ctx.Err() != nil {
 		return
@@ -301,33 +310,33 @@
 func (m *Mirror) watchOnce(ctx context.Context, after uint64) error {
 	limited, cancel := clockwork.WithTimeout(ctx, m.clock, m.settings.WatchTimeout+watchTimeoutMargin)
 	defer cancel()
-	untold, end := context.WithCancel(limited)
+	cancelable, end := context.WithCancel(limited)
 	m.mu.Lock()
 	m.cancelWatch, m.watching = end, true
 	m.mu.Unlock()
-	page, err := m.source.Watch(untold, m.settings.Prefix, after, m.settings.WatchTimeout)
+	page, err := m.source.Watch(cancelable, m.settings.Prefix, after, m.settings.WatchTimeout)
 	m.mu.Lock()
 	m.cancelWatch = nil
 	m.mu.Unlock()
-	cut := untold.Err() != nil && limited.Err() == nil
+	restarted := cancelable.Err() != nil && limited.Err() == nil
 	end()
-	if cut {
-		m.log.Info("watch did not tell what a whole read found", zap.Uint64("after", after))
+	if restarted {
+		m.log.Info("watch missed a change that a full read found", zap.Uint64("after", after))
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	lingers := m.applyWatch(page)
-	if len(page.Items) > 0 && m.settings.Forward != nil && !lingers {
+	keepMissing := m.applyWatch(page)
+	if len(page.Items) > 0 && m.settings.Forward != nil && !keepMissing {
 		m.settings.Forward(Changes{After: after, Page: page})
 	}
 	return nil
 }
 
-// ReadNow has the whole prefix read at once. A mirror that is read seldom learns
-// that way that the store is lost, as another one found: what lapses with the
-// store would be taken for gone otherwise.
+// ReadNow requests an immediate full read. A mirror with a large maximum age thereby
+// detects an outage that another mirror has found. Otherwise it would remove the items
+// whose leases expire during the outage.
 func (m *Mirror) ReadNow() {
 	select {
 	case m.readNow <- struct{}{}:
@@ -335,7 +344,7 @@
 	}
 }
 
-// applyFullRead takes in a whole read, and tells whether anything changed.
+// applyFullRead applies a full read and reports whether it changed the copy.
 func (m *Mirror) applyFullRead(p Page) (changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -374,27 +383,28 @@
 	return changed
 }
 
-// applyWatch takes in what a watch has told, and tells whether what is gone lingers.
-func (m *Mirror) applyWatch(p Page) (lingers bool) {
+// applyWatch applies the changes from a watch, and reports whether missing items are kept.
+func (m *Mirror) applyWatch(p Page) (keepMissing bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lingers = m.keepsMissing()
-	m.applyChanges(p, lingers)
-	return lingers
+	keepMissing = m.keepsMissing()
+	m.applyChanges(p, keepMissing)
+	return keepMissing
 }
 
-// applyChanges takes in changes. The caller holds the lock.
-func (m *Mirror) applyChanges(p Page, lingers bool) {
+// applyChanges applies changes, without the removals if keepMissing is set. The caller
+// must hold the lock.
+func (m *Mirror) applyChanges(p Page, keepMissing bool) {
 	changed := false
 	for _, item := range p.Items {
 		if !strings.HasPrefix(item.Key, m.settings.Prefix) || m.items[item.Key].Revision >= item.Revision {
 			continue
 		}
 		if item.Revision <= m.fullReadRevision {
-			continue // told late: the key may have been removed since, and the whole read knows
+			continue // outdated: the last full read includes this change and any later removal
 		}
-		if item.Removed && lingers {
-			continue // the next whole read decides
+		if item.Removed && keepMissing {
+			continue // the next full read decides
 		}
 		changed = true
 		if item.Removed {
@@ -410,14 +420,16 @@
 	}
 }
 
-// notifyChanged hands on what is held now. The caller holds the lock.
+// notifyChanged passes the current items to the callback of New. The caller must hold the
+// lock.
 func (m *Mirror) notifyChanged() {
 	list := m.sortedItems()
 	m.digest = digestOf(list)
 	m.changed(list)
 }
 
-// keepsMissing tells whether the store was lost until a moment ago, or still is.
+// keepsMissing reports whether missing items are kept, which is the case during an outage
+// of the store and for RemovalDelay after it.
 func (m *Mirror) keepsMissing() bool {
 	if m.settings.RemovalDelay == 0 {
 		return false
--- a/internal/state/beechmirror/mirror_test.go
+++ b/internal/state/beechmirror/mirror_test.go
@@ -16,18 +16,18 @@
 )
 
 type (
-	// source is a store of which tests say what each call gives.
+	// source is a store whose replies are set by tests.
 	source struct {
 		mu      sync.Mutex
 		page    Page
 		err     error
 		reads   int
 		watches int
-		silent  bool // watches wait and hear nothing
+		hung    bool // watches receive no reply until they are canceled
 	}
 
-	// belief takes each confirmation for one of now.
-	belief struct {
+	// fakeFreshness measures its age from the last call of Confirm, and records asked plus one.
+	fakeFreshness struct {
 		asked     time.Duration
 		confirmed time.Time
 	}
@@ -45,7 +45,7 @@
 func (s *source) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (Page, error) {
 	s.mu.Lock()
 	s.watches++
-	err, silent := s.err, s.silent
+	err, silent := s.err, s.hung
 	s.mu.Unlock()
 	switch {
 	case err != nil:
@@ -57,7 +57,7 @@
 	return Page{}, ErrCompacted
 }
 
-// refuse turns all later calls away.
+// refuse makes all later calls fail.
 func (s *source) refuse() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,12 +70,12 @@
 	return s.reads + s.watches
 }
 
-func (b *belief) Now() time.Duration          { return b.asked }
-func (b *belief) Confirm(asked time.Duration) { b.asked, b.confirmed = asked+1, time.Now() }
-func (b *belief) Age() time.Duration          { return time.Since(b.confirmed) }
+func (b *fakeFreshness) Now() time.Duration          { return b.asked }
+func (b *fakeFreshness) Confirm(asked time.Duration) { b.asked, b.confirmed = asked+1, time.Now() }
+func (b *fakeFreshness) Age() time.Duration          { return time.Since(b.confirmed) }
 
 func newMirror(s *source, c clockwork.Clock, changed func([]Item)) *Mirror {
-	return New(Settings{Prefix: "servers/", MaxAge: time.Second, ReadTimeout: time.Second, WatchTimeout: time.Second, RemovalDelay: 2 * time.Second}, s, &belief{}, c, zap.NewNop(), changed)
+	return New(Settings{Prefix: "servers/", MaxAge: time.Second, ReadTimeout: time.Second, WatchTimeout: time.Second, RemovalDelay: 2 * time.Second}, s, &fakeFreshness{}, c, zap.NewNop(), changed)
 }
 
 func keys(items []Item) []string {
@@ -86,9 +86,9 @@
 	return names
 }
 
-// A read that was on its way for long comes after a later change. A gate that
-// took it would serve a route, or a key, that was taken away.
-func TestNeverGoesBack(t *testing.T) {
+// The reply to a slow read arrives after a later change. A gate that applied it would serve
+// a removed route or key.
+func TestOutdatedRepliesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	var got []Item
 	m := newMirror(&source{}, clockwork.NewFakeClock(), func(items []Item) { got = items })
@@ -102,8 +102,8 @@
 	is.Equal(len(got), 0)
 }
 
-// Whatever order replies come in, the mirror ends where the store is, and no
-// key's revision ever falls.
+// Replies arrive in any order. The mirror must end with the items of the store, and the
+// revision of a key must never decrease.
 func TestAnyOrderOfReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := map[string]Item{}
@@ -132,7 +132,7 @@
 			got = items
 			for _, it := range items {
 				if it.Revision < highest[it.Key] {
-					t.Fatalf("%s fell from %d to %d", it.Key, highest[it.Key], it.Revision)
+					t.Fatalf("the revision of %s decreased from %d to %d", it.Key, highest[it.Key], it.Revision)
 				}
 				highest[it.Key] = it.Revision
 			}
@@ -142,25 +142,25 @@
 			if i := rapid.IntRange(0, len(pages)-1).Draw(t, "which"); rapid.Bool().Draw(t, "whole") {
 				m.applyFullRead(pages[i])
 			} else if i == 0 || m.revision >= uint64(i) {
-				m.applyWatch(watches[i]) // a watch gives what follows what is known
+				m.applyWatch(watches[i]) // a watch only returns changes after the mirror's revision
 			}
 		}
 		m.applyFullRead(pages[len(pages)-1])
 		if len(got) != len(store) {
-			t.Fatalf("mirror has %v, the store %v", keys(got), store)
+			t.Fatalf("the mirror has %v, the store has %v", keys(got), store)
 		}
 		for _, it := range got {
 			if store[it.Key].Revision != it.Revision {
-				t.Fatalf("%s at %d, in the store at %d", it.Key, it.Revision, store[it.Key].Revision)
+				t.Fatalf("%s has revision %d, in the store %d", it.Key, it.Revision, store[it.Key].Revision)
 			}
 		}
 	})
 }
 
-// The servers' entries lapse while the store is away, and are back two seconds
-// after it. Taken for gone at once, a gate would have no servers though all are
-// well.
-func TestWhatLapsedWithTheStoreIsKeptForAMoment(t *testing.T) {
+// The entries of servers expire during an outage of the store and are created again within
+// two seconds after it. If they were removed at once, a gate would have no servers although
+// all of them work.
+func TestMissingItemsAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
 	c := clockwork.NewFakeClock()
 	s := &source{page: Page{Revision: 3, Items: []Item{{Key: "servers/a", Revision: 2}, {Key: "servers/b", Revision: 3}}}}
@@ -179,11 +179,11 @@
 	is.Equal(keys(got), []string{"servers/b"})
 }
 
-// A failed read confirms nothing: the age of the copy goes on growing.
-func TestOnlyReadsConfirm(t *testing.T) {
+// A failed read and a watch must not confirm the copy, so that its age keeps increasing.
+func TestOnlyFullReadsConfirm(t *testing.T) {
 	is := is.New(t)
 	s := &source{err: errDown}
-	b := &belief{asked: 7}
+	b := &fakeFreshness{asked: 7}
 	m := New(Settings{Prefix: "op/", MaxAge: time.Second, ReadTimeout: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
 	m.readOnce(t.Context())
 	m.applyWatch(Page{Revision: 4})
@@ -193,9 +193,9 @@
 	is.Equal(b.asked, time.Duration(8))
 }
 
-// The store has dropped its history. The whole prefix is read at once, not at
-// the next interval.
-func TestDroppedHistoryIsReadAnew(t *testing.T) {
+// The store has dropped its history. A full read must follow at once, not when the copy
+// reaches its maximum age.
+func TestDroppedHistoryCausesFullRead(t *testing.T) {
 	is := is.New(t)
 	s := &source{page: Page{Revision: 1}}
 	m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
@@ -224,10 +224,9 @@
 	is.True(slices.IsSorted(keys(got)))
 }
 
-// The store turns this host away for nine seconds and bills each call. A host
-// that asks several times a second all the while takes calls from those that
-// are served, and has nothing for it.
-func TestCallsToAStoreThatTurnsAway(t *testing.T) {
+// The store refuses the calls of a host for nine seconds and bills each of them. Retries
+// must be limited, as they use up calls that other hosts need.
+func TestCallsToRefusingStoreAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &source{page: Page{Revision: 1}}
@@ -242,18 +241,18 @@
 		loops.Wait()
 		calls := s.calls()
 		t.Logf("%d calls in 9 s", calls)
-		is.True(calls >= 18) // it finds the store back within a second
+		is.True(calls >= 18) // at least two per second, so that a recovery is detected within a second
 		is.True(calls <= 50)
 	})
 }
 
-// The connection of a watch goes silent: nothing is closed, and nothing comes.
-// Whole reads show what changes, but late, each time, for as long as the watch
-// waits; callers meet routes and keys that were changed seconds ago.
-func TestSilentWatchIsBegunAgain(t *testing.T) {
+// The connection of a watch hangs without being closed. A full read that finds a change
+// must restart the watch. Otherwise gates would apply each change only with the next full
+// read, seconds late, until the watch times out.
+func TestHungWatchIsRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := &source{page: Page{Revision: 1}, silent: true}
+		s := &source{page: Page{Revision: 1}, hung: true}
 		m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
 		m.settings.WatchTimeout = time.Hour
 		is.True(m.readOnce(t.Context()))
@@ -261,25 +260,25 @@
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Watch(ctx) })
 		synctest.Wait()
-		is.Equal(s.calls(), 2) // the read and the watch
+		is.Equal(s.calls(), 2) // the full read and the watch
 		is.True(m.readOnce(ctx))
 		synctest.Wait()
-		is.Equal(s.calls(), 3) // a read without news says nothing of the watch
+		is.Equal(s.calls(), 3) // a full read without changes does not restart the watch
 
 		s.page = Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}
 		is.True(m.readOnce(ctx))
 		synctest.Wait()
-		is.Equal(s.calls(), 5) // the read, and another watch
+		is.Equal(s.calls(), 5) // the full read and a new watch
 		cancel()
 		loop.Wait()
 	})
 }
 
-// Servers' entries are read seldom and lapse while the store is down. The mirror
-// that reads often finds the store lost; if it keeps that to itself, the other
-// one takes the entries for gone when the store is back, and callers are refused
-// for two seconds.
-func TestLossIsTold(t *testing.T) {
+// The entries of servers have a large maximum age and expire while the store is down. The
+// mirror that reads more often detects the outage first and must make the other one read.
+// Otherwise that one would remove the entries once the store has recovered, and requests
+// would be refused for two seconds.
+func TestStoreLossNotifiesOtherMirror(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	s := &source{page: Page{Revision: 1, Items: []Item{{Key: "servers/a", Revision: 1}}}}
@@ -294,17 +293,17 @@
 	select {
 	case <-servers.readNow:
 	default:
-		t.Fatal("the other mirror is not asked to read")
+		t.Fatal("no full read of the other mirror was requested")
 	}
 	is.True(!servers.readOnce(t.Context()))
 	servers.applyWatch(Page{Revision: 3, Items: []Item{{Key: "servers/a", Revision: 3, Removed: true}}})
 	is.Equal(keys(got), []string{"servers/a"})
 }
 
-// Sixty gates read the same prefix each two seconds, and each read is paid for.
-// One that hears from another that the same copy was confirmed a moment ago reads
-// nothing; when that one falls silent it reads by itself, no later than before.
-func TestVouchedCopyIsNotRead(t *testing.T) {
+// Sixty gates read the same prefix every two seconds, and each read is billed. A gate must
+// not read while a peer proves that the same copy was just confirmed. When the peer stops,
+// the gate must read by itself at the usual age.
+func TestCopyConfirmedByPeerIsNotRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}}
@@ -314,29 +313,29 @@
 		loop.Go(func() { _ = m.Read(ctx) })
 		synctest.Wait()
 		is.Equal(s.calls(), 1)
-		word, _, known := m.Status()
+		status, _, known := m.Status()
 		is.True(known)
-		word.Confirmed = true
+		status.Confirmed = true
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.ApplyPeerStatus(word))
+			is.True(m.ApplyPeerStatus(status))
 		}
 		is.Equal(s.calls(), 1)
-		time.Sleep(1100 * time.Millisecond) // nobody vouches any more
+		time.Sleep(1100 * time.Millisecond) // without confirmations by a peer
 		is.Equal(s.calls(), 2)
 		cancel()
 		loop.Wait()
 	})
 }
 
-// Another gate holds another copy: one of the two lacks a change. Its word proves
-// nothing of this copy, and a key that was taken away would be served on.
-func TestAnotherCopyDoesNotVouch(t *testing.T) {
+// A peer has a different copy, so one of the two lacks a change. Its status must not confirm
+// this copy, or a removed key would be served longer.
+func TestDifferentCopyConfirmsNothing(t *testing.T) {
 	is := is.New(t)
 	s := &source{page: Page{Revision: 2, Items: []Item{{Key: "op/config", Revision: 2}}}}
-	b := &belief{}
+	b := &fakeFreshness{}
 	m := New(Settings{Prefix: "op/", MaxAge: time.Second, ReadTimeout: time.Second}, s, b, clockwork.NewFakeClock(), zap.NewNop(), func([]Item) {})
-	is.True(!m.ApplyPeerStatus(CopyStatus{Confirmed: true})) // nothing was read yet
+	is.True(!m.ApplyPeerStatus(CopyStatus{Confirmed: true})) // before the first full read
 	is.True(m.readOnce(t.Context()))
 	old, _, _ := m.Status()
 	old.Confirmed = true
@@ -348,39 +347,39 @@
 	is.True(!m.ApplyPeerStatus(old))
 }
 
-// vouchedMirror has read once, and another process that follows the store has
-// vouched for the same copy.
-func vouchedMirror(t *testing.T) (*Mirror, *source, CopyStatus) {
+// mirrorWithWatchingPeer returns a mirror after one full read and after the status of a watching peer
+// with the same copy.
+func mirrorWithWatchingPeer(t *testing.T) (*Mirror, *source, CopyStatus) {
 	t.Helper()
-	s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}, silent: true}
+	s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}, hung: true}
 	m := newMirror(s, clockwork.NewRealClock(), func([]Item) {})
 	m.settings.WatchTimeout = time.Hour
 	m.SetMaxAge(time.Hour, false)
 	if !m.readOnce(t.Context()) {
-		t.Fatal("the store is not read")
+		t.Fatal("the full read failed")
 	}
-	word, _, _ := m.Status()
-	word.Confirmed, word.Watching = true, true
-	m.ApplyPeerStatus(word)
-	return m, s, word
+	status, _, _ := m.Status()
+	status.Confirmed, status.Watching = true, true
+	m.ApplyPeerStatus(status)
+	return m, s, status
 }
 
-// A zone's first gate watches for all. The others watch nothing while it says so,
-// and watch at once when it holds another copy, or says nothing any more: a server
-// that leaves would get their requests otherwise.
-func TestWatchIsLeftToOneThatFollows(t *testing.T) {
+// The first gate of a zone watches for all. The others must not watch while its status
+// proves this, and must watch as soon as its copy differs or its status expires. Otherwise
+// they would send requests to a server that has left.
+func TestWatchIsLeftToWatchingPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m, s, word := vouchedMirror(t)
+		m, s, status := mirrorWithWatchingPeer(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Watch(ctx) })
 		for range 20 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.ApplyPeerStatus(word))
+			is.True(m.ApplyPeerStatus(status))
 		}
-		is.Equal(s.calls(), 1) // the whole read
-		other := word
+		is.Equal(s.calls(), 1) // the full read
+		other := status
 		other.Digest++
 		is.True(!m.ApplyPeerStatus(other))
 		synctest.Wait()
@@ -390,41 +389,40 @@
 	})
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		m, s, _ := vouchedMirror(t)
+		m, s, _ := mirrorWithWatchingPeer(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Watch(ctx) })
 		time.Sleep(2 * peerWatchTTL)
 		synctest.Wait()
-		is.Equal(s.calls(), 2) // nobody vouches: it watches by itself
+		is.Equal(s.calls(), 2) // the status of the peer has expired, so this mirror watches
 		cancel()
 		loop.Wait()
 	})
 }
 
-// What the first gate's watch was told reaches the others in datagrams, of which
-// some are lost. One that lacks changes in between must not take later ones: it
-// would believe to know what it does not.
-func TestForwardedChangesLeaveNoGap(t *testing.T) {
+// The first gate forwards changes from its watch in datagrams, and some are lost. A gate that
+// lacks earlier changes must not apply later ones, or its revision would cover changes that
+// it has never received.
+func TestForwardedChangesAfterGapAreIgnored(t *testing.T) {
 	is := is.New(t)
 	var got []Item
 	m := newMirror(&source{}, clockwork.NewFakeClock(), func(items []Item) { got = items })
-	is.True(!m.ApplyPeerChanges(Changes{After: 0, Page: Page{Revision: 3}})) // nothing was read yet
+	is.True(!m.ApplyPeerChanges(Changes{After: 0, Page: Page{Revision: 3}})) // before the first full read
 	m.applyFullRead(Page{Revision: 5, Items: []Item{{Key: "servers/a", Revision: 5}}})
 	is.True(m.ApplyPeerChanges(Changes{After: 5, Page: Page{Revision: 7, Items: []Item{{Key: "servers/b", Revision: 7}}}}))
 	is.Equal(keys(got), []string{"servers/a", "servers/b"})
 	is.True(!m.ApplyPeerChanges(Changes{After: 9, Page: Page{Revision: 10, Items: []Item{{Key: "servers/c", Revision: 10}}}}))
-	is.True(!m.ApplyPeerChanges(Changes{After: 5, Page: Page{Revision: 6, Items: []Item{{Key: "servers/a", Revision: 6, Removed: true}}}})) // late
+	is.True(!m.ApplyPeerChanges(Changes{After: 5, Page: Page{Revision: 6, Items: []Item{{Key: "servers/a", Revision: 6, Removed: true}}}})) // outdated
 	is.Equal(keys(got), []string{"servers/a", "servers/b"})
 	is.True(m.ApplyPeerChanges(Changes{After: 6, Page: Page{Revision: 10, Items: []Item{{Key: "servers/a", Revision: 9, Removed: true}}}}))
 	is.Equal(keys(got), []string{"servers/b"})
 }
 
-// A gate loses the store for a moment, and another gate of its zone goes on vouching
-// for the same copy. The gate must find the store back by itself all the same: while
-// it takes the store for lost it keeps servers that are gone, and sent them requests
-// for three seconds after they had left.
-func TestStoreIsFoundBackThoughTheCopyIsVouchedFor(t *testing.T) {
+// A gate briefly cannot reach the store, while a peer keeps confirming the same copy. The
+// gate must still read by itself to detect the recovery. Until then it keeps missing servers:
+// without such reads it sent requests to servers for three seconds after they had left.
+func TestRecoveryIsDetectedDespitePeerConfirmations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &source{page: Page{Revision: 2, Items: []Item{{Key: "servers/a", Revision: 2}}}}
@@ -434,13 +432,13 @@
 		var loop sync.WaitGroup
 		loop.Go(func() { _ = m.Read(ctx) })
 		synctest.Wait()
-		word, _, _ := m.Status()
-		word.Confirmed = true
+		status, _, _ := m.Status()
+		status.Confirmed = true
 		s.refuse()
 		m.ReadNow()
 		for range 10 {
 			time.Sleep(300 * time.Millisecond)
-			is.True(m.ApplyPeerStatus(word))
+			is.True(m.ApplyPeerStatus(status))
 		}
 		s.mu.Lock()
 		s.err = nil
@@ -454,8 +452,9 @@
 	})
 }
 
-// A gate has lost the store, and one that reaches it tells of a server that is gone.
-func TestWhatIsToldAsGoneIsGone(t *testing.T) {
+// A gate cannot reach the store, and a peer that can forwards the removal of a server. The
+// gate must apply the removal at once.
+func TestForwardedRemovalsApplyDuringOutage(t *testing.T) {
 	is := is.New(t)
 	s := &source{page: Page{Revision: 3, Items: []Item{{Key: "servers/a", Revision: 2}, {Key: "servers/b", Revision: 3}}}}
 	var got []Item
--- a/internal/state/beechmirror/peers.go
+++ b/internal/state/beechmirror/peers.go
@@ -9,53 +9,55 @@
 )
 
 type (
-	// Changes is all that has changed after a revision, up to the page's.
+	// Changes are all changes after a revision, up to the revision of the page.
 	Changes struct {
 		After uint64
 		Page
 	}
 
-	// CopyStatus is another process's word on its copy.
+	// CopyStatus is the status of the copy in another process or, as returned by
+	// Status, in this one.
 	CopyStatus struct {
 		Digest      uint64
-		Watching    bool          // it watches the store
-		Confirmed   bool          // the store confirmed it at or after Asked
-		ConfirmedAt time.Duration // by this process's clock
+		Watching    bool          // the process watches the store
+		Confirmed   bool          // the age of the copy is proved, so ConfirmedAt is valid
+		ConfirmedAt time.Duration // the copy was confirmed at or after this time of this process's clock
 	}
 
-	// sharing is what a mirror knows of others that hold the same copy. The
-	// mirror's lock guards it.
+	// sharing is the state of a mirror that concerns its peers. It is guarded by the
+	// lock of the mirror.
 	sharing struct {
-		digest      uint64        // of the keys and revisions held
-		alwaysWatch bool          // others rely on this copy: it follows the store whatever they say
-		watching    bool          // by watches, the last of which has not failed
-		peerWatchAt time.Time     // when a process that follows the store vouched for the same copy last
-		peerDiffers chan struct{} // one that follows the store holds another copy
+		digest      uint64        // of the keys and revisions in the copy
+		alwaysWatch bool          // peers rely on this copy, so it watches the store whatever their status is
+		watching    bool          // this process watches the store, and the last watch has not failed
+		peerWatchAt time.Time     // when a watching peer last proved that it has the same copy
+		peerDiffers chan struct{} // signals that a watching peer has a different copy
 	}
 )
 
-// peerWatchTTL is how long a process's word that it follows the store counts:
-// two questions may go unanswered.
+// peerWatchTTL is how long the status of a peer that watches the store is valid. Within
+// this time two inquiries may remain unanswered.
 const peerWatchTTL = 700 * time.Millisecond
 
-// SetMaxAge changes the age at which the prefix is read whole. Leads tells
-// that others rely on this copy.
-func (m *Mirror) SetMaxAge(d time.Duration, leads bool) {
+// SetMaxAge changes the age of the copy at which a full read is due. AlwaysWatch means that
+// peers rely on this copy, so that this process watches even if a peer does.
+func (m *Mirror) SetMaxAge(d time.Duration, alwaysWatch bool) {
 	m.mu.Lock()
-	m.maxAge, m.alwaysWatch = d, leads
+	m.maxAge, m.alwaysWatch = d, alwaysWatch
 	m.mu.Unlock()
 }
 
-// Status gives this process's word on its copy, and the copy's age. It is false
-// before the first read.
+// Status returns the status and the age of the copy. Known is false before the first full
+// read.
 func (m *Mirror) Status() (w CopyStatus, age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return CopyStatus{Digest: m.digest, Watching: m.watching && !m.failing}, m.freshness.Age(), m.loaded
 }
 
-// ApplyPeerStatus takes in another process's word, and tells whether its copy is the
-// same. With a proof this copy is as young as the other one.
+// ApplyPeerStatus applies the status of a peer's copy and reports whether this copy is the
+// same. If it is, and the age of the peer's copy is proved, this copy is confirmed as of
+// the same time.
 func (m *Mirror) ApplyPeerStatus(w CopyStatus) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,11 +83,10 @@
 	return true
 }
 
-// ApplyPeerChanges takes in what another process's watch has told. Where changes before that
-// are missing it is passed over: the copies differ then, and a watch of this
-// process's own brings all of them. That process reaches the store and forwards
-// nothing while entries may have lapsed with it, so what it says is gone is gone,
-// also where this one has lost the store.
+// ApplyPeerChanges applies changes that a peer received from its watch, and reports whether
+// it did. They are ignored if this copy lacks earlier changes: then the copies differ, and a
+// watch of this process returns all changes. Removals are applied even if this process
+// cannot reach the store: the peer can, and forwards nothing while it keeps missing items.
 func (m *Mirror) ApplyPeerChanges(c Changes) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,8 +97,8 @@
 	return true
 }
 
-// watchedByPeer tells whether a process that follows the store holds the
-// same copy, so that a watch of this one's would bring nothing else.
+// watchedByPeer reports whether a peer that watches the store has the same copy, so that
+// this process need not watch.
 func (m *Mirror) watchedByPeer() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -108,7 +109,8 @@
 	return true
 }
 
-// waitForPeer waits until a watch of this process's own may be wanted.
+// waitForPeer waits until the status of the watching peer may have expired or it has a
+// different copy.
 func (m *Mirror) waitForPeer(ctx context.Context) {
 	select {
 	case <-m.clock.After(peerWatchTTL):
@@ -117,12 +119,13 @@
 	}
 }
 
-// digestOf sums up keys and revisions: two copies with one digest hold the same.
+// digestOf returns a digest of all keys and revisions. Copies with the same digest are the
+// same.
 func digestOf(list []Item) uint64 {
 	d := xxhash.New()
 	var revision [8]byte
 	for _, item := range list {
-		_, _ = d.WriteString(item.Key) // a digest takes all
+		_, _ = d.WriteString(item.Key) // never fails
 		binary.BigEndian.PutUint64(revision[:], item.Revision)
 		_, _ = d.Write(revision[:])
 	}
