--- a/internal/state/beechreader/doc.go
+++ b/internal/state/beechreader/doc.go
@@ -1,36 +1,33 @@
-// Package beechreader decides which processes of an availability zone read a
-// store for all of them, and how the others prove that their copies are young.
+// Package beechreader selects which processes of an availability zone read a store on
+// behalf of all of them, and computes how old the copies of the others may be.
 //
-// Each read of a store is paid for, and so are the bytes that cross a zone's
-// border. Sixty processes that each read the same prefix every two seconds make
-// most of a deployment's calls. So one process of a zone reads, a second stands
-// in for it, and the others ask both how old the same copy is there. Inside a
-// zone that costs nothing.
+// Reads of the store and traffic between zones are billed. If sixty processes each read
+// the same prefix every two seconds, these reads are most of the calls of a deployment.
+// Therefore one process of a zone reads, a second is its standby, and the others ask these
+// two how old their copies are. Traffic inside a zone is free.
 //
-// # Whose turn it is
+// # Ranks
 //
-// Nobody is elected. Each process ranks the peers that it knows of by a hash,
-// itself included, and reads the store when its copy has reached the age for its
-// rank. The first in rank reads early, so the others' copies are made young by
-// its word before they are due. When it falls silent the second is due next, then
-// everybody else: no process depends on another for longer than until its own
-// age is reached. Lists of peers that differ only make for a read more.
+// There is no election. Each process ranks itself and the peers that it knows by a hash of
+// their addresses, and reads the store when its copy reaches the age for its rank (see
+// Schedule). The process with rank 0 reads at the lowest age, so its answers confirm the
+// copies of the others before their reads are due. If it stops answering, the second reads
+// next, and then all others: no process depends on another after its own copy has reached
+// the age for its rank. If processes know different peers, the only effect is extra reads.
 //
-// # What a word proves
+// # Age of a copy
 //
-// A word is an answer to a question, and carries an age as a span at the
-// answering process's own clock. The copy there was confirmed that long before
-// it answered, and it answered after the question was sent; so it was confirmed
-// no earlier than the time of the question less the age. That holds however long
-// either datagram was on its way, and if the answering process was suspended
-// before or after it answered. A word without a question, or with an age below
-// zero, proves nothing.
+// A process sends a numbered inquiry, and the answer contains the age of the peer's copy,
+// measured by the peer's own clock. The peer answers after the inquiry was sent, so its copy
+// was confirmed no earlier than the time of sending the inquiry minus the age. This bound
+// holds for any delay of the datagrams, and also if the peer is suspended before or after it
+// answers. An answer without a known inquiry, or with a negative age, proves nothing.
 //
 // # Usage
 //
 //	group := beechreader.New(self)
-//	group.UpdatePeers(peers, now)                  // a third process's word, repeated
-//	number := group.StartInquiry(clock)               // sent to group.Readers(now)
-//	at, ok := group.ConfirmedAt(number, age)    // the copy was confirmed at or after at
-//	interval := schedule.ForRank(group.Rank(now)) // age at which this process reads
+//	group.UpdatePeers(peers, now)                 // repeatedly, as reported by a third process
+//	number := group.StartInquiry(clock)           // sent to group.Readers(now)
+//	at, ok := group.ConfirmedAt(number, age)      // the peer's copy was confirmed at or after at
+//	interval := schedule.ForRank(group.Rank(now)) // age of the copy at which this process reads
 package beechreader
--- a/internal/state/beechreader/group.go
+++ b/internal/state/beechreader/group.go
@@ -12,25 +12,24 @@
 )
 
 type (
-	// Group is the processes of a zone that share their reads, as one of them
-	// knows it. It is safe for concurrent use.
+	// Group is the set of processes of a zone that share their reads, as known to one of
+	// them. It is safe for concurrent use.
 	Group struct {
 		self netip.AddrPort
 
-		mu         sync.Mutex
-		lastNamed  map[netip.AddrPort]time.Time // when they were named last
-		inquiries  []inquiry
-		lastNumber uint64
+		mu           sync.Mutex
+		lastReported map[netip.AddrPort]time.Time // when a peer was last reported
+		inquiries    []inquiry
+		lastNumber   uint64
 	}
 
-	// inquiry is one that was sent, at a time of this process's clock.
+	// inquiry is an inquiry that was sent, with the time by this process's clock.
 	inquiry struct {
 		number uint64
 		sent   time.Duration
 	}
 
-	// Schedule is the age of a copy at which a process reads the store, by its
-	// rank.
+	// Schedule is the age of its copy at which a process reads the store, by rank.
 	Schedule struct {
 		First  time.Duration
 		Second time.Duration
@@ -39,38 +38,39 @@
 )
 
 const (
-	// readersPerZone are asked: the one that reads, and the one that stands in for it.
+	// readersPerZone is the number of processes that receive inquiries: the reader and
+	// its standby.
 	readersPerZone = 2
-	// peerTTL is how long a peer that nobody names any more is still counted:
-	// those who name them forget a peer after about as long.
+	// peerTTL is how long a peer counts after it was last reported. The processes that
+	// report peers forget a peer after about the same time.
 	peerTTL = 4 * time.Second
-	// maxInquiries may be answered yet. Later answers are of no use: they make a
-	// copy no younger than the next question does.
+	// maxInquiries is the number of inquiries whose answers are still accepted. Later
+	// answers are useless: answers to newer inquiries confirm a copy as of a later time.
 	maxInquiries = 8
 )
 
-// New returns the circle of a process that knows no peers.
+// New returns the group of a process that knows no peers.
 func New(self netip.AddrPort) *Group {
-	return &Group{self: self, lastNamed: make(map[netip.AddrPort]time.Time)}
+	return &Group{self: self, lastReported: make(map[netip.AddrPort]time.Time)}
 }
 
-// UpdatePeers takes in who is in the zone now, by a third process's word.
+// UpdatePeers adds the peers that a third process reports in the zone, and drops the peers
+// that have not been reported for longer than peerTTL.
 func (g *Group) UpdatePeers(peers []netip.AddrPort, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, peer := range peers {
 		if peer.IsValid() && peer != g.self {
-			g.lastNamed[peer] = now
+			g.lastReported[peer] = now
 		}
 	}
-	maps.DeleteFunc(g.lastNamed, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > peerTTL })
+	maps.DeleteFunc(g.lastReported, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > peerTTL })
 }
 
-// ranked gives all processes in the order in which they read. The caller holds
-// the lock.
+// ranked returns all processes by rank. The caller must hold the lock.
 func (g *Group) ranked(now time.Time) []netip.AddrPort {
 	list := []netip.AddrPort{g.self}
-	for peer, at := range g.lastNamed {
+	for peer, at := range g.lastReported {
 		if now.Sub(at) <= peerTTL {
 			list = append(list, peer)
 		}
@@ -83,15 +83,15 @@
 
 func rankHash(peer netip.AddrPort) uint64 { return xxhash.Sum64String(peer.String()) }
 
-// Rank is this process's place in the order, from 0.
+// Rank returns the rank of this process, from 0.
 func (g *Group) Rank(now time.Time) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Index(g.ranked(now), g.self)
 }
 
-// Readers gives the peers to ask: the first two in the order, without this
-// process itself.
+// Readers returns the peers to send inquiries to: the processes with the two lowest ranks,
+// without this process itself.
 func (g *Group) Readers(now time.Time) []netip.AddrPort {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,25 +100,25 @@
 	return slices.DeleteFunc(slices.Clone(first), func(peer netip.AddrPort) bool { return peer == g.self })
 }
 
-// Self is the address of this process.
+// Self returns the address of this process.
 func (g *Group) Self() netip.AddrPort { return g.self }
 
-// Peers gives all peers.
+// Peers returns all peers by rank.
 func (g *Group) Peers(now time.Time) []netip.AddrPort {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.DeleteFunc(g.ranked(now), func(peer netip.AddrPort) bool { return peer == g.self })
 }
 
-// HasPeer tells whether a process is a peer.
+// HasPeer reports whether a process is a peer.
 func (g *Group) HasPeer(peer netip.AddrPort) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, ok := g.lastNamed[peer]
+	_, ok := g.lastReported[peer]
 	return ok
 }
 
-// StartInquiry notes that a question is sent now, and gives its number.
+// StartInquiry records that an inquiry is sent now, and returns its number.
 func (g *Group) StartInquiry(now time.Duration) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,9 +128,9 @@
 	return g.lastNumber
 }
 
-// ConfirmedAt takes in an answer's age, and gives the time, by this process's
-// clock, at or after which the copy there was confirmed. It is false where the
-// answer proves nothing.
+// ConfirmedAt takes the number of an inquiry and the age from its answer. It returns a time
+// by this process's clock, and the peer's copy was confirmed at or after it. Ok is false if
+// the answer proves nothing.
 func (g *Group) ConfirmedAt(number uint64, age time.Duration) (confirmed time.Duration, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,7 +141,7 @@
 	return g.inquiries[i].sent - age, true
 }
 
-// ForRank gives the age for a rank.
+// ForRank returns the age for a rank.
 func (s Schedule) ForRank(rank int) time.Duration {
 	switch rank {
 	case 0:
@@ -152,7 +152,7 @@
 	return s.Others
 }
 
-// Scaled gives all ages times a factor.
+// Scaled returns a schedule with all ages multiplied by a factor.
 func (s Schedule) Scaled(factor float64) Schedule {
 	scale := func(d time.Duration) time.Duration { return time.Duration(float64(d) * factor) }
 	return Schedule{First: scale(s.First), Second: scale(s.Second), Others: scale(s.Others)}
--- a/internal/state/beechreader/group_test.go
+++ b/internal/state/beechreader/group_test.go
@@ -15,7 +15,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7340)
 }
 
-func TestOneReadsAndOneStandsIn(t *testing.T) {
+func TestReaderAndStandbyAreAsked(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	var all []netip.AddrPort
@@ -32,17 +32,16 @@
 			asked[reader]++
 		}
 	}
-	is.Equal(len(ranks), 11) // everybody agrees on the order
+	is.Equal(len(ranks), 11) // all processes agree on the order
 	is.Equal(len(asked), 2)
 	for _, n := range asked {
 		is.Equal(n, 10)
 	}
 }
 
-// The process that reads for its zone is killed. It is named for a while yet; the
-// others read by themselves before their copies are too old to serve keys, and the
-// order closes up when nobody names it any more.
-func TestReaderThatIsGone(t *testing.T) {
+// The reader of a zone is killed. Once it is no longer reported, the ranks of the others
+// must move up and a process without other peers must read by itself.
+func TestRanksAfterReaderIsGone(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(100, 0)
 	c := New(peer(0))
@@ -54,8 +53,9 @@
 	is.Equal(schedule.ForRank(c.Rank(now)), schedule.First)
 }
 
-// Operators who want removed keys gone sooner have the store read as much more often.
-func TestShorterBoundShortensAges(t *testing.T) {
+// Operators shorten the time for which removed keys may be served. The store must then be
+// read more often by the same factor.
+func TestScaledSchedule(t *testing.T) {
 	is := is.New(t)
 	s := schedule.Scaled(0.5)
 	is.Equal(s, Schedule{First: 650 * time.Millisecond, Second: time.Second, Others: 1200 * time.Millisecond})
@@ -71,13 +71,13 @@
 	return 0
 }
 
-// A zone's processes know different peers, since words are lost and processes
-// come and go. Somebody always is due first, whoever knows whom.
-func TestDifferentListsHaveAReader(t *testing.T) {
+// The processes of a zone know different peers, as messages are lost and processes start
+// and stop. At least one process must rank itself first, or none reads early.
+func TestDifferentPeerListsHaveAReader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(100, 0)
 		n := rapid.IntRange(1, 8).Draw(t, "processes")
-		first := 0
+		readers := 0
 		for i := range n {
 			c := New(peer(i))
 			for j := range n {
@@ -86,51 +86,51 @@
 				}
 			}
 			if c.Rank(now) == 0 {
-				first++
+				readers++
 			}
 		}
-		if first == 0 {
-			t.Fatal("nobody reads")
+		if readers == 0 {
+			t.Fatal("no process ranks itself first")
 		}
 	})
 }
 
-// Datagrams are delayed, doubled and come in any order, processes are suspended,
-// strangers send numbers of their own. No answer makes a copy younger than the
-// read that confirmed it.
-func TestNoWordMakesACopyYounger(t *testing.T) {
+// Datagrams are delayed, duplicated and reordered, processes are suspended, and other
+// senders make up numbers. No answer may make a copy appear younger than the read that
+// confirmed it.
+func TestAnswersNeverMakeCopyYounger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := New(peer(0))
-		var now, confirmed time.Duration // by one clock that all share here
-		type word struct {
-			number uint64
-			age    time.Duration
-			truth  time.Duration
+		var now, confirmed time.Duration // by one clock for all processes
+		type answer struct {
+			number    uint64
+			age       time.Duration
+			confirmed time.Duration
 		}
 		var questions []uint64
-		var answers []word
+		var answers []answer
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				confirmed = now // the reader reads
+				confirmed = now // the reader reads the store
 			case 1:
 				questions = append(questions, c.StartInquiry(now))
 			case 2:
-				if len(questions) > 0 { // it answers some question, then or much later
-					answers = append(answers, word{rapid.SampledFrom(questions).Draw(t, "question"), now - confirmed, confirmed})
+				if len(questions) > 0 { // the reader answers one of the inquiries, possibly much later
+					answers = append(answers, answer{rapid.SampledFrom(questions).Draw(t, "question"), now - confirmed, confirmed})
 				}
 			case 3:
 				if len(answers) > 0 {
 					a := rapid.SampledFrom(answers).Draw(t, "answer")
-					if at, ok := c.ConfirmedAt(a.number, a.age); ok && at > a.truth {
-						t.Fatalf("believed %s, confirmed %s", at, a.truth)
+					if confirmedAt, ok := c.ConfirmedAt(a.number, a.age); ok && confirmedAt > a.confirmed {
+						t.Fatalf("returned %s, but the copy was confirmed at %s", confirmedAt, a.confirmed)
 					}
 				}
 			case 4:
 				number := rapid.Uint64().Draw(t, "stranger")
-				if at, ok := c.ConfirmedAt(number, -time.Duration(rapid.IntRange(1, 1<<40).Draw(t, "age"))); ok {
-					t.Fatalf("an age below zero was believed: %s", at)
+				if confirmedAt, ok := c.ConfirmedAt(number, -time.Duration(rapid.IntRange(1, 1<<40).Draw(t, "age"))); ok {
+					t.Fatalf("an answer with a negative age was accepted: %s", confirmedAt)
 				}
 			}
 		}
