--- a/internal/state/beechfence/doc.go
+++ b/internal/state/beechfence/doc.go
@@ -1,25 +1,25 @@
-// Package beechfence keeps orders to backend servers (load, adapter, version,
-// role) from being given by two agents at once, and bounds how many engines
-// load at once in the deployment.
+// Package beechfence prevents two agents from giving orders (load, adapter, version, role)
+// to the same backend server at the same time, and limits how many engines of the
+// deployment load weights at the same time.
 //
-// Before a Guard gives an order it holds a lease on the server, has taken a
-// fencing number by compare-and-swap that is higher than any before, and has
-// just read that the number is still the highest. A server that checks numbers
-// refuses an order from an agent that was paused and overtaken. For a server
-// that ignores them the lease is what protects: no other agent can take it
-// before its end, the holder counts its time from before it was asked for, and
-// an order's context ends a margin before the lease does. Both the monotonic
-// and the wall clock count, because the monotonic one stands still while a
-// whole machine is suspended.
+// Before a Guard sends an order, it acquires a lease on the server and, by
+// compare-and-swap, a fencing number that is higher than all previous ones. It then
+// reads that its number is still the highest. A server that checks fencing numbers
+// refuses orders from an agent that was paused and has been replaced meanwhile. Other
+// servers are protected by the lease: no other agent can acquire it before it ends, its
+// holder measures its duration from before the request for it, and the context of an
+// order ends a margin before the lease. Time is measured by the monotonic and by the wall
+// clock, and the larger value counts, because the monotonic clock stops while the machine
+// is suspended.
 //
-// What this leaves open, for servers that ignore numbers: a process stopped in
-// the instant between the client library's last look at the context and the
-// write to the socket, for longer than the lease, can still send one order.
-// After each order the number is therefore read again. Superseded says that a
-// newer holder was there before the order had ended; both compare what the
-// server holds with what it should, and the newer one corrects it.
+// One race remains for servers that do not check fencing numbers: a process that is paused
+// for longer than the lease, between the HTTP client's last check of the context and the
+// write to the socket, can still send one order. The number is therefore read again after
+// each order. Superseded means that a newer holder may have existed before the order
+// ended. Both agents then compare the server's state with the wanted one, and the newer
+// agent corrects it.
 //
-// A Slots holds the load slots of the deployment, each a leased key.
+// Slots are the load slots of the deployment, each of them a key with a lease.
 //
 // # Usage
 //
--- a/internal/state/beechfence/errors.go
+++ b/internal/state/beechfence/errors.go
@@ -7,60 +7,59 @@
 )
 
 type (
-	// LeaseHeld says that another agent holds the server's lease. Nothing was
-	// ordered.
+	// LeaseHeld means that another agent holds the server's lease. Nothing was sent.
 	LeaseHeld struct {
 		Server netip.AddrPort
-		After  time.Duration // the longest that a dead holder's lease lasts
+		After  time.Duration // the longest time until the lease of a dead holder ends
 	}
 
-	// LeaseExpired says that the lease ended, or came too near its end, before the
-	// order was sent. Nothing was ordered.
+	// LeaseExpired means that the lease had ended or was about to end, or that another agent
+	// had taken a number, before the order was sent. Nothing was sent.
 	LeaseExpired struct {
 		Server netip.AddrPort
 		Number uint64
 	}
 
-	// Superseded says that the order was sent, and that by the time it was
-	// done the lease had ended, a newer number was taken, or neither could be
-	// checked. What the server holds has to be compared with what it should.
-	// Err is the order's own error, if any.
+	// Superseded means that the order was sent, and that when it ended, the lease had
+	// ended or was about to, a newer number existed, or the number could not be read. The
+	// caller must compare the server's state with the wanted one. Err is the error of the
+	// order itself, if any.
 	Superseded struct {
 		Server netip.AddrPort
 		Number uint64
 		Err    error
 	}
 
-	// Busy says that all load slots that were tried are taken.
+	// Busy means that all load slots that were tried are taken.
 	Busy struct {
 		Slots int
 		After time.Duration
 	}
 )
 
-// Error gives the server and the wait.
+// Error names the server and the time to wait.
 func (e LeaseHeld) Error() string {
-	return fmt.Sprintf("order to %s: another agent holds its lease, for at most %s", e.Server, e.After)
+	return fmt.Sprintf("order to %s: another agent holds the server's lease for at most %s", e.Server, e.After)
 }
 
-// Error gives the server and the number.
+// Error names the server and the fencing number.
 func (e LeaseExpired) Error() string {
-	return fmt.Sprintf("order to %s: the lease with fencing number %d has lapsed, nothing was sent", e.Server, e.Number)
+	return fmt.Sprintf("order to %s: the lease with fencing number %d has ended; nothing was sent", e.Server, e.Number)
 }
 
-// Error gives the server, the number and the order's own error.
+// Error names the server and the fencing number, and adds the error of the order.
 func (e Superseded) Error() string {
-	text := fmt.Sprintf("order to %s: fencing number %d was superseded while the order was under way", e.Server, e.Number)
+	text := fmt.Sprintf("order to %s: fencing number %d may have been superseded before the order ended", e.Server, e.Number)
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
 	}
 	return text
 }
 
-// Unwrap gives the order's own error.
+// Unwrap returns the error of the order.
 func (e Superseded) Unwrap() error { return e.Err }
 
-// Error gives the number of slots and the wait.
+// Error names the number of slots and the time to wait.
 func (e Busy) Error() string {
-	return fmt.Sprintf("take one of %d load slots: none is free, try again in %s", e.Slots, e.After)
+	return fmt.Sprintf("acquire one of %d load slots: none is free, retry in %s", e.Slots, e.After)
 }
--- a/internal/state/beechfence/fence_test.go
+++ b/internal/state/beechfence/fence_test.go
@@ -19,24 +19,24 @@
 )
 
 type (
-	// engine is a backend server that takes orders. One that checks refuses a
-	// number lower than the highest it has seen.
+	// engine is a backend server that executes orders. If checks is set, it refuses an
+	// order with a number below the highest one that it has received.
 	engine struct {
 		t      *testing.T
 		checks bool
 
-		mu      sync.Mutex
-		highest uint64
-		givenBy map[uint64]string
-		loaded  string
+		mu            sync.Mutex
+		highest       uint64
+		agentByNumber map[uint64]string
+		loaded        string
 	}
 
-	// sleeper is a Store whose holder is paused in one call of Get.
-	sleeper struct {
+	// pausingStore is a store whose user is paused in one call of Get.
+	pausingStore struct {
 		beechstore.Store
-		gets   int
-		before int // which Get pauses, before it is made
-		after  int // which Get pauses, after it is made
+		gets        int
+		pauseBefore int // the call, counted from 1, that pauses before it is sent
+		pauseAfter  int // the call, counted from 1, that pauses after its reply
 	}
 )
 
@@ -46,26 +46,26 @@
 	runs   = flag.Int("runs", 1000, "random runs of each history test")
 	server = netip.MustParseAddrPort("10.0.0.1:8000")
 
-	errOldNumber = errors.New("the number is old")
+	errOldNumber = errors.New("outdated fencing number")
 )
 
-// apply takes an order as an HTTP client and a server would: the client looks
-// at its context last, then the server sees the number.
+// apply executes an order as an HTTP client and a server would: first the client checks the
+// context, then the server checks the number.
 func (e *engine) apply(ctx context.Context, agent string, number uint64, model string) error {
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if by, ok := e.givenBy[number]; ok && by != agent {
-		e.t.Errorf("number %d is %s's and %s's", number, by, agent)
+	if by, ok := e.agentByNumber[number]; ok && by != agent {
+		e.t.Errorf("number %d was used by agents %s and %s", number, by, agent)
 	}
-	e.givenBy[number] = agent
+	e.agentByNumber[number] = agent
 	if number < e.highest {
 		if e.checks {
 			return errOldNumber
 		}
-		e.t.Errorf("%s gave an order with number %d after one with %d", agent, number, e.highest)
+		e.t.Errorf("agent %s sent an order with number %d after one with %d", agent, number, e.highest)
 	}
 	e.highest = max(e.highest, number)
 	e.loaded = model
@@ -73,33 +73,33 @@
 }
 
 func newEngine(t *testing.T, checks bool) *engine {
-	return &engine{t: t, checks: checks, givenBy: map[uint64]string{}}
+	return &engine{t: t, checks: checks, agentByNumber: map[uint64]string{}}
 }
 
-func (s *sleeper) Get(ctx context.Context, key string, i beechstore.Importance) (beechstore.Value, error) {
+func (s *pausingStore) Get(ctx context.Context, key string, i beechstore.Importance) (beechstore.Value, error) {
 	s.gets++
-	if s.gets == s.before {
+	if s.gets == s.pauseBefore {
 		time.Sleep(pause)
 	}
 	v, err := s.Store.Get(ctx, key, i)
-	if s.gets == s.after {
+	if s.gets == s.pauseAfter {
 		time.Sleep(pause)
 	}
 	return v, err
 }
 
-// An agent is paused at some step of an order, its lease lapses, and a newer
-// agent loads the next version. The old one wakes and believes that it still
-// holds the lease. If its order arrived, the engine would go back to weights
-// that its callers' cache keys no longer match.
-func TestPausedAgentDoesNoHarm(t *testing.T) {
+// An agent is paused during an order, its lease ends, and another agent loads the next
+// version. Then the first agent continues as if it still held the lease. If the engine
+// executed its order, it would return to outdated weights, which no longer match the cache
+// keys of its callers.
+func TestPausedAgentCannotOverrideNewerOrder(t *testing.T) {
 	steps := map[string]struct {
-		store  sleeper
+		store  pausingStore
 		inSend bool
 	}{
-		"before the last look at the number": {store: sleeper{before: 2}},
-		"after the last look at the number":  {store: sleeper{after: 2}},
-		"before the send":                    {inSend: true},
+		"before the last check of the number": {store: pausingStore{pauseBefore: 2}},
+		"after the last check of the number":  {store: pausingStore{pauseAfter: 2}},
+		"before the send":                     {inSend: true},
 	}
 	for name, step := range steps {
 		for _, checks := range []bool{true, false} {
@@ -113,7 +113,7 @@
 					slow.Store = store
 					old := New(&slow, clock, server, Settings{})
 					warm := func(ctx context.Context, n uint64) error { return e.apply(ctx, "old", n, "v1") }
-					slow.gets = 10 // the first order is not paused
+					slow.gets = 10 // beyond the calls that pause, so that the first order does not
 					is.NoErr(old.Order(t.Context(), warm))
 					slow.gets = 1
 
@@ -139,8 +139,8 @@
 	}
 }
 
-// Two agents believe that a live server is theirs. The second waits until the
-// first gives its lease back or is gone for its length.
+// Two agents want to send orders to the same server. The second one must not before the
+// first gives up its lease or the lease ends.
 func TestSecondAgentWaitsForTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -161,10 +161,9 @@
 	})
 }
 
-// The service is down or slow, replies are lost, agents stall: whatever
-// happens, orders reach a server in the order of their numbers, also one that
-// does not look at them.
-func TestOrdersStayInOrder(t *testing.T) {
+// The key-value service is slow, calls and replies are lost, and agents stall. Orders must
+// still reach a server in the order of their numbers, even if it does not check them.
+func TestOrdersArriveInNumberOrder(t *testing.T) {
 	given := 0
 	for seed := range uint64(*runs) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
@@ -172,7 +171,7 @@
 		})
 	}
 	if given < *runs {
-		t.Errorf("only %d orders were given in %d runs", given, *runs)
+		t.Errorf("only %d orders succeeded in %d runs", given, *runs)
 	}
 }
 
@@ -209,8 +208,8 @@
 	return given
 }
 
-// More engines want to load than the weight store serves at full speed. At
-// most so many load at once, also while replies are lost.
+// More engines need to load weights than the weight store can serve at full speed. The
+// number of concurrent loads must stay within the limit, even while replies are lost.
 func TestLoadSlotsAreBounded(t *testing.T) {
 	most := 0
 	for seed := range uint64(*runs) {
@@ -219,7 +218,7 @@
 		})
 	}
 	if most != 3 {
-		t.Errorf("at most %d slots were held at once, want 3", most)
+		t.Errorf("at most %d slots were held at the same time, want 3", most)
 	}
 }
 
@@ -243,7 +242,7 @@
 				loading++
 				most = max(most, loading)
 				if loading > 3 {
-					t.Errorf("%d load at once", loading)
+					t.Errorf("%d loads at the same time, want at most 3", loading)
 				}
 				mu.Unlock()
 				time.Sleep(upTo(r, 2*time.Second))
--- a/internal/state/beechfence/guard.go
+++ b/internal/state/beechfence/guard.go
@@ -16,33 +16,32 @@
 )
 
 type (
-	// Settings of a Guard and of Slots. Zero fields get the defaults named.
+	// Settings configures a Guard or Slots. Zero fields get the defaults given here.
 	Settings struct {
 		TTL    time.Duration // of a lease; 10 s, longer than any order takes
-		Margin time.Duration // an order must end so long before its lease; 2 s
+		Margin time.Duration // the context of an order ends this long before the lease; 2 s
 	}
 
-	// Guard gives the orders of one agent to one backend server.
+	// Guard protects the orders of one agent to one backend server.
 	Guard struct {
 		store    beechstore.Store
 		clock    clockwork.Clock
 		server   netip.AddrPort
 		settings Settings
-		id       string // random, of this agent's Guard
+		id       string // random, identifies this Guard
 
 		mu   sync.Mutex
 		term term
 	}
 
-	// term is a time of holding the server's lease under one number.
+	// term is a period in which a Guard holds the server's lease with one fencing number.
 	term struct {
 		lease       beechstore.Lease
 		requestedAt time.Time
-		number      uint64 // 0: none is held
+		number      uint64 // 0: the Guard holds no lease
 	}
 
-	// fenceRecord is the value under a server's fence key, which is never
-	// deleted.
+	// fenceRecord is the value of a server's fence key, which is never deleted.
 	fenceRecord struct {
 		Number uint64 `json:"number"`
 		Holder string `json:"holder"`
@@ -58,11 +57,11 @@
 )
 
 var (
-	errNumberContended = errors.New("the fencing number changed at each try to take it")
-	errNumberTaken     = errors.New("another agent has taken a number since")
+	errNumberContended = errors.New("the fencing number changed during each attempt to increment it")
+	errNumberTaken     = errors.New("another agent has taken a newer fencing number")
 )
 
-// New makes a guard that holds nothing yet.
+// New returns a Guard without a lease.
 func New(store beechstore.Store, clock clockwork.Clock, server netip.AddrPort, settings Settings) *Guard {
 	return &Guard{store: store, clock: clock, server: server, settings: settings.withDefaults(), id: newID()}
 }
@@ -77,10 +76,10 @@
 	return s
 }
 
-// Order runs send with the fencing number, one order at a time. The context
-// that send gets ends a margin before the lease; send must give up with it.
-// Errors from before the send are Held, Lapsed and those of beechstore;
-// Superseded comes after it; others are send's own.
+// Order calls send with the fencing number, one call at a time. The context of send ends a
+// margin before the lease, and send must return then. LeaseHeld, LeaseExpired and the errors of
+// beechstore mean that send was not called. Superseded is returned after send. All other
+// errors are those of send.
 func (g *Guard) Order(ctx context.Context, send func(ctx context.Context, fence uint64) error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -102,34 +101,35 @@
 	return err
 }
 
-// Close gives the lease back, so that a successor need not wait for its end.
+// Close deletes the holder key, so that another agent need not wait for the end of the
+// lease.
 func (g *Guard) Close(ctx context.Context) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.term.number == 0 {
 		return nil
 	}
-	mark := g.holderValue(g.term.lease)
+	value := g.holderValue(g.term.lease)
 	g.term = term{}
 	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceRest)
-	if err != nil || string(v.Data) != mark {
+	if err != nil || string(v.Data) != value {
 		return err
 	}
 	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceRest)
 }
 
-// remaining is the time for an order under this term, by whichever clock has
-// moved more.
+// remaining returns the time left for an order in this term, by the clock that has
+// advanced more.
 func (g *Guard) remaining(t term) time.Duration {
 	now := g.clock.Now()
 	passed := max(now.Sub(t.requestedAt), now.Round(0).Sub(t.requestedAt.Round(0)))
 	return t.lease.TTL - g.settings.Margin - passed
 }
 
-// ensureTerm makes sure that the term has time and its number is the highest. If
-// another agent has held the server since, the order was decided on what was
-// true before that, so it is not given under a new number: Lapsed sends the
-// caller back to look at what the server holds now.
+// ensureTerm makes sure that the term has time left and that its number is the highest. If
+// another agent has held the lease meanwhile, the decision for the order may be outdated,
+// so the order is not sent with a new number. It returns LeaseExpired, and the caller must check
+// the server's state again.
 func (g *Guard) ensureTerm(ctx context.Context) error {
 	if g.term.number == 0 {
 		return g.acquireTerm(ctx, 0)
@@ -154,18 +154,18 @@
 	return LeaseExpired{Server: g.server, Number: number}
 }
 
-// renew asks for more time once half is gone. A failure leaves the term as it
-// is: its time simply runs out.
+// renew extends the lease when at most half of its time is left. After an error the term
+// is unchanged and ends with its lease.
 func (g *Guard) renew(ctx context.Context) {
 	if left := g.remaining(g.term); left <= 0 || left > g.term.lease.TTL/2 {
 		return
 	}
-	asked := g.clock.Now()
+	requestedAt := g.clock.Now()
 	l, err := g.store.KeepAlive(ctx, g.term.lease, beechstore.ImportanceConfiguration)
 	if err != nil {
 		return
 	}
-	g.term.lease, g.term.requestedAt = l, asked
+	g.term.lease, g.term.requestedAt = l, requestedAt
 }
 
 func (g *Guard) isHighest(ctx context.Context, t term) bool {
@@ -173,13 +173,13 @@
 	return err == nil && r.Number == t.number && r.Holder == g.id
 }
 
-// acquireTerm gets the lease and then the next number. The lease comes first: a
-// number taken without it would make a server refuse the rightful holder.
+// acquireTerm acquires the lease and then the next number. The lease comes first, because
+// a number that is taken without it would make the server refuse the current holder.
 //
-// Last is the number of the term that ran out, 0 for none: if the number has
-// moved on since, another agent was there.
+// Last is the number of the previous term, or 0 if there is none. If the stored number
+// has increased since then, another agent has held the lease.
 func (g *Guard) acquireTerm(ctx context.Context, last uint64) error {
-	asked := g.clock.Now()
+	requestedAt := g.clock.Now()
 	l, err := g.store.Grant(ctx, g.settings.TTL, beechstore.ImportanceConfiguration)
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", g.server, err)
@@ -194,14 +194,14 @@
 	if err != nil {
 		return fmt.Errorf("order to %s: %w", g.server, err)
 	}
-	g.term = term{lease: l, requestedAt: asked, number: number}
+	g.term = term{lease: l, requestedAt: requestedAt, number: number}
 	return nil
 }
 
 func (g *Guard) acquireHolderKey(ctx context.Context, l beechstore.Lease) error {
 	key := holderKey(g.server)
-	mark := g.holderValue(l)
-	_, err := g.store.CompareAndSwap(ctx, key, 0, []byte(mark), l.ID, beechstore.ImportanceConfiguration)
+	value := g.holderValue(l)
+	_, err := g.store.CompareAndSwap(ctx, key, 0, []byte(value), l.ID, beechstore.ImportanceConfiguration)
 	var conflict beechstore.Conflict
 	var unknown beechstore.UnknownOutcome
 	switch {
@@ -211,19 +211,19 @@
 		return LeaseHeld{Server: g.server, After: g.settings.TTL}
 	case errors.As(err, &unknown):
 		v, readErr := g.store.Get(ctx, key, beechstore.ImportanceConfiguration)
-		if readErr == nil && string(v.Data) == mark {
+		if readErr == nil && string(v.Data) == value {
 			return nil
 		}
 	}
 	return fmt.Errorf("order to %s: %w", g.server, err)
 }
 
-// holderValue is the holder key's value: this guard under this lease. A guard that
-// finds its own id under another lease must not take that for its own.
+// holderValue returns the value of the holder key, which identifies this Guard and the
+// lease. A Guard does not hold a key that has its own ID with another lease.
 func (g *Guard) holderValue(l beechstore.Lease) string { return g.id + "/" + l.ID }
 
-// acquireNumber moves the number on by one. After a lost reply it takes the next
-// one: a number that was skipped does no harm.
+// acquireNumber increments the stored number. After a lost reply it increments the number
+// again, since skipped numbers are harmless.
 func (g *Guard) acquireNumber(ctx context.Context, last uint64) (uint64, error) {
 	for range maxNumberAttempts {
 		r, version, err := g.readNumber(ctx)
--- a/internal/state/beechfence/slots.go
+++ b/internal/state/beechfence/slots.go
@@ -14,15 +14,15 @@
 )
 
 type (
-	// Slots are the deployment's load slots. Loading weights slows down for
-	// all engines while too many load at once, so each load holds a slot.
+	// Slots are the load slots of the deployment. If too many engines load weights at the
+	// same time, all loads slow down, so each load must hold a slot.
 	Slots struct {
 		store    beechstore.Store
 		clock    clockwork.Clock
 		settings Settings
 	}
 
-	// Slot is a load slot that is held until Release or the end of its lease.
+	// Slot is a load slot that is held until Release or until its lease ends.
 	Slot struct {
 		slots *Slots
 		value beechstore.Value
@@ -33,24 +33,24 @@
 	}
 )
 
-// maxSlotAttempts bounds the writes of one Acquire where there are many slots.
+// maxSlotAttempts bounds the writes of one call of Acquire if there are many slots.
 const maxSlotAttempts = 8
 
-// NewSlots makes the slots of the deployment that store belongs to.
+// NewSlots returns the load slots of the deployment that the store belongs to.
 func NewSlots(store beechstore.Store, clock clockwork.Clock, settings Settings) *Slots {
 	return &Slots{store: store, clock: clock, settings: settings.withDefaults()}
 }
 
-// Acquire takes one of n slots, or fails with Busy. It begins at a random
-// slot, so that agents which begin together do not all meet at the first.
+// Acquire acquires one of n slots, or returns Busy. It starts at a random slot, so that
+// agents that start at the same time do not all try the same slot first.
 func (s *Slots) Acquire(ctx context.Context, n int) (*Slot, error) {
 	if n <= 0 {
 		return nil, Busy{Slots: n, After: s.settings.TTL}
 	}
-	asked := s.clock.Now()
+	requestedAt := s.clock.Now()
 	lease, err := s.store.Grant(ctx, s.settings.TTL, beechstore.ImportanceConfiguration)
 	if err != nil {
-		return nil, fmt.Errorf("take a load slot: %w", err)
+		return nil, fmt.Errorf("acquire a load slot: %w", err)
 	}
 	start := rand.IntN(n)
 	for i := range min(n, maxSlotAttempts) {
@@ -58,15 +58,16 @@
 		var conflict beechstore.Conflict
 		switch {
 		case err == nil:
-			return &Slot{slots: s, value: v, lease: lease, requestedAt: asked}, nil
+			return &Slot{slots: s, value: v, lease: lease, requestedAt: requestedAt}, nil
 		case !errors.As(err, &conflict):
-			return nil, fmt.Errorf("take a load slot: %w", err)
+			return nil, fmt.Errorf("acquire a load slot: %w", err)
 		}
 	}
 	return nil, Busy{Slots: n, After: s.settings.TTL / 4}
 }
 
-// acquireSlot settles a lost reply by reading back: the lease's id is the value.
+// acquireSlot tries to acquire one slot. After a lost reply it reads the key back, whose
+// value is the ID of the lease.
 func (s *Slots) acquireSlot(ctx context.Context, key, lease string) (beechstore.Value, error) {
 	v, err := s.store.CompareAndSwap(ctx, key, 0, []byte(lease), lease, beechstore.ImportanceConfiguration)
 	var unknown beechstore.UnknownOutcome
@@ -80,8 +81,8 @@
 	return v, nil
 }
 
-// Remaining is how long a load may still take under this slot. A load that takes
-// longer than that runs beside whoever takes the slot next.
+// Remaining returns the time until the lease of the slot ends. A load that takes longer may
+// run at the same time as one by the next holder of the slot.
 func (s *Slot) Remaining() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,20 +91,20 @@
 	return s.lease.TTL - passed
 }
 
-// Renew keeps the slot for another TTL.
+// Renew extends the lease of the slot to its full TTL.
 func (s *Slot) Renew(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked := s.slots.clock.Now()
+	requestedAt := s.slots.clock.Now()
 	l, err := s.slots.store.KeepAlive(ctx, s.lease, beechstore.ImportanceConfiguration)
 	if err != nil {
-		return fmt.Errorf("keep a load slot: %w", err)
+		return fmt.Errorf("renew a load slot: %w", err)
 	}
-	s.lease, s.requestedAt = l, asked
+	s.lease, s.requestedAt = l, requestedAt
 	return nil
 }
 
-// Release gives the slot back. If that fails it ends with its lease.
+// Release frees the slot. If that fails, the slot becomes free when its lease ends.
 func (s *Slot) Release(ctx context.Context) {
 	_ = s.slots.store.Delete(ctx, s.value.Key, s.value.Version, beechstore.ImportanceConfiguration)
 }
