--- a/internal/state/beechmanifest/doc.go
+++ b/internal/state/beechmanifest/doc.go
@@ -32,5 +32,5 @@
 //
 //	holder := beechmanifest.NewHolder()
 //	supervisor.Add(beechmanifest.NewWatcher(store, holder, clock, beechmanifest.WatcherSettings{}))
-//	workspace, ok := holder.Current().WorkspaceOf(bearerKey)
+//	workspace, ok := holder.Current().WorkspaceByKey(bearerKey)
 package beechmanifest
--- a/internal/state/beechmirror/mirror.go
+++ b/internal/state/beechmirror/mirror.go
@@ -20,7 +20,7 @@
 //
 // # Outages of the store
 //
-// Items with a lease expire while their owners cannot reach the store, and are created
+// Items with a lease expire during an outage, as their owners cannot renew it, and are created
 // again soon after it recovers. If the mirror removed them at once, a gate would have no
 // servers although all of them work. Missing items are therefore kept for RemovalDelay
 // after the store has recovered.
--- a/internal/state/beechmirror/peers.go
+++ b/internal/state/beechmirror/peers.go
@@ -49,7 +49,7 @@
 
 // Status returns the status and the age of the copy. Known is false before the first full
 // read.
-func (m *Mirror) Status() (w CopyStatus, age time.Duration, known bool) {
+func (m *Mirror) Status() (status CopyStatus, age time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return CopyStatus{Digest: m.digest, Watching: m.watching && !m.failing}, m.freshness.Age(), m.loaded
@@ -58,14 +58,14 @@
 // ApplyPeerStatus applies the status of a peer's copy and reports whether this copy is the
 // same. If it is, and the age of the peer's copy is proved, this copy is confirmed as of
 // the same time.
-func (m *Mirror) ApplyPeerStatus(w CopyStatus) bool {
+func (m *Mirror) ApplyPeerStatus(status CopyStatus) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.loaded {
 		return false
 	}
-	if w.Digest != m.digest {
-		if w.Watching {
+	if status.Digest != m.digest {
+		if status.Watching {
 			m.peerWatchAt = time.Time{}
 			select {
 			case m.peerDiffers <- struct{}{}:
@@ -74,10 +74,10 @@
 		}
 		return false
 	}
-	if w.Confirmed {
-		m.freshness.Confirm(w.ConfirmedAt)
+	if status.Confirmed {
+		m.freshness.Confirm(status.ConfirmedAt)
 	}
-	if w.Confirmed && w.Watching {
+	if status.Confirmed && status.Watching {
 		m.peerWatchAt = m.clock.Now()
 	}
 	return true
