--- a/internal/state/beechmanifest/head.go
+++ b/internal/state/beechmanifest/head.go
@@ -17,30 +17,31 @@
 )
 
 type (
-	// head is the one value that says which manifest is published.
+	// head is the value under HeadKey, which determines the published manifest.
 	head struct {
 		Generation uint64   `json:"generation"`
-		Change     string   `json:"change"` // random, one for each Publish
-		Parts      []string `json:"parts"`  // sums; the first is the base, the others workspaces
-		Retired    []string `json:"retired,omitempty"`
+		Change     string   `json:"change"`            // random ID of the call of Publish
+		Parts      []string `json:"parts"`             // SHA-256 sums; the first part is the base, the others hold workspaces
+		Retired    []string `json:"retired,omitempty"` // sums of the parts of the previous head that this one does not have
 		History    []Change `json:"history"`
 	}
 
-	// Change is one accepted generation in the history.
+	// Change is an accepted generation in the history of a head.
 	Change struct {
 		Generation uint64    `json:"generation"`
 		ID         string    `json:"change"`
 		At         time.Time `json:"at"`
-		Sum        string    `json:"sum"` // SHA-256 of the whole manifest
+		Sum        string    `json:"sum"` // SHA-256 sum of the whole manifest
 	}
 
-	// part is a piece of a manifest under the hash of its content.
+	// part is a part of a manifest, identified by the SHA-256 sum of its content.
 	part struct {
 		sum  string
 		data []byte
 	}
 
-	// MissingPart says that the head names a part that is not in the service.
+	// MissingPart is the error if the head names a part that is not in the key-value
+	// service.
 	MissingPart struct {
 		Generation uint64
 		Sum        string
@@ -48,29 +49,29 @@
 )
 
 const (
-	// HeadKey is the key of the published manifest's head.
+	// HeadKey is the key of the head of the published manifest.
 	HeadKey = "manifest/head"
 
-	partPrefix       = "manifest/part/"
-	format           = 1
-	historyKept      = 64
-	workspacesInPart = 64
-	maxBuckets       = 1024
-	changeBytes      = 16
+	partPrefix        = "manifest/part/"
+	headFormat        = 1
+	maxHistory        = 64
+	workspacesPerPart = 64
+	maxBuckets        = 1024
+	changeIDBytes     = 16
 )
 
-// ErrNone says that no manifest has been published.
+// ErrNone is the error if no manifest has been published.
 var ErrNone = errors.New("no manifest has been published")
 
-// Error gives the generation and the part.
+// Error names the generation and the part.
 func (e MissingPart) Error() string {
-	return fmt.Sprintf("manifest generation %d: its part %s is missing in the platform's service", e.Generation, e.Sum)
+	return fmt.Sprintf("manifest generation %d: part %s is missing in the platform's key-value service", e.Generation, e.Sum)
 }
 
 func partKey(sum string) string { return partPrefix + sum }
 
-func newChange() string {
-	b := make([]byte, changeBytes)
+func newChangeID() string {
+	b := make([]byte, changeIDBytes)
 	_, _ = rand.Read(b)
 	return hex.EncodeToString(b)
 }
@@ -85,36 +86,35 @@
 		return head{}, ErrNone
 	}
 	var h head
-	err := beechstore.Unseal(v.Key, v.Data, format, &h)
+	err := beechstore.Unseal(v.Key, v.Data, headFormat, &h)
 	if err == nil && (h.Generation == 0 || len(h.Parts) == 0) {
-		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it names no generation or no part")}
+		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it has no generation or no parts")}
 	}
 	return h, err
 }
 
-// normal is the manifest with its workspaces in the order of their names:
-// the order says nothing, and parts made of it then differ only where the
-// manifest does.
-func normal(m *Manifest) *Manifest {
+// canonical returns the manifest with its workspaces sorted by name. Their order has no
+// meaning, and sorted ones give different parts only where the manifests differ.
+func canonical(m *Manifest) *Manifest {
 	n := *m
 	n.Workspaces = slices.Clone(m.Workspaces)
 	slices.SortFunc(n.Workspaces, func(a, b Workspace) int { return cmp.Compare(a.Name, b.Name) })
 	return &n
 }
 
-// cut divides a normal manifest: everything but the workspaces is the first
-// part, the workspaces go by the hash of their names into a power of two of
-// buckets, so that a change of one workspace changes one small part.
-func cut(m *Manifest) ([]part, error) {
+// split divides a canonical manifest into parts. The first part holds everything except
+// the workspaces. The others are buckets of workspaces by the hash of their names, so that
+// a change of one workspace changes one small part.
+func split(m *Manifest) ([]part, error) {
 	base := *m
 	base.Workspaces = nil
-	parts := make([]part, 0, 1+len(m.Workspaces)/workspacesInPart)
+	parts := make([]part, 0, 1+len(m.Workspaces)/workspacesPerPart)
 	p, err := newPart(base)
 	if err != nil {
 		return nil, err
 	}
 	parts = append(parts, p)
-	for _, bucket := range bucketsOf(m.Workspaces) {
+	for _, bucket := range bucketWorkspaces(m.Workspaces) {
 		p, err := newPart(bucket)
 		if err != nil {
 			return nil, err
@@ -124,9 +124,10 @@
 	return parts, nil
 }
 
-func bucketsOf(workspaces []Workspace) [][]Workspace {
+// bucketWorkspaces returns the non-empty buckets out of a power of two of them.
+func bucketWorkspaces(workspaces []Workspace) [][]Workspace {
 	n := 1
-	for n*workspacesInPart < len(workspaces) && n < maxBuckets {
+	for n*workspacesPerPart < len(workspaces) && n < maxBuckets {
 		n *= 2
 	}
 	buckets := make([][]Workspace, n)
@@ -148,7 +149,7 @@
 	return part{sum: sumOf(data), data: data}, nil
 }
 
-// join is the reverse of cut.
+// join is the inverse of split.
 func join(parts []part) (*Manifest, error) {
 	var m Manifest
 	for i, p := range parts {
@@ -164,5 +165,5 @@
 		}
 		m.Workspaces = append(m.Workspaces, workspaces...)
 	}
-	return normal(&m), nil
+	return canonical(&m), nil
 }
--- a/internal/state/beechmanifest/holder.go
+++ b/internal/state/beechmanifest/holder.go
@@ -8,36 +8,37 @@
 )
 
 type (
-	// Holder is the configuration that a process has in force. The generation
-	// only grows. All methods may be called at once.
+	// Holder keeps the active configuration of a process. Its generation never
+	// decreases. It is safe for concurrent use.
 	Holder struct {
-		held atomic.Pointer[held]
+		active atomic.Pointer[active]
 
 		mu      sync.Mutex
 		changed chan struct{}
 	}
 
-	held struct {
+	// active is a configuration with the encoded manifest that it was built from.
+	active struct {
 		configuration *Configuration
 		data          []byte
 		sum           [sha256.Size]byte
 	}
 )
 
-// NewHolder starts without a configuration.
+// NewHolder returns a Holder without a configuration.
 func NewHolder() *Holder {
 	return &Holder{changed: make(chan struct{})}
 }
 
-// Current gives the configuration in force, nil before the first.
+// Current returns the active configuration, or nil if there is none yet.
 func (h *Holder) Current() *Configuration {
-	if v := h.held.Load(); v != nil {
+	if v := h.active.Load(); v != nil {
 		return v.configuration
 	}
 	return nil
 }
 
-// Generation gives the generation in force, 0 before the first.
+// Generation returns the active generation, or 0 if there is none yet.
 func (h *Holder) Generation() uint64 {
 	if c := h.Current(); c != nil {
 		return c.Generation
@@ -45,52 +46,52 @@
 	return 0
 }
 
-// Encoded gives the generation in force and its manifest as a peer's Offer
-// takes it; nil before the first.
+// Encoded returns the active generation and its encoded manifest, for Offer in a peer. The
+// manifest is nil if there is none yet.
 func (h *Holder) Encoded() (uint64, []byte) {
-	if v := h.held.Load(); v != nil {
+	if v := h.active.Load(); v != nil {
 		return v.configuration.Generation, v.data
 	}
 	return 0, nil
 }
 
-// Changed gives a channel that closes with the next change. Ask for it before
-// Current, or a change between the two is missed.
+// Changed returns a channel that is closed at the next change. Call it before Current, or
+// a change between the two calls is missed.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changed
 }
 
-// Offer puts a manifest in force if its generation is newer, and tells
-// whether it did. An older one is passed over without an error. A manifest
-// that cannot be read is refused, as is another one under the generation in
-// force; what is in force then stays. Data must have been through Parse, as
-// all that Publish accepts has, and is not to be changed afterwards.
+// Offer activates a manifest if its generation is newer than the active one, and reports
+// whether it did. An older generation is ignored without an error. A manifest that cannot
+// be decoded, and a different manifest with the active generation, are errors and leave
+// the active manifest unchanged. Data must have been validated with Parse, as Publish does,
+// and must not be modified afterwards.
 func (h *Holder) Offer(generation uint64, data []byte) (bool, error) {
 	sum := sha256.Sum256(data)
-	if now := h.held.Load(); now != nil && generation <= now.configuration.Generation {
-		return false, now.compare(generation, sum)
+	if now := h.active.Load(); now != nil && generation <= now.configuration.Generation {
+		return false, now.checkSameContent(generation, sum)
 	}
 	m, err := decode(data)
 	if err != nil {
-		return false, fmt.Errorf("offer of generation %d: %w", generation, err)
+		return false, fmt.Errorf("activate manifest generation %d: %w", generation, err)
 	}
-	next := &held{configuration: Compile(m, generation), data: data, sum: sum}
+	next := &active{configuration: Compile(m, generation), data: data, sum: sum}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now := h.held.Load(); now != nil && generation <= now.configuration.Generation {
-		return false, now.compare(generation, sum)
+	if now := h.active.Load(); now != nil && generation <= now.configuration.Generation {
+		return false, now.checkSameContent(generation, sum)
 	}
-	h.held.Store(next)
+	h.active.Store(next)
 	close(h.changed)
 	h.changed = make(chan struct{})
 	return true, nil
 }
 
-func (v *held) compare(generation uint64, sum [sha256.Size]byte) error {
+func (v *active) checkSameContent(generation uint64, sum [sha256.Size]byte) error {
 	if generation == v.configuration.Generation && sum != v.sum {
-		return fmt.Errorf("offer of generation %d: its content differs from what is in force under this generation", generation)
+		return fmt.Errorf("activate manifest generation %d: its content differs from the active manifest of the same generation", generation)
 	}
 	return nil
 }
--- a/internal/state/beechmanifest/holder_test.go
+++ b/internal/state/beechmanifest/holder_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// Old and new generations reach a process in any order, from the service and
-// from peers, some of them damaged. A process that went back would bill by
-// last week's limits.
-func TestHolderNeverGoesBack(t *testing.T) {
+// Generations reach a process in any order, from the key-value service and from peers, and
+// some of them are damaged. A process that returned to an older generation would apply
+// outdated limits.
+func TestHolderGenerationNeverDecreases(t *testing.T) {
 	good := [][]byte{}
 	for i := range 4 {
-		data, err := Encode(normal(variant(i)))
+		data, err := Encode(canonical(variant(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,20 +44,20 @@
 				data := rapid.SampledFrom(good).Draw(t, "data")
 				cut := rapid.IntRange(0, len(data)-1).Draw(t, "cut")
 				if accepted, err := h.Offer(generation+1, data[:cut]); accepted || err == nil {
-					t.Fatal("a truncated manifest was taken")
+					t.Fatal("a truncated manifest was accepted")
 				}
 			},
 			"": func(t *rapid.T) {
 				g, data := h.Encoded()
 				if g != generation || string(data) != string(inForce) || h.Generation() != generation {
-					t.Fatalf("in force is %d, want %d", g, generation)
+					t.Fatalf("generation %d is active, want %d", g, generation)
 				}
 			},
 		})
 	})
 }
 
-func TestHolderIsEmptyAtFirst(t *testing.T) {
+func TestNewHolderIsEmpty(t *testing.T) {
 	is := is.New(t)
 	h := NewHolder()
 	is.True(h.Current() == nil)
@@ -65,7 +65,7 @@
 }
 
 func BenchmarkOffer(b *testing.B) {
-	data, err := Encode(normal(large(9300)))
+	data, err := Encode(canonical(manifestOfSize(9300)))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -79,8 +79,8 @@
 }
 
 func BenchmarkWorkspaceOf(b *testing.B) {
-	c := Compile(large(9300), 1)
+	c := Compile(manifestOfSize(9300), 1)
 	for b.Loop() {
-		c.WorkspaceOf("nobody's key")
+		c.WorkspaceByKey("nobody's key")
 	}
 }
--- a/internal/state/beechmanifest/load.go
+++ b/internal/state/beechmanifest/load.go
@@ -10,21 +10,22 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// loader reads published manifests. It has the parts that it has read, so that
-// a change costs a read of the head and of the parts that changed, and a
-// manifest of more parts than the budget of calls allows at once is loaded by
-// several tries, each going on where the last one ended.
+// loader reads published manifests. It caches the parts of the last head, so a change
+// costs reads of the head and of the changed parts only. A load that fails also keeps
+// the parts that it has read, and the next attempt reads only the others: a manifest
+// may have more parts than the call budget allows at once.
 type loader struct {
 	store beechstore.Store
-	known map[string][]byte
+	parts map[string][]byte // by SHA-256 sum
 	clock clockwork.Clock
 }
 
-const loadTries = 4
+// maxLoadAttempts bounds how often a load starts again because the head has changed.
+const maxLoadAttempts = 4
 
-// Load reads the published manifest. The error is ErrNone if there is none,
-// and beechstore.CorruptValue, beechstore.NewerFormat, MissingPart or Invalid
-// if it cannot be used.
+// Load reads the published manifest and its generation. The error is ErrNone if there is
+// none, and beechstore.CorruptValue, beechstore.NewerFormat, MissingPart or Invalid if it
+// cannot be used.
 func Load(ctx context.Context, store beechstore.Store) (uint64, *Manifest, error) {
 	l := &loader{store: store, clock: clockwork.NewRealClock()}
 	v, err := store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
@@ -39,8 +40,8 @@
 	return generation, m, err
 }
 
-// load reads what the head v names, encoded as Parse reads it. If a part is
-// gone because the head has moved on meanwhile, the newer head is taken.
+// load reads the manifest of the head v and returns it encoded as by Encode. If a part was
+// deleted because a newer head was published meanwhile, it loads the newer one.
 func (l *loader) load(ctx context.Context, v beechstore.Value) (uint64, []byte, error) {
 	for try := 1; ; try++ {
 		h, err := decodeHead(v)
@@ -49,7 +50,7 @@
 		}
 		data, err := l.assemble(ctx, h)
 		var missing MissingPart
-		if err == nil || !errors.As(err, &missing) || try == loadTries {
+		if err == nil || !errors.As(err, &missing) || try == maxLoadAttempts {
 			return h.Generation, data, err
 		}
 		again, readErr := l.store.Get(ctx, HeadKey, beechstore.ImportanceConfiguration)
@@ -61,14 +62,14 @@
 }
 
 func (l *loader) assemble(ctx context.Context, h head) ([]byte, error) {
-	l.keepOnly(h.Parts)
+	l.retainParts(h.Parts)
 	parts := make([]part, 0, len(h.Parts))
 	for _, sum := range h.Parts {
-		data, err := l.part(ctx, h.Generation, sum)
+		data, err := l.loadPart(ctx, h.Generation, sum)
 		if err != nil {
 			return nil, err
 		}
-		l.known[sum] = data
+		l.parts[sum] = data
 		parts = append(parts, part{sum: sum, data: data})
 	}
 	m, err := join(parts)
@@ -80,26 +81,26 @@
 		return nil, err
 	}
 	if sum := sumOf(data); len(h.History) > 0 && h.History[len(h.History)-1].Sum != sum {
-		return nil, beechstore.CorruptValue{Key: HeadKey, Err: fmt.Errorf("its parts make a manifest of sum %s, not of the one it names", sum)}
+		return nil, beechstore.CorruptValue{Key: HeadKey, Err: fmt.Errorf("the manifest assembled from its parts has the SHA-256 sum %s, which is not the one in its history", sum)}
 	}
 	return data, nil
 }
 
-func (l *loader) keepOnly(sums []string) {
+func (l *loader) retainParts(sums []string) {
 	kept := make(map[string][]byte, len(sums))
 	for _, sum := range sums {
-		if data, ok := l.known[sum]; ok {
+		if data, ok := l.parts[sum]; ok {
 			kept[sum] = data
 		}
 	}
-	l.known = kept
+	l.parts = kept
 }
 
-func (l *loader) part(ctx context.Context, generation uint64, sum string) ([]byte, error) {
-	if data, ok := l.known[sum]; ok {
+func (l *loader) loadPart(ctx context.Context, generation uint64, sum string) ([]byte, error) {
+	if data, ok := l.parts[sum]; ok {
 		return data, nil
 	}
-	v, err := l.patient(ctx, partKey(sum))
+	v, err := l.getWithinBudget(ctx, partKey(sum))
 	if err != nil {
 		return nil, fmt.Errorf("load a part of the manifest: %w", err)
 	}
@@ -107,16 +108,16 @@
 		return nil, MissingPart{Generation: generation, Sum: sum}
 	}
 	if got := sumOf(v.Data); got != sum {
-		return nil, beechstore.CorruptValue{Key: v.Key, Err: fmt.Errorf("its content has the sum %s", got)}
+		return nil, beechstore.CorruptValue{Key: v.Key, Err: fmt.Errorf("its content has the SHA-256 sum %s", got)}
 	}
 	return v.Data, nil
 }
 
-// patient waits for the budget of calls. A manifest of thousands of workspaces
-// has more parts than a process may read at once; given up on and begun anew
-// each time it would never be read, and a process without a configuration would
-// stay so.
-func (l *loader) patient(ctx context.Context, key string) (beechstore.Value, error) {
+// getWithinBudget reads a value and waits while the call budget is exhausted. A manifest
+// with thousands of workspaces has more parts than a process may read at once. If a load
+// failed at the end of the budget and started again each time, it might never finish, and
+// a process that has just started would never get a configuration.
+func (l *loader) getWithinBudget(ctx context.Context, key string) (beechstore.Value, error) {
 	for {
 		v, err := l.store.Get(ctx, key, beechstore.ImportanceConfiguration)
 		var over beechstore.OverBudget
--- a/internal/state/beechmanifest/number.go
+++ b/internal/state/beechmanifest/number.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// maxNumberText is longer than any number that a manifest needs.
-const maxNumberText = 20
+// maxNumberLength is the longest accepted number, in characters. No valid number in a
+// manifest is longer.
+const maxNumberLength = 20
 
-// checkNumbers refuses numbers with an exponent or very many digits, before
-// the schema compares them exactly: 1e999999 would take the comparison
-// seconds and megabytes, and a few such lines would stop a whole process.
+// checkNumbers rejects numbers with an exponent or too many digits before the schema is
+// validated. Validation compares numbers exactly: for 1e999999 that takes seconds and
+// megabytes, and a few such numbers would block the whole process.
 func checkNumbers(field string, value any) []Problem {
 	switch v := value.(type) {
 	case json.Number:
-		if text := v.String(); len(text) > maxNumberText || strings.ContainsAny(text, "eE") {
+		if text := v.String(); len(text) > maxNumberLength || strings.ContainsAny(text, "eE") {
 			return []Problem{{
 				Field:   field,
-				Wrong:   "the number " + text[:min(len(text), maxNumberText)] + " is not in plain digits",
-				Allowed: fmt.Sprintf("a number of at most %d characters without an exponent", maxNumberText),
+				Wrong:   "the number " + text[:min(len(text), maxNumberLength)] + " is not in plain digits",
+				Allowed: fmt.Sprintf("a number of at most %d characters without an exponent", maxNumberLength),
 			}}
 		}
 	case []any:
--- /dev/null
+++ b/internal/state/beechmirror/peers.go
@@ -0,0 +1,133 @@
+package beechmirror
+
+import (
+	"context"
+	"encoding/binary"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+type (
+	// Changes are all changes after a revision, up to the revision of the page.
+	Changes struct {
+		After uint64
+		Page
+	}
+
+	// CopyStatus is the status of the copy in another process or, as returned by
+	// Status, in this one.
+	CopyStatus struct {
+		Digest      uint64
+		Watching    bool          // the process watches the store
+		Confirmed   bool          // the age of the copy is proved, so ConfirmedAt is valid
+		ConfirmedAt time.Duration // the copy was confirmed at or after this time of this process's clock
+	}
+
+	// sharing is the state of a mirror that concerns its peers. It is guarded by the
+	// lock of the mirror.
+	sharing struct {
+		digest      uint64        // of the keys and revisions in the copy
+		alwaysWatch bool          // peers rely on this copy, so it watches the store whatever their status is
+		watching    bool          // this process watches the store, and the last watch has not failed
+		peerWatchAt time.Time     // when a watching peer last proved that it has the same copy
+		peerDiffers chan struct{} // signals that a watching peer has a different copy
+	}
+)
+
+// peerWatchTTL is how long the status of a peer that watches the store is valid. Within
+// this time two inquiries may remain unanswered.
+const peerWatchTTL = 700 * time.Millisecond
+
+// SetMaxAge changes the age of the copy at which a full read is due. AlwaysWatch means that
+// peers rely on this copy, so that this process watches even if a peer does.
+func (m *Mirror) SetMaxAge(d time.Duration, alwaysWatch bool) {
+	m.mu.Lock()
+	m.maxAge, m.alwaysWatch = d, alwaysWatch
+	m.mu.Unlock()
+}
+
+// Status returns the status and the age of the copy. Known is false before the first full
+// read.
+func (m *Mirror) Status() (status CopyStatus, age time.Duration, known bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return CopyStatus{Digest: m.digest, Watching: m.watching && !m.failing}, m.freshness.Age(), m.loaded
+}
+
+// ApplyPeerStatus applies the status of a peer's copy and reports whether this copy is the
+// same. If it is, and the age of the peer's copy is proved, this copy is confirmed as of
+// the same time.
+func (m *Mirror) ApplyPeerStatus(status CopyStatus) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.loaded {
+		return false
+	}
+	if status.Digest != m.digest {
+		if status.Watching {
+			m.peerWatchAt = time.Time{}
+			select {
+			case m.peerDiffers <- struct{}{}:
+			default:
+			}
+		}
+		return false
+	}
+	if status.Confirmed {
+		m.freshness.Confirm(status.ConfirmedAt)
+	}
+	if status.Confirmed && status.Watching {
+		m.peerWatchAt = m.clock.Now()
+	}
+	return true
+}
+
+// ApplyPeerChanges applies changes that a peer received from its watch, and reports whether
+// it did. They are ignored if this copy lacks earlier changes: then the copies differ, and a
+// watch of this process returns all changes. Removals are applied even if this process
+// cannot reach the store: the peer can, and forwards nothing while it keeps missing items.
+func (m *Mirror) ApplyPeerChanges(c Changes) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.loaded || c.After > m.revision || c.Revision <= m.revision {
+		return false
+	}
+	m.applyChanges(c.Page, false)
+	return true
+}
+
+// watchedByPeer reports whether a peer that watches the store has the same copy, so that
+// this process need not watch.
+func (m *Mirror) watchedByPeer() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.alwaysWatch || m.clock.Since(m.peerWatchAt) >= peerWatchTTL {
+		return false
+	}
+	m.watching = false
+	return true
+}
+
+// waitForPeer waits until the status of the watching peer may have expired or it has a
+// different copy.
+func (m *Mirror) waitForPeer(ctx context.Context) {
+	select {
+	case <-m.clock.After(peerWatchTTL):
+	case <-m.peerDiffers:
+	case <-ctx.Done():
+	}
+}
+
+// digestOf returns a digest of all keys and revisions. Copies with the same digest are the
+// same.
+func digestOf(list []Item) uint64 {
+	d := xxhash.New()
+	var revision [8]byte
+	for _, item := range list {
+		_, _ = d.WriteString(item.Key) // never fails
+		binary.BigEndian.PutUint64(revision[:], item.Revision)
+		_, _ = d.Write(revision[:])
+	}
+	return d.Sum64()
+}
