--- a/internal/state/beechrecord/memory.go
+++ b/internal/state/beechrecord/memory.go
@@ -27,12 +27,12 @@
 		Retention time.Duration // an entry that has ended is kept so long; 10 min
 	}
 
-	// Opening is what a keyed request gets: First, Joined or Mismatch.
-	Opening interface{ opening() }
+	// OpenResult is what a keyed request gets: Opened, Joined or Mismatch.
+	OpenResult interface{ openResult() }
 
-	// First says that the request is to be run. Its End must be called once,
+	// Opened says that the request is to be run. Its End must be called once,
 	// with what repeats may be told, or with nothing to forget the key.
-	First struct {
+	Opened struct {
 		memory *Memory
 		entry  *remembered
 	}
@@ -69,7 +69,7 @@
 }
 
 // Open looks a key up and takes it if it is free.
-func (m *Memory) Open(key Key, body BodySum, requestID string) Opening {
+func (m *Memory) Open(key Key, body BodySum, requestID string) OpenResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.expire()
@@ -83,11 +83,11 @@
 	e = &remembered{key: key, body: body, requestID: requestID, ended: make(chan struct{})}
 	m.entries[key] = e
 	m.order = append(m.order, e)
-	return First{memory: m, entry: e}
+	return Opened{memory: m, entry: e}
 }
 
 // End keeps the outcome for repeats. With NotRun the key is free again.
-func (f First) End(o Outcome) {
+func (f Opened) End(o Outcome) {
 	m, e := f.memory, f.entry
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -147,6 +147,6 @@
 	}
 }
 
-func (First) opening()    {}
-func (Joined) opening()   {}
-func (Mismatch) opening() {}
+func (Opened) openResult()    {}
+func (Joined) openResult()   {}
+func (Mismatch) openResult() {}
--- a/internal/state/beechrecord/memory_test.go
+++ b/internal/state/beechrecord/memory_test.go
@@ -16,7 +16,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		m := NewMemory(clock, MemorySettings{Entries: 4, Retention: time.Minute})
-		running := map[Key]First{}
+		running := map[Key]Opened{}
 		bodies := map[Key]BodySum{}
 		key := func(t *rapid.T) Key { return Key{Name: fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "key"))} }
 		t.Repeat(map[string]func(*rapid.T){
@@ -24,7 +24,7 @@
 				k, body := key(t), BodySum{rapid.Byte().Draw(t, "body") % 2}
 				_, runs := running[k]
 				switch o := m.Open(k, body, "r").(type) {
-				case First:
+				case Opened:
 					if runs {
 						t.Fatal("a second run beside the first")
 					}
@@ -57,7 +57,7 @@
 				if f, ok := running[k]; ok {
 					delete(running, k)
 					f.End(NotRun{})
-					first, ok := m.Open(k, BodySum{9}, "fresh").(First)
+					first, ok := m.Open(k, BodySum{9}, "fresh").(Opened)
 					if !ok {
 						t.Fatal("the key of what did not run is not free")
 					}
