--- a/internal/state/beechrecord/chain.go
+++ b/internal/state/beechrecord/chain.go
@@ -12,22 +12,23 @@
 )
 
 type (
-	// chain is a shard's segments as this process last saw them, the oldest
-	// first, the open one last. Claims in closed segments never change, so a
-	// chain that is behind can only miss what is in the open segment or after
-	// it, and a write to the open segment then meets a conflict.
+	// chain holds a shard's segments as this process last read or wrote them,
+	// oldest first; the last one is the open segment. No claims are added to a
+	// closed segment, so an outdated chain can only lack entries of the open
+	// segment or of later ones, and a write to the open segment then fails
+	// with a conflict.
 	chain struct {
 		store    beechstore.Store
 		clock    clockwork.Clock
 		settings Settings
 		shard    int
 
-		segments []*stored          // empty: not loaded
-		known    map[string]*stored // closed segments once read, compact, by id
+		segments []*cachedSegment          // empty if not loaded
+		closed   map[string]*cachedSegment // closed segments that were read, compacted, by ID
 	}
 
-	// MissingSegment says that a segment that a shard needs is not in the
-	// service. Without it a claim could be granted a second time.
+	// MissingSegment reports that a segment of a shard is not in the service.
+	// Without that segment a claim could be granted a second time.
 	MissingSegment struct {
 		Shard int
 		ID    string
@@ -35,29 +36,29 @@
 )
 
 const (
-	loadTries    = 4
-	closedInFull = 2
+	maxLoadAttempts    = 4
+	fullClosedSegments = 2 // newest closed segments that keep their entries in memory
 )
 
-var errMoving = errors.New("the segments changed at each try to read them")
+var errSegmentsChanging = errors.New("segments changed during each attempt to read them")
 
-// Error gives the shard and the segment.
 func (e MissingSegment) Error() string {
 	return fmt.Sprintf("record shard %d: segment %s is missing in the platform's service", e.Shard, e.ID)
 }
 
-// load reads what is not known yet and leaves the open segment last.
+// load reads the segments that are not cached, up to and including the open
+// one.
 func (c *chain) load(ctx context.Context) error {
-	for range loadTries {
-		done, err := c.tryLoad(ctx)
+	for range maxLoadAttempts {
+		done, err := c.loadOnce(ctx)
 		if err != nil || done {
 			return err
 		}
 	}
-	return fmt.Errorf("record shard %d: %w", c.shard, errMoving)
+	return fmt.Errorf("record shard %d: %w", c.shard, errSegmentsChanging)
 }
 
-func (c *chain) tryLoad(ctx context.Context) (bool, error) {
+func (c *chain) loadOnce(ctx context.Context) (bool, error) {
 	v, err := c.store.Get(ctx, indexKey(c.shard), beechstore.ImportanceClaim)
 	if err != nil {
 		return false, err
@@ -66,18 +67,18 @@
 		return false, c.create(ctx)
 	}
 	var x index
-	if err := beechstore.Unseal(v.Key, v.Data, format, &x); err != nil {
+	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &x); err != nil {
 		return false, err
 	}
 	refs := c.retained(x.Segments)
 	if len(refs) == 0 {
-		return false, beechstore.CorruptValue{Key: v.Key, Err: errors.New("it lists no segment")}
+		return false, beechstore.CorruptValue{Key: v.Key, Err: errors.New("index lists no segments")}
 	}
-	var segments []*stored
+	var segments []*cachedSegment
 	for _, r := range refs {
-		s, err := c.fetchOrKnown(ctx, r.ID)
+		s, err := c.fetchCached(ctx, r.ID)
 		var missing MissingSegment
-		if errors.As(err, &missing) && c.indexMoved(ctx, v.Version) {
+		if errors.As(err, &missing) && c.indexChanged(ctx, v.Version) {
 			return false, nil
 		}
 		if err != nil {
@@ -86,11 +87,11 @@
 		segments = append(segments, s)
 	}
 	c.segments = segments
-	return true, c.walk(ctx)
+	return true, c.followNext(ctx)
 }
 
-// retained passes over segments that were closed longer ago than the
-// retention; a segment was closed when the next one was opened.
+// retained omits segments that were closed longer ago than the retention. A
+// segment counts as closed since the next one was opened.
 func (c *chain) retained(refs []segmentRef) []segmentRef {
 	for len(refs) > 1 && c.expired(refs[1].Opened) {
 		refs = refs[1:]
@@ -102,12 +103,12 @@
 	return c.clock.Since(closed) > c.settings.Retention
 }
 
-func (c *chain) indexMoved(ctx context.Context, version uint64) bool {
+func (c *chain) indexChanged(ctx context.Context, version uint64) bool {
 	v, err := c.store.Get(ctx, indexKey(c.shard), beechstore.ImportanceClaim)
 	return err == nil && v.Version != version
 }
 
-func (c *chain) fetch(ctx context.Context, id string) (*stored, error) {
+func (c *chain) fetch(ctx context.Context, id string) (*cachedSegment, error) {
 	v, err := c.store.Get(ctx, segmentKey(c.shard, id), beechstore.ImportanceClaim)
 	if err != nil {
 		return nil, err
@@ -118,42 +119,44 @@
 	return decodeSegment(id, v)
 }
 
-// fetchOrKnown reads a segment unless it was read before and is closed. So a
-// shard that has more segments than the budget of calls allows at once is
-// loaded by several tries, each going on where the last one ended.
-func (c *chain) fetchOrKnown(ctx context.Context, id string) (*stored, error) {
-	if s, ok := c.known[id]; ok {
+// fetchCached reads a segment, unless it is closed and was read before. A
+// shard that has more segments than the call budget allows at once is
+// therefore loaded in several attempts, each of which continues where the last
+// one ended.
+func (c *chain) fetchCached(ctx context.Context, id string) (*cachedSegment, error) {
+	if s, ok := c.closed[id]; ok {
 		return s, nil
 	}
 	s, err := c.fetch(ctx, id)
 	if err == nil && !s.open() {
 		s = s.compacted()
-		c.remember(s)
+		c.cacheClosed(s)
 	}
 	return s, err
 }
 
-func (c *chain) remember(s *stored) {
-	if c.known == nil {
-		c.known = map[string]*stored{}
+func (c *chain) cacheClosed(s *cachedSegment) {
+	if c.closed == nil {
+		c.closed = map[string]*cachedSegment{}
 	}
-	c.known[s.id] = s
+	c.closed[s.id] = s
 }
 
-// compact gives up the entries of closed segments but the newest: most
-// repeats and outcomes come soon after their claim.
+// compact discards the entries of closed segments, except the newest closed
+// ones: most repeats and outcomes arrive soon after their claim.
 func (c *chain) compact() {
 	for i, s := range c.segments {
-		if s.compact() || i >= len(c.segments)-1-closedInFull {
+		if s.compact() || i >= len(c.segments)-1-fullClosedSegments {
 			continue
 		}
 		c.segments[i] = s.compacted()
-		c.remember(c.segments[i])
+		c.cacheClosed(c.segments[i])
 	}
 }
 
-// walk follows Next to the open segment.
-func (c *chain) walk(ctx context.Context) error {
+// followNext reads the segments after the last known one, up to the open
+// segment.
+func (c *chain) followNext(ctx context.Context) error {
 	for !c.current().open() {
 		s, err := c.fetch(ctx, c.current().segment.Next)
 		if err != nil {
@@ -165,13 +168,14 @@
 	return nil
 }
 
-// refresh reads segment i again.
+// refresh reads segment i again, and the segments that follow it if they are
+// new.
 func (c *chain) refresh(ctx context.Context, i int) error {
 	s, err := c.fetch(ctx, c.segments[i].id)
 	var missing MissingSegment
 	if errors.As(err, &missing) {
-		// It was dropped after its retention, by another owner, while this
-		// one slept. Nothing known here is good any more.
+		// Another owner deleted the segment after its retention while this
+		// process was suspended. The whole cached chain may be outdated.
 		c.segments = nil
 		return c.load(ctx)
 	}
@@ -179,7 +183,7 @@
 		return err
 	}
 	c.segments[i] = s
-	return c.walk(ctx)
+	return c.followNext(ctx)
 }
 
-func (c *chain) current() *stored { return c.segments[len(c.segments)-1] }
+func (c *chain) current() *cachedSegment { return c.segments[len(c.segments)-1] }
--- a/internal/state/beechrecord/cost_test.go
+++ b/internal/state/beechrecord/cost_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// BenchmarkCompactClaim gives what a claim costs once its segment is closed:
-// bytes in the service and in its owner's memory.
+// BenchmarkCompactClaim measures the cost of a claim in a closed segment:
+// bytes in the service and in the memory of the shard's owner.
 func BenchmarkCompactClaim(b *testing.B) {
 	const segments, claims = 100, 500
-	var closed []*stored
+	var closed []*cachedSegment
 	bytes := 0
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -21,7 +21,7 @@
 		for i := range claims {
 			key := Key{Workspace: "w", Name: fmt.Sprintf("%d-%d", n, i)}
 			s.Entries = append(s.Entries, entry{
-				Key: key.id().String(), Body: BodySum{1}.text(), Token: newToken(), Request: "request-0123456789",
+				Key: key.id().String(), Body: BodySum{1}.encode(), Token: newToken(), Request: "request-0123456789",
 				Outcome: &outcome{Status: 200, Type: "application/json", Body: []byte(`{"ok":true}`), Complete: true},
 			})
 		}
@@ -30,7 +30,7 @@
 			b.Fatal(err)
 		}
 		bytes += len(data)
-		closed = append(closed, newStored(newSegmentID(), 1, s, len(data)).compacted())
+		closed = append(closed, newCachedSegment(newSegmentID(), 1, s, len(data)).compacted())
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
@@ -38,8 +38,8 @@
 	b.ResetTimer()
 	for range b.N {
 		for _, s := range closed {
-			if s.has(missing) {
-				b.Fatal("found what is not there")
+			if s.contains(missing) {
+				b.Fatal("found a missing key")
 			}
 		}
 	}
--- a/internal/state/beechrecord/decide.go
+++ b/internal/state/beechrecord/decide.go
@@ -7,73 +7,74 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// decide gives each operation its verdict and puts into draft, a copy of the
-// open segment, what has to be written for it.
-func (s *shard) decide(draft *stored, batch []*operation) (verdicts []verdict, changed bool) {
+// decide returns a decision for each operation. It adds what has to be written
+// to draft, a copy of the open segment.
+func (s *shard) decide(draft *cachedSegment, batch []*operation) (decisions []decision, changed bool) {
 	for _, o := range batch {
 		v, wrote := s.decideOne(draft, o)
-		verdicts = append(verdicts, v)
+		decisions = append(decisions, v)
 		changed = changed || wrote
 	}
-	return verdicts, changed
+	return decisions, changed
 }
 
-func (s *shard) decideOne(draft *stored, o *operation) (verdict, bool) {
+func (s *shard) decideOne(draft *cachedSegment, o *operation) (decision, bool) {
 	if o.claim == nil {
 		return s.decideOutcome(draft, o)
 	}
-	if at := s.newest(o.key); at >= 0 && s.chain.segments[at].compact() {
-		// The segments were read anew while the batch was prepared. To take
-		// the key for free because its entry is not at hand would grant the
-		// claim twice.
-		return verdict{operation: o, result: result{answer: Refused{After: defaultRetryAfter, Err: errMoving}}, settled: true}, false
+	if at := s.newestSegmentOf(o.key); at >= 0 && s.chain.segments[at].compact() {
+		// The segments were read again while the batch was prepared. If the
+		// key were taken as free because its entry is not loaded, the claim
+		// would be granted twice.
+		return decision{operation: o, result: result{answer: Refused{After: defaultRetryAfter, Err: errSegmentsChanging}}, noWrite: true}, false
 	}
 	e, ok, written := s.find(draft, o.key)
 	if ok && e.Token == o.token {
-		return verdict{operation: o, result: result{answer: Granted{Token: o.token}, token: o.token}, settled: written}, false
+		return decision{operation: o, result: result{answer: Granted{Token: o.token}, token: o.token}, noWrite: written}, false
 	}
 	if ok {
-		answer, free := e.answerTo(o.claim.body)
+		answer, free := e.answerFor(o.claim.body)
 		if !free {
-			return verdict{operation: o, result: result{answer: answer, token: e.Token}, settled: written}, false
+			return decision{operation: o, result: result{answer: answer, token: e.Token}, noWrite: written}, false
 		}
 	}
 	draft.add(entry{Key: o.key, Body: o.claim.body, Token: o.token, Request: o.claim.requestID})
-	return verdict{operation: o, result: result{answer: Granted{Token: o.token}, token: o.token}}, true
+	return decision{operation: o, result: result{answer: Granted{Token: o.token}, token: o.token}}, true
 }
 
-func (s *shard) decideOutcome(draft *stored, o *operation) (verdict, bool) {
-	if o.withdraws != "" {
-		o.token = s.tokenOf(draft, o)
+func (s *shard) decideOutcome(draft *cachedSegment, o *operation) (decision, bool) {
+	if o.withdrawID != "" {
+		o.token = s.withdrawnToken(draft, o)
 	}
 	found, changed := draft.finish(o.key, o.token, *o.outcome)
 	switch {
 	case changed:
-		return verdict{operation: o, inOpen: true}, true
+		return decision{operation: o, inOpenSegment: true}, true
 	case found:
-		return verdict{operation: o, inOpen: true, settled: s.finishedInCurrent(o.key)}, false
-	case s.closedWith(o) < 0:
-		return verdict{operation: o, result: result{err: errTokenUnknown}, settled: true}, false
+		return decision{operation: o, inOpenSegment: true, noWrite: s.finishedInCurrent(o.key)}, false
+	case s.closedSegmentOf(o) < 0:
+		return decision{operation: o, result: result{err: errTokenUnknown}, noWrite: true}, false
 	}
-	return verdict{operation: o}, false // finishClosed writes it
+	return decision{operation: o}, false // written by finishClosed
 }
 
-// tokenOf gives the token of the claim that an operation withdraws, or none.
-func (s *shard) tokenOf(draft *stored, o *operation) string {
-	if e, ok, _ := s.find(draft, o.key); ok && e.Request == o.withdraws {
+// withdrawnToken returns the token of the claim that an operation withdraws,
+// or "" if there is none.
+func (s *shard) withdrawnToken(draft *cachedSegment, o *operation) string {
+	if e, ok, _ := s.find(draft, o.key); ok && e.Request == o.withdrawID {
 		return e.Token
 	}
 	return ""
 }
 
-// find gives the newest entry of a key; written says that it is in the
-// service, not only in the draft.
-func (s *shard) find(draft *stored, key string) (e entry, ok, written bool) {
+// find returns the newest entry of a key. Written is true if the entry is in
+// the service, not only in the draft.
+func (s *shard) find(draft *cachedSegment, key string) (e entry, ok, written bool) {
 	if e, ok := draft.find(key); ok {
 		w, there := s.chain.current().find(key)
 		return e, true, there && w.Token == e.Token && (w.Outcome == nil) == (e.Outcome == nil)
 	}
-	at := s.newest(key)
+	at := s.newestSegmentOf(key)
 	if at < 0 {
 		return entry{}, false, false
 	}
@@ -86,10 +87,10 @@
 	return ok && e.Outcome != nil
 }
 
-// closedWith gives the closed segment that has the entry which an outcome is
-// for, -1 for none.
-func (s *shard) closedWith(o *operation) int {
-	i := s.newest(o.key)
+// closedSegmentOf returns the index of the closed segment that holds the claim
+// of an outcome, or -1.
+func (s *shard) closedSegmentOf(o *operation) int {
+	i := s.newestSegmentOf(o.key)
 	if i < 0 || i == len(s.chain.segments)-1 {
 		return -1
 	}
@@ -99,29 +100,33 @@
 	return i
 }
 
-// refresh reads those segments again that an operation of the batch needs in
-// full: a compact one that has its key; one with its claim but no outcome,
-// which another agent may have added since, as the one that ran the request
-// does when its entry host is lost; and the open one for an outcome whose
-// token is not known here, which another owner may have written since.
+// refresh reads the segments again that an operation of the batch needs in
+// full or up to date:
+//
+// - a compacted segment that contains the operation's key - a segment with the
+// claim but without its outcome, which another agent may have added since, for
+// example the agent that ran the request after its entry host was lost - the
+// open segment, for an outcome with an unknown token, whose claim another
+// owner may have written since
 func (s *shard) refresh(ctx context.Context, batch []*operation) error {
 	for _, o := range batch {
-		at := s.stale(o)
-		if at < 0 || s.fresh[s.chain.segments[at].id] {
+		at := s.segmentToRefresh(o)
+		if at < 0 || s.refreshed[s.chain.segments[at].id] {
 			continue
 		}
 		id := s.chain.segments[at].id
 		if err := s.chain.refresh(ctx, at); err != nil {
 			return err
 		}
-		s.fresh[id] = true
+		s.refreshed[id] = true
 	}
 	return nil
 }
 
-// stale gives the segment to read again for an operation, -1 for none.
-func (s *shard) stale(o *operation) int {
-	at := s.newest(o.key)
+// segmentToRefresh returns the index of the segment to read again for an
+// operation, or -1.
+func (s *shard) segmentToRefresh(o *operation) int {
+	at := s.newestSegmentOf(o.key)
 	if at < 0 {
 		if o.claim != nil {
 			return -1
@@ -142,23 +147,24 @@
 	return -1
 }
 
-// newest gives the segment with the newest entry of a key, -1 for none.
-func (s *shard) newest(key string) int {
+// newestSegmentOf returns the index of the segment with the newest entry of a
+// key, or -1.
+func (s *shard) newestSegmentOf(key string) int {
 	for i := len(s.chain.segments) - 1; i >= 0; i-- {
-		if s.chain.segments[i].has(key) {
+		if s.chain.segments[i].contains(key) {
 			return i
 		}
 	}
 	return -1
 }
 
-// finishClosed writes the outcomes of claims in closed segments, one write a
-// segment. It gives the operations that are not answered yet.
+// finishClosed writes the outcomes of claims in closed segments, with one
+// write per segment. It returns the operations that have no result yet.
 func (s *shard) finishClosed(ctx context.Context, rest []*operation) ([]*operation, error) {
 	groups := map[string][]*operation{}
 	var order []string
 	for _, o := range rest {
-		i := s.closedWith(o)
+		i := s.closedSegmentOf(o)
 		if i < 0 {
 			continue
 		}
@@ -169,15 +175,15 @@
 		groups[id] = append(groups[id], o)
 	}
 	for _, id := range order {
-		if err := s.finishIn(ctx, id, groups[id]); err != nil {
+		if err := s.finishInSegment(ctx, id, groups[id]); err != nil {
 			return unanswered(rest), err
 		}
 	}
 	return unanswered(rest), nil
 }
 
-func (s *shard) finishIn(ctx context.Context, id string, operations []*operation) error {
-	at := s.position(id)
+func (s *shard) finishInSegment(ctx context.Context, id string, operations []*operation) error {
+	at := s.segmentIndex(id)
 	if at < 0 {
 		return nil
 	}
@@ -189,7 +195,7 @@
 	}
 	if wrote {
 		if err := s.chain.write(ctx, at, draft); err != nil {
-			s.rereadClosed(ctx, at, err)
+			s.refreshClosedAfterWrite(ctx, at, err)
 			return err
 		}
 	}
@@ -199,7 +205,7 @@
 	return nil
 }
 
-func (s *shard) rereadClosed(ctx context.Context, at int, err error) {
+func (s *shard) refreshClosedAfterWrite(ctx context.Context, at int, err error) {
 	var conflict beechstore.Conflict
 	var unknown beechstore.UnknownOutcome
 	if errors.As(err, &conflict) || errors.As(err, &unknown) {
@@ -209,7 +215,7 @@
 	}
 }
 
-func (s *shard) position(id string) int {
+func (s *shard) segmentIndex(id string) int {
 	for i, x := range s.chain.segments {
 		if x.id == id {
 			return i
--- a/internal/state/beechrecord/deliver.go
+++ b/internal/state/beechrecord/deliver.go
@@ -9,11 +9,12 @@
 
 const defaultRetryAfter = time.Second
 
-// failure is what is left of a batch that cannot be finished. After a lost
-// write the claims may be in the service, now or later, so they are Unknown;
-// before one they surely are not.
-func failure(lost bool, err error) result {
-	if lost {
+// failureResult returns the result for the remaining operations of a batch
+// that failed. After a write with an unknown outcome the claims may be in the
+// service, now or later, so they are Unknown. Without such a write they are
+// certainly not there, so they are Refused.
+func failureResult(mayBeWritten bool, err error) result {
+	if mayBeWritten {
 		return result{answer: Unknown{Err: err}, err: err}
 	}
 	return result{answer: Refused{After: retryAfter(err), Err: err}, err: err}
@@ -33,10 +34,12 @@
 	}
 }
 
-func deliverSettled(verdicts []verdict) []*operation {
+// deliverSettled sends the results that need no write. It returns the other
+// operations.
+func deliverSettled(decisions []decision) []*operation {
 	var rest []*operation
-	for _, v := range verdicts {
-		if v.settled {
+	for _, v := range decisions {
+		if v.noWrite {
 			v.operation.deliver(v.result)
 			continue
 		}
@@ -45,15 +48,15 @@
 	return rest
 }
 
-// deliverWritten answers what the written segment settles; outcomes for
-// closed segments are left.
-func deliverWritten(verdicts []verdict) []*operation {
+// deliverWritten sends the results that the written segment settles. It
+// returns the outcomes that belong to closed segments.
+func deliverWritten(decisions []decision) []*operation {
 	var rest []*operation
-	for _, v := range verdicts {
+	for _, v := range decisions {
 		if v.operation.answered() {
 			continue
 		}
-		if v.operation.claim == nil && !v.inOpen {
+		if v.operation.claim == nil && !v.inOpenSegment {
 			rest = append(rest, v.operation)
 			continue
 		}
@@ -73,14 +76,14 @@
 }
 
 func (o *operation) deliver(r result) {
-	if o.done {
+	if o.delivered {
 		return
 	}
-	o.done = true
+	o.delivered = true
 	if g, ok := r.answer.(Granted); ok {
-		o.granted(g.Token)
+		o.onGranted(g.Token)
 	}
 	o.result <- r
 }
 
-func (o *operation) answered() bool { return o.done }
+func (o *operation) answered() bool { return o.delivered }
--- a/internal/state/beechrecord/history_test.go
+++ b/internal/state/beechrecord/history_test.go
@@ -19,29 +19,30 @@
 )
 
 type (
-	// claimState is what a linearizable record of one key would hold.
+	// claimState is the state of one key in the linearizable model.
 	claimState struct {
 		body    BodySum // zero before the first claim
-		token   string  // empty: free
-		answer  string  // empty: not finished
-		durable bool    // Finish said that the answer is recorded
+		token   string  // empty if the key is free
+		answer  string  // empty if not finished
+		durable bool    // Finish reported the answer as recorded
 	}
 
 	claimInput struct {
-		key  Key
-		body BodySum
-		calm bool // nothing fails any more, so the answer must be exact
+		key       Key
+		body      BodySum
+		faultFree bool // no faults are injected any more, so the answer must be exact
 	}
 
 	finishInput struct {
 		key    Key
 		token  string
-		answer string // empty: not run
+		answer string // empty if not run
 	}
 
-	// desk is one random run: callers that repeat requests at several agents
-	// which all think that they own each shard, die and come back.
-	desk struct {
+	// historyRun is one random run: callers repeat requests at several agents,
+	// each of which considers itself the owner of every shard, is killed and
+	// restarted.
+	historyRun struct {
 		t     *testing.T
 		seed  uint64
 		clock clockwork.Clock
@@ -51,168 +52,169 @@
 		mu      sync.Mutex
 		agents  []*Records
 		history []porcupine.Operation
-		ran     map[Key]int // runs that were not told as not run
+		ran     map[Key]int // number of runs, without those reported as not run
 	}
 )
 
 const (
-	deskAgents  = 3
-	deskCallers = 4
-	deskClaims  = 8
-	deskKeys    = 4
-	lostToken   = "lost"
+	agentCount      = 3
+	callerCount     = 4
+	claimsPerCaller = 8
+	keyCount        = 4
+	lostToken       = "lost"
 )
 
 var runs = flag.Int("runs", 1000, "random runs of each history test")
 
-// Callers repeat bookings at other agents while replies of the service are
-// lost, writes arrive late, agents stall and die, and the service goes down.
-// A booking that is granted twice puts two tenants on one field.
+// Callers repeat requests at other agents while replies of the service are
+// lost, writes take effect late, agents stall and die, and the service goes
+// down. A request that is granted twice makes a booking twice.
 func TestClaimHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(*runs) {
 		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runDesk(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runHistory(t, seed) })
 		})
 	}
 }
 
-func runDesk(t *testing.T, seed uint64) {
-	clock := clockwork.NewRealClock() // virtual here
-	d := &desk{t: t, seed: seed, clock: clock, fake: beechstore.NewFake(clock), ran: map[Key]int{}}
-	for i := range deskAgents {
-		d.agents = append(d.agents, d.agent(i))
+func runHistory(t *testing.T, seed uint64) {
+	clock := clockwork.NewRealClock() // virtual time inside synctest
+	h := &historyRun{t: t, seed: seed, clock: clock, fake: beechstore.NewFake(clock), ran: map[Key]int{}}
+	for i := range agentCount {
+		h.agents = append(h.agents, h.agent(i))
 	}
 	var wait sync.WaitGroup
-	for i := range deskCallers {
-		wait.Go(func() { d.call(i) })
+	for i := range callerCount {
+		wait.Go(func() { h.call(i) })
 	}
-	wait.Go(func() { d.trouble() })
+	wait.Go(func() { h.injectFaults() })
 	wait.Wait()
-	for _, a := range d.agents {
+	for _, a := range h.agents {
 		a.Close()
 	}
-	d.fake.SetFaults(beechstore.Faults{})
-	time.Sleep(5 * time.Second) // the last late write has arrived
-	d.checkEnd()
+	h.fake.SetFaults(beechstore.Faults{})
+	time.Sleep(5 * time.Second) // the last late write has taken effect
+	h.checkEnd()
 }
 
-func (d *desk) agent(i int) *Records {
-	flaky := beechstore.NewFlaky(d.fake, d.clock, d.seed*100+uint64(i), beechstore.Odds{
+func (h *historyRun) agent(i int) *Records {
+	flaky := beechstore.NewFlaky(h.fake, h.clock, h.seed*100+uint64(i), beechstore.Odds{
 		Refused: 0.04, LostCall: 0.03, LostReply: 0.06, LateWrite: 0.05, Stalled: 0.03,
 		Delay: 4 * time.Millisecond, Stall: 2 * time.Second,
 	})
-	return New(flaky, d.clock, Settings{Shards: 1, SegmentBytes: 700, SegmentAge: time.Second, CallTimeout: time.Second})
+	return New(flaky, h.clock, Settings{Shards: 1, SegmentBytes: 700, SegmentAge: time.Second, CallTimeout: time.Second})
 }
 
-func (d *desk) rng(client int) *rand.Rand {
-	return rand.New(rand.NewPCG(d.seed, uint64(client)))
+func (h *historyRun) rng(client int) *rand.Rand {
+	return rand.New(rand.NewPCG(h.seed, uint64(client)))
 }
 
-// trouble kills agents and takes the service down.
-func (d *desk) trouble() {
-	r := d.rng(100)
+// injectFaults restarts agents and takes the service down.
+func (h *historyRun) injectFaults() {
+	r := h.rng(100)
 	for range 6 {
-		time.Sleep(upTo(r, 500*time.Millisecond))
+		time.Sleep(randomDuration(r, 500*time.Millisecond))
 		if r.IntN(3) == 0 {
-			d.fake.SetFaults(beechstore.Faults{Down: true})
-			time.Sleep(upTo(r, 1500*time.Millisecond))
-			d.fake.SetFaults(beechstore.Faults{})
+			h.fake.SetFaults(beechstore.Faults{Down: true})
+			time.Sleep(randomDuration(r, 1500*time.Millisecond))
+			h.fake.SetFaults(beechstore.Faults{})
 			continue
 		}
-		i := r.IntN(deskAgents)
-		d.mu.Lock()
-		old := d.agents[i]
-		d.agents[i] = d.agent(i + 10*r.IntN(9))
-		d.mu.Unlock()
+		i := r.IntN(agentCount)
+		h.mu.Lock()
+		old := h.agents[i]
+		h.agents[i] = h.agent(i + 10*r.IntN(9))
+		h.mu.Unlock()
 		old.Close()
 	}
 }
 
-func (d *desk) call(client int) {
-	r := d.rng(client)
-	for n := range deskClaims {
-		time.Sleep(upTo(r, 300*time.Millisecond))
-		in := claimInput{key: Key{Name: fmt.Sprint(r.IntN(deskKeys))}, body: BodySum{1}}
+func (h *historyRun) call(client int) {
+	r := h.rng(client)
+	for n := range claimsPerCaller {
+		time.Sleep(randomDuration(r, 300*time.Millisecond))
+		in := claimInput{key: Key{Name: fmt.Sprint(r.IntN(keyCount))}, body: BodySum{1}}
 		if r.IntN(10) == 0 {
 			in.body = BodySum{2}
 		}
-		d.mu.Lock()
-		agent := d.agents[r.IntN(deskAgents)]
-		d.mu.Unlock()
-		granted, ok := d.claim(agent, client, in, fmt.Sprintf("%d-%d", client, n), upTo(r, 3*time.Second)).(Granted)
+		h.mu.Lock()
+		agent := h.agents[r.IntN(agentCount)]
+		h.mu.Unlock()
+		granted, ok := h.claim(agent, client, in, fmt.Sprintf("%d-%d", client, n), randomDuration(r, 3*time.Second)).(Granted)
 		if ok {
-			d.run(agent, client, r, in.key, granted.Token)
+			h.run(agent, client, r, in.key, granted.Token)
 		}
 	}
 }
 
-func (d *desk) claim(agent *Records, client int, in claimInput, requestID string, within time.Duration) Answer {
+func (h *historyRun) claim(agent *Records, client int, in claimInput, requestID string, within time.Duration) Answer {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	call := d.ticks.Add(1)
+	call := h.ticks.Add(1)
 	a := agent.Claim(ctx, in.key, in.body, requestID)
 	_, open := a.(Unknown)
-	d.record(client, call, in, a, open && !in.calm)
+	h.record(client, call, in, a, open && !in.faultFree)
 	return a
 }
 
-func (d *desk) run(agent *Records, client int, r *rand.Rand, key Key, token string) {
-	d.mu.Lock()
-	d.ran[key]++
-	if d.ran[key] > 1 {
-		d.t.Errorf("request %v ran %d times", key, d.ran[key])
+func (h *historyRun) run(agent *Records, client int, r *rand.Rand, key Key, token string) {
+	h.mu.Lock()
+	h.ran[key]++
+	if h.ran[key] > 1 {
+		h.t.Errorf("request %v ran %d times", key, h.ran[key])
 	}
-	d.mu.Unlock()
-	time.Sleep(upTo(r, 200*time.Millisecond))
+	h.mu.Unlock()
+	time.Sleep(randomDuration(r, 200*time.Millisecond))
 	in := finishInput{key: key, token: token}
 	var o Outcome = NotRun{}
 	switch r.IntN(8) {
 	case 0:
-		return // it never tells
+		return // the outcome is never reported
 	case 1, 2:
-		d.mu.Lock()
-		d.ran[key]--
-		d.mu.Unlock()
+		h.mu.Lock()
+		h.ran[key]--
+		h.mu.Unlock()
 	default:
 		in.answer = "answer of " + token
 		o = Ran{Status: 200, Body: []byte(in.answer)}
 	}
 	if r.IntN(4) == 0 {
-		d.mu.Lock()
-		agent = d.agents[r.IntN(deskAgents)]
-		d.mu.Unlock()
+		h.mu.Lock()
+		agent = h.agents[r.IntN(agentCount)]
+		h.mu.Unlock()
 	}
-	call := d.ticks.Add(1)
+	call := h.ticks.Add(1)
 	err := agent.Finish(context.Background(), key, token, o)
-	d.record(client, call, in, err, err != nil)
+	h.record(client, call, in, err, err != nil)
 }
 
-// record keeps an operation; an open one may take effect at any later time.
-func (d *desk) record(client int, call int64, in, out any, open bool) {
-	end := d.ticks.Add(1)
+// record adds an operation to the history. An open one may take effect at any
+// later time.
+func (h *historyRun) record(client int, call int64, in, out any, open bool) {
+	end := h.ticks.Add(1)
 	if open {
 		end = math.MaxInt64
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.history = append(d.history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.history = append(h.history, porcupine.Operation{ClientId: client, Input: in, Call: call, Output: out, Return: end})
 }
 
-func (d *desk) checkEnd() {
-	fresh := New(d.fake, d.clock, Settings{Shards: 1})
-	for i := range deskKeys {
+func (h *historyRun) checkEnd() {
+	fresh := New(h.fake, h.clock, Settings{Shards: 1})
+	for i := range keyCount {
 		key := Key{Name: fmt.Sprint(i)}
-		d.claim(fresh, 0, claimInput{key: key, body: BodySum{1}, calm: true}, "last", time.Minute)
+		h.claim(fresh, 0, claimInput{key: key, body: BodySum{1}, faultFree: true}, "last", time.Minute)
 	}
 	fresh.Close()
 	model := claimModel().ToModel()
-	if porcupine.CheckOperations(model, d.history) {
+	if porcupine.CheckOperations(model, h.history) {
 		return
 	}
-	for _, o := range d.history {
-		d.t.Log(o.Call, o.Return, model.DescribeOperation(o.Input, o.Output))
+	for _, o := range h.history {
+		h.t.Log(o.Call, o.Return, model.DescribeOperation(o.Input, o.Output))
 	}
-	d.t.Error("the history is not linearizable")
+	h.t.Error("the history is not linearizable")
 }
 
 func claimModel() *porcupine.NondeterministicModel {
@@ -254,7 +256,8 @@
 		return finishStep(s, in, output)
 	}
 	in := input.(claimInput)
-	// A lost claim may be freed by its agent, which never gave its token.
+	// The agent of a claim with an unknown outcome may free its key, since it
+	// never returned the token.
 	free := (s.token == "" || s.token == lostToken) && (s.body == BodySum{} || s.body == in.body)
 	switch o := output.(type) {
 	case Granted:
@@ -264,12 +267,12 @@
 	case Mismatch:
 		return onlyIf(s.body != BodySum{} && s.body != in.body, s)
 	case Unknown:
-		if in.calm {
+		if in.faultFree {
 			return onlyIf(s.token != "" && !s.durable && s.body == in.body, s)
 		}
 		return append(onlyIf(free, claimState{body: in.body, token: lostToken}), s)
 	}
-	return onlyIf(!in.calm, s) // refused
+	return onlyIf(!in.faultFree, s) // refused
 }
 
 func finishStep(s claimState, in finishInput, output any) []claimState {
@@ -291,6 +294,6 @@
 	return []claimState{s}
 }
 
-func upTo(r *rand.Rand, d time.Duration) time.Duration {
+func randomDuration(r *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(r.Int64N(int64(d)))
 }
--- a/internal/state/beechrecord/memory.go
+++ b/internal/state/beechrecord/memory.go
@@ -9,50 +9,52 @@
 )
 
 type (
-	// Memory records requests that may be repeated but carry a key, in this
-	// process only. A repeat joins the first; the same key with another body
-	// is refused.
+	// Memory records requests that may be repeated but carry a key, within one
+	// process. A repeat joins the first request; a request with the same key
+	// and a different body is refused.
 	Memory struct {
 		clock    clockwork.Clock
 		settings MemorySettings
 
 		mu      sync.Mutex
-		entries map[Key]*remembered
-		order   []*remembered // the oldest first
+		entries map[Key]*memoryEntry
+		byAge   []*memoryEntry // in the order of arrival
 	}
 
-	// MemorySettings bound a Memory. Zero fields get the defaults named.
+	// MemorySettings limits a Memory. Zero fields get the defaults given after
+	// the semicolons.
 	MemorySettings struct {
-		Entries   int           // the oldest that have ended are dropped above; 65536
-		Retention time.Duration // an entry that has ended is kept so long; 10 min
+		Entries   int           // number of entries from which the oldest ended ones are evicted; 65536
+		Retention time.Duration // how long an entry is kept after its request ended; 10 min
 	}
 
-	// OpenResult is what a keyed request gets: Opened, Joined or Mismatch.
+	// OpenResult is the result of Memory.Open: Opened, Joined or Mismatch.
 	OpenResult interface{ openResult() }
 
-	// Opened says that the request is to be run. Its End must be called once,
-	// with what repeats may be told, or with nothing to forget the key.
+	// Opened means that the key was free and the caller must run the request.
+	// Its End must be called exactly once, with the outcome for repeats, or
+	// with NotRun to free the key.
 	Opened struct {
 		memory *Memory
-		entry  *remembered
+		entry  *memoryEntry
 	}
 
-	// Joined says that the request runs or has run as RequestID, whose stream
-	// the repeat is to follow.
+	// Joined means that the request is running or has run as RequestID. The
+	// repeat should follow that request's stream.
 	Joined struct {
 		RequestID string
 		ended     <-chan struct{}
-		entry     *remembered
+		entry     *memoryEntry
 	}
 
-	remembered struct {
+	memoryEntry struct {
 		key       Key
 		body      BodySum
 		requestID string
 		ended     chan struct{}
 		endedAt   time.Time
 		outcome   Outcome
-		dropped   bool
+		removed   bool
 	}
 )
 
@@ -61,14 +63,14 @@
 	defaultMemoryRetention = 10 * time.Minute
 )
 
-// NewMemory starts empty.
+// NewMemory returns an empty Memory.
 func NewMemory(clock clockwork.Clock, settings MemorySettings) *Memory {
 	setDefault(&settings.Entries, defaultEntries)
 	setDefault(&settings.Retention, defaultMemoryRetention)
-	return &Memory{clock: clock, settings: settings, entries: map[Key]*remembered{}}
+	return &Memory{clock: clock, settings: settings, entries: map[Key]*memoryEntry{}}
 }
 
-// Open looks a key up and takes it if it is free.
+// Open looks up a key and reserves it if it is free.
 func (m *Memory) Open(key Key, body BodySum, requestID string) OpenResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,13 +82,14 @@
 	case ok:
 		return Joined{RequestID: e.requestID, ended: e.ended, entry: e}
 	}
-	e = &remembered{key: key, body: body, requestID: requestID, ended: make(chan struct{})}
+	e = &memoryEntry{key: key, body: body, requestID: requestID, ended: make(chan struct{})}
 	m.entries[key] = e
-	m.order = append(m.order, e)
+	m.byAge = append(m.byAge, e)
 	return Opened{memory: m, entry: e}
 }
 
-// End keeps the outcome for repeats. With NotRun the key is free again.
+// End stores the outcome for repeats and wakes those that wait. NotRun frees
+// the key.
 func (f Opened) End(o Outcome) {
 	m, e := f.memory, f.entry
 	m.mu.Lock()
@@ -97,12 +100,12 @@
 	e.outcome = o
 	e.endedAt = m.clock.Now()
 	if _, ok := o.(NotRun); ok {
-		m.drop(e)
+		m.remove(e)
 	}
 	close(e.ended)
 }
 
-// Outcome waits for the first request's end.
+// Outcome waits until the first request has ended.
 func (j Joined) Outcome(ctx context.Context) (Outcome, error) {
 	select {
 	case <-j.ended:
@@ -112,41 +115,41 @@
 	}
 }
 
-// Len gives the number of keys kept.
+// Len returns the number of stored keys.
 func (m *Memory) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.entries)
 }
 
-// expire drops from the oldest on. What still runs is passed over: without
-// its entry a repeat would run a second time beside it.
+// expire evicts ended entries, oldest first. Entries of running requests are
+// kept, since a repeat would otherwise run at the same time.
 func (m *Memory) expire() {
-	var running []*remembered
-	for len(m.order) > 0 {
-		e := m.order[0]
+	var running []*memoryEntry
+	for len(m.byAge) > 0 {
+		e := m.byAge[0]
 		switch {
-		case e.dropped:
+		case e.removed:
 		case e.outcome == nil:
 			running = append(running, e)
 		case m.clock.Since(e.endedAt) <= m.settings.Retention && len(m.entries) < m.settings.Entries:
-			m.order = append(running, m.order...)
+			m.byAge = append(running, m.byAge...)
 			return
 		default:
-			m.drop(e)
+			m.remove(e)
 		}
-		m.order = m.order[1:]
+		m.byAge = m.byAge[1:]
 	}
-	m.order = running
+	m.byAge = running
 }
 
-func (m *Memory) drop(e *remembered) {
-	e.dropped = true
+func (m *Memory) remove(e *memoryEntry) {
+	e.removed = true
 	if m.entries[e.key] == e {
 		delete(m.entries, e.key)
 	}
 }
 
-func (Opened) openResult()    {}
+func (Opened) openResult()   {}
 func (Joined) openResult()   {}
 func (Mismatch) openResult() {}
--- a/internal/state/beechrecord/memory_test.go
+++ b/internal/state/beechrecord/memory_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Callers on weak links send the same keyed request again at any time. Two
-// running at once waste an engine and give a member two different answers.
-func TestMemoryRunsOneOfAKeyAtOnce(t *testing.T) {
+// Callers on unreliable links may send a keyed request again at any time. Two
+// concurrent runs of it would waste an engine and return two different
+// answers.
+func TestMemoryRunsEachKeyOnceAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
 		m := NewMemory(clock, MemorySettings{Entries: 4, Retention: time.Minute})
@@ -26,16 +27,16 @@
 				switch o := m.Open(k, body, "r").(type) {
 				case Opened:
 					if runs {
-						t.Fatal("a second run beside the first")
+						t.Fatal("key was granted while its request was running")
 					}
 					running[k], bodies[k] = o, body
 				case Joined:
 					if bodies[k] != body {
-						t.Fatal("joined with another body")
+						t.Fatal("joined a request with a different body")
 					}
 				case Mismatch:
 					if bodies[k] == body {
-						t.Fatal("the same body was refused")
+						t.Fatal("mismatch reported for the same body")
 					}
 				}
 			},
@@ -49,7 +50,7 @@
 				j, joined := m.Open(k, bodies[k], "again").(Joined)
 				f.End(booked)
 				if o, err := j.Outcome(context.Background()); !joined || err != nil || o == nil {
-					t.Fatal("a repeat did not get the outcome")
+					t.Fatal("repeat did not get the outcome")
 				}
 			},
 			"not run": func(t *rapid.T) {
@@ -59,7 +60,7 @@
 					f.End(NotRun{})
 					first, ok := m.Open(k, BodySum{9}, "fresh").(Opened)
 					if !ok {
-						t.Fatal("the key of what did not run is not free")
+						t.Fatal("key is not free after its request did not run")
 					}
 					running[k], bodies[k] = first, BodySum{9}
 				}
@@ -69,7 +70,7 @@
 			},
 			"": func(t *rapid.T) {
 				if m.Len() > len(running)+5 {
-					t.Fatalf("%d entries for %d running", m.Len(), len(running))
+					t.Fatalf("%d entries with %d running requests", m.Len(), len(running))
 				}
 			},
 		})
--- a/internal/state/beechrecord/records_test.go
+++ b/internal/state/beechrecord/records_test.go
@@ -25,8 +25,9 @@
 	booked   = Ran{Status: 200, ContentType: "text/plain", Body: []byte("booked")}
 )
 
-// bubble runs test in virtual time with a service and a way to start agents.
-func bubble(t *testing.T, test func(*is.I, *beechstore.Fake, func(Settings) *Records)) {
+// runVirtual runs test in virtual time with a fake service and a function that
+// starts agents.
+func runVirtual(t *testing.T, test func(*is.I, *beechstore.Fake, func(Settings) *Records)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		clock := clockwork.NewRealClock()
@@ -49,7 +50,7 @@
 }
 
 func TestRepeatGetsTheSameAnswer(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		first, second := agent(Settings{}), agent(Settings{})
 		granted, ok := claimAs(first, "one").(Granted)
 		is.True(ok)
@@ -60,15 +61,15 @@
 		is.Equal(claimAs(second, "four"), doneAs("one"))
 		other := Key{Workspace: "portal", Name: testKey.Name}
 		_, ok = second.Claim(context.Background(), other, testBody, "five").(Granted)
-		is.True(ok) // another workspace's key is another key
+		is.True(ok) // keys of different workspaces are independent
 	})
 }
 
-// The claim stands in a segment that was closed before its outcome was added
-// by another agent. An agent that remembers the closed segment as it was would
-// tell a member that the renewal is unknown, though it is done.
+// The outcome of a claim is added to a segment after another agent has closed
+// it. An agent that still used its cached copy of the closed segment would
+// report the outcome as unknown.
 func TestOutcomeInClosedSegmentIsFound(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		small := Settings{SegmentBytes: 300}
 		first, second := agent(small), agent(small)
 		granted := claimAs(first, "one").(Granted)
@@ -83,10 +84,10 @@
 	})
 }
 
-// The service is down when the run ends and stays down for minutes. The agent
-// knows the outcome; its member asks again meanwhile and after.
+// The service goes down before the outcome is recorded and stays down for
+// minutes. The outcome must be recorded afterwards, and repeats must get it.
 func TestOutcomeIsRecordedAfterOutage(t *testing.T) {
-	bubble(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
 		first := agent(Settings{})
 		granted := claimAs(first, "one").(Granted)
 		store.SetFaults(beechstore.Faults{Down: true})
@@ -103,11 +104,11 @@
 	})
 }
 
-// The caller's phone loses its network while the claim is being written, so
-// the token is granted to nobody. The claim would stay unknown for a day and
-// the member could not renew; instead the agent records that it did not run.
-func TestAbandonedClaimBecomesFree(t *testing.T) {
-	bubble(t, func(is *is.I, store *beechstore.Fake, _ func(Settings) *Records) {
+// The caller disconnects while its claim is being written, so the token is
+// returned to nobody. The agent must record that the request did not run;
+// otherwise the key would stay unknown for a day.
+func TestClaimOfDisconnectedCallerIsFreed(t *testing.T) {
+	runVirtual(t, func(is *is.I, store *beechstore.Fake, _ func(Settings) *Records) {
 		clock := clockwork.NewRealClock()
 		slow := beechstore.NewFlaky(store, clock, 1, beechstore.Odds{Delay: 100 * time.Millisecond})
 		r := New(slow, clock, Settings{Shards: 1})
@@ -124,10 +125,10 @@
 	})
 }
 
-// A repeat comes while the first still runs at the same agent, as when a weak
-// link drops and the phone sends again. It gets the first one's answer.
-func TestRepeatWaitsForTheRunningFirst(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+// A repeat arrives while the first request is still running at the same agent,
+// as after a dropped connection. It must get the first request's answer.
+func TestRepeatWaitsForRunningRequest(t *testing.T) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		r := agent(Settings{})
 		granted := claimAs(r, "one").(Granted)
 		var repeat Answer
@@ -140,10 +141,10 @@
 	})
 }
 
-// A caller's repeat is claimed in the same batch as its first. It waits for the
-// outcome like any other; it is not told that nobody will ever know it.
+// A repeat is claimed in the same batch as the first request. It must wait for
+// the outcome instead of getting Unknown at once.
 func TestRepeatInTheSameBatchWaits(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		const keys = 300
 		r := agent(Settings{})
 		claimAs(r, "warm")
@@ -171,38 +172,39 @@
 	})
 }
 
-// A repeat reaches another agent than the one that granted its first, as where
-// entry hosts see different agents. The first still runs; its outcome is a moment
-// away and the repeat gets it, instead of being told that nobody knows it.
-func TestRepeatElsewhereWaitsForTheRunningFirst(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+// A repeat reaches a different agent than the first request, as when entry
+// hosts have different views of the agents. The first request ends shortly
+// afterwards, and the repeat must get its outcome instead of Unknown.
+func TestRepeatAtAnotherAgentWaitsForRunningRequest(t *testing.T) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		first, second := agent(Settings{}), agent(Settings{})
 		granted := claimAs(first, "one").(Granted)
 		var repeat Answer
 		var wait sync.WaitGroup
 		wait.Go(func() { repeat = claimAs(second, "two") })
-		time.Sleep(elsewhere / 2)
+		time.Sleep(remoteClaimWait / 2)
 		is.NoErr(first.Finish(context.Background(), testKey, granted.Token, booked))
 		wait.Wait()
 		is.Equal(repeat, doneAs("one"))
 	})
 }
 
-// Once nobody will know the outcome, a repeat does not wait for it.
-func TestRepeatOfAnAbandonedFirstIsToldAtOnce(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+// A repeat must not wait for an outcome that will never be known.
+func TestRepeatOfAbandonedRequestDoesNotWait(t *testing.T) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		r := agent(Settings{})
 		r.Abandon(claimAs(r, "one").(Granted).Token)
 		began := time.Now()
 		is.Equal(claimAs(r, "two"), Unknown{RequestID: "one"})
-		is.True(time.Since(began) < lookFirst)
+		is.True(time.Since(began) < minPollInterval)
 	})
 }
 
-// A claim is granted and its answer is lost with the link. Whoever asked has no
-// token, so the key becomes free; another request's claim is left as it is.
-func TestWithdrawnClaimBecomesFree(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+// A claim is granted but its answer is lost with the connection. The caller
+// has no token, so withdrawing the claim must free the key, but it must not
+// affect the claim of a different request.
+func TestWithdrawnClaimIsFreed(t *testing.T) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		first, second := agent(Settings{}), agent(Settings{})
 		_, ok := claimAs(first, "one").(Granted)
 		is.True(ok)
@@ -211,15 +213,15 @@
 		is.NoErr(second.Withdraw(context.Background(), testKey, "one"))
 		granted, ok := claimAs(second, "three").(Granted)
 		is.True(ok)
-		is.True(first.Withdraw(context.Background(), testKey, "one") != nil) // it is the third's now
+		is.True(first.Withdraw(context.Background(), testKey, "one") != nil) // the key now belongs to the third request
 		is.NoErr(second.Finish(context.Background(), testKey, granted.Token, booked))
-		is.NoErr(second.Withdraw(context.Background(), testKey, "three")) // changes nothing: it ran
+		is.NoErr(second.Withdraw(context.Background(), testKey, "three")) // no effect, since it ran
 		is.Equal(claimAs(first, "four"), doneAs("three"))
 	})
 }
 
 func TestNotRunFreesTheKeyForTheSameBody(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		r := agent(Settings{})
 		is.NoErr(r.Finish(context.Background(), testKey, claimAs(r, "one").(Granted).Token, NotRun{}))
 		is.Equal(r.Claim(context.Background(), testKey, BodySum{2}, "two"), Mismatch{RequestID: "one"})
@@ -228,10 +230,10 @@
 	})
 }
 
-// Many callers book at once. One write for each claim would use up the few
-// hundred writes a second that the service gives to the whole deployment.
-func TestClaimsShareWrites(t *testing.T) {
-	bubble(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
+// Many callers claim at once. One write per claim would exhaust the few
+// hundred writes a second that the service allows for the whole deployment.
+func TestClaimsAreBatched(t *testing.T) {
+	runVirtual(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
 		const claims = 2000
 		r := agent(Settings{})
 		claimAs(r, "warm")
@@ -250,10 +252,11 @@
 	})
 }
 
-// Segments are closed as they grow and dropped after the retention. Without
-// that the service would fill up; dropped too early, a booking runs twice.
+// Segments are closed as they grow and deleted after the retention. Without
+// deletion the service would fill up; deletion too early would let a request
+// run twice.
 func TestSegmentsAreDroppedAfterRetention(t *testing.T) {
-	bubble(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
+	runVirtual(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
 		r := agent(Settings{SegmentAge: time.Hour, Retention: 24 * time.Hour})
 		granted := claimAs(r, "one").(Granted)
 		is.NoErr(r.Finish(context.Background(), testKey, granted.Token, booked))
@@ -281,7 +284,7 @@
 	var x index
 	v, err := store.Get(context.Background(), indexKey(0), 0)
 	if err == nil {
-		err = beechstore.Unseal(v.Key, v.Data, format, &x)
+		err = beechstore.Unseal(v.Key, v.Data, formatVersion, &x)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -289,9 +292,10 @@
 	return x
 }
 
-// A record in the service is damaged, lost, or written by a newer version of
-// the program. Whoever took it for empty would grant a booking again.
-func TestBadRecordsRefuseClaims(t *testing.T) {
+// A segment in the service is damaged, missing, or written by a newer version
+// of the program. If it were treated as empty, its requests would be granted
+// again.
+func TestDamagedSegmentRefusesClaims(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func([]byte) []byte
@@ -304,7 +308,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			bubble(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
+			runVirtual(t, func(is *is.I, store *beechstore.Fake, agent func(Settings) *Records) {
 				claimAs(agent(Settings{}), "one")
 				key := segmentKey(0, readIndex(t, store).Segments[0].ID)
 				good, err := store.Get(context.Background(), key, 0)
@@ -318,7 +322,7 @@
 				for range 1000 {
 					claimAs(reader, "three")
 				}
-				is.True(store.Counts().Reads-reads < 100) // no storm of reads
+				is.True(store.Counts().Reads-reads < 100) // corrupt values are not read again for every claim
 
 				now, err := store.Get(context.Background(), key, 0)
 				is.NoErr(err)
@@ -343,9 +347,9 @@
 	}
 }
 
-// A shard has more segments than its agent's budget of calls allows at once,
-// as when an agent takes over after another's death. It must get there in
-// several tries, or the shard's bookings are refused until the retention ends.
+// A shard has more segments than the call budget of its new owner allows at
+// once. It must load them in several attempts; otherwise the shard's claims
+// are refused until the retention ends.
 func TestLongChainLoadsWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -359,11 +363,11 @@
 			first.Claim(context.Background(), Key{Name: fmt.Sprint(i)}, testBody, "r")
 		}
 		is.True(len(readIndex(t, store).Segments) > 100)
-		heir := New(&budgeted{Fake: store, clock: clock}, clock, Settings{Shards: 1})
-		defer heir.Close()
+		successor := New(&rateLimitedStore{Fake: store, clock: clock}, clock, Settings{Shards: 1})
+		defer successor.Close()
 		var answer Answer
 		for tries := 0; tries < 100; tries++ {
-			answer = claimAs(heir, "two")
+			answer = claimAs(successor, "two")
 			if _, refused := answer.(Refused); !refused {
 				break
 			}
@@ -373,14 +377,14 @@
 	})
 }
 
-// One agent owns each shard and callers claim all the time. Its budget of
-// calls is far below what the shards would use; claims are grouped further
-// rather than refused.
+// One agent owns all shards under a constant load of claims. Its call budget
+// is far below what the shards would use, so claims must be batched further
+// instead of refused.
 func TestClaimsFitTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		clock := clockwork.NewRealClock()
-		r := New(&budgeted{Fake: beechstore.NewFake(clock), clock: clock}, clock, Settings{Shards: 8})
+		r := New(&rateLimitedStore{Fake: beechstore.NewFake(clock), clock: clock}, clock, Settings{Shards: 8})
 		defer r.Close()
 		var wait sync.WaitGroup
 		for i := range 200 {
@@ -397,16 +401,17 @@
 	})
 }
 
-// budgeted allows a burst of 50 calls, then 50 a second, as the client does.
-type budgeted struct {
+// rateLimitedStore allows a burst of 50 calls, then 50 calls a second, like
+// the client of the service.
+type rateLimitedStore struct {
 	*beechstore.Fake
 	clock clockwork.Clock
 
 	mu   sync.Mutex
-	full time.Time // when the whole burst is there again
+	full time.Time // when the whole burst is available again
 }
 
-func (b *budgeted) spend(step string) error {
+func (b *rateLimitedStore) spend(step string) error {
 	const interval, burst = 20 * time.Millisecond, 50
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -421,24 +426,24 @@
 	return nil
 }
 
-func (b *budgeted) Get(ctx context.Context, key string, i beechstore.Importance) (beechstore.Value, error) {
+func (b *rateLimitedStore) Get(ctx context.Context, key string, i beechstore.Importance) (beechstore.Value, error) {
 	if err := b.spend("get " + key); err != nil {
 		return beechstore.Value{}, err
 	}
 	return b.Fake.Get(ctx, key, i)
 }
 
-func (b *budgeted) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, i beechstore.Importance) (beechstore.Value, error) {
+func (b *rateLimitedStore) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, i beechstore.Importance) (beechstore.Value, error) {
 	if err := b.spend("compare and swap " + key); err != nil {
 		return beechstore.Value{}, err
 	}
 	return b.Fake.CompareAndSwap(ctx, key, version, data, lease, i)
 }
 
-// Answers that are small alone could together outgrow the value that holds
-// them, and then no outcome of the segment could be recorded any more.
-func TestAnswersNeverOutgrowTheSegment(t *testing.T) {
-	bubble(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
+// Small answers can together exceed the maximum size of a value. No further
+// outcome of the segment could then be recorded.
+func TestAnswersStayWithinMaximumSegmentSize(t *testing.T) {
+	runVirtual(t, func(is *is.I, _ *beechstore.Fake, agent func(Settings) *Records) {
 		r := agent(Settings{SegmentBytes: 200 << 10})
 		tokens := map[Key]string{}
 		for i := range 700 {
@@ -470,7 +475,7 @@
 	})
 }
 
-func TestOwnerMovesOnlyWhatALostMemberHad(t *testing.T) {
+func TestLostMemberMovesOnlyItsShards(t *testing.T) {
 	is := is.New(t)
 	var members []netip.AddrPort
 	for i := range 10 {
@@ -489,7 +494,7 @@
 	is.True(!Owner(1, nil).IsValid())
 }
 
-func TestClosedRecordsRefuse(t *testing.T) {
+func TestClosedRecordsRefuseClaims(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewRealClock()
 	r := New(beechstore.NewFake(clock), clock, Settings{})
--- a/internal/state/beechrecord/rotate.go
+++ b/internal/state/beechrecord/rotate.go
@@ -7,13 +7,13 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// create makes the first segment and then the index that names it.
+// create writes the first segment and then the index that lists it.
 func (c *chain) create(ctx context.Context) error {
 	s, err := c.createSegment(ctx)
 	if err != nil {
 		return err
 	}
-	data, err := beechstore.Seal(format, index{Segments: []segmentRef{s.ref()}})
+	data, err := beechstore.Seal(formatVersion, index{Segments: []segmentRef{s.ref()}})
 	if err != nil {
 		return err
 	}
@@ -21,16 +21,16 @@
 	var conflict beechstore.Conflict
 	var unknown beechstore.UnknownOutcome
 	if errors.As(err, &conflict) || errors.As(err, &unknown) {
-		return nil // the next try reads which index is there
+		return nil // the next attempt reads the index
 	}
 	return err
 }
 
-// createSegment writes an empty segment under a new id. The id is never used
-// again: a process that slept through this segment's whole life must not be
-// able to create it a second time and grant claims from it. If the reply is
-// lost, the segment is left behind unused and another id is taken.
-func (c *chain) createSegment(ctx context.Context) (*stored, error) {
+// createSegment writes an empty segment under a new random ID. IDs are never
+// reused: a process that was suspended for this segment's whole lifetime must
+// not be able to create it again and grant claims from it. If the reply is
+// lost, the segment stays unused and another ID is chosen.
+func (c *chain) createSegment(ctx context.Context) (*cachedSegment, error) {
 	s := segment{Opened: c.clock.Now().UTC()}
 	data, err := encodeSegment(s)
 	if err != nil {
@@ -41,11 +41,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return newStored(id, v.Version, s, len(data)), nil
+	return newCachedSegment(id, v.Version, s, len(data)), nil
 }
 
-// write puts a draft in place of segment i, and keeps it if that is certain.
-func (c *chain) write(ctx context.Context, i int, draft *stored) error {
+// write replaces segment i with draft, and updates the chain if the write
+// succeeded.
+func (c *chain) write(ctx context.Context, i int, draft *cachedSegment) error {
 	data, err := encodeSegment(draft.segment)
 	if err != nil {
 		return err
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// rotate closes the open segment if it is old or large, and drops what is
-// past its retention. A failure leaves the chain usable as it is.
+// rotate closes the open segment if it is old or large, and deletes segments
+// past their retention. After an error the chain is still usable.
 func (c *chain) rotate(ctx context.Context) error {
 	x := c.current()
 	old := len(x.segment.Entries) > 0 && c.clock.Since(x.segment.Opened) > c.settings.SegmentAge
@@ -80,18 +81,18 @@
 	return c.publishIndex(ctx)
 }
 
-// publishIndex writes the segments known here to the index, unless another
-// owner has written newer ones, and deletes those past their retention.
+// publishIndex writes this chain's segments to the index, unless another owner
+// has added newer ones, and deletes segments past their retention.
 func (c *chain) publishIndex(ctx context.Context) error {
 	v, err := c.store.Get(ctx, indexKey(c.shard), beechstore.ImportanceClaim)
 	if err != nil {
 		return err
 	}
 	var x index
-	if err := beechstore.Unseal(v.Key, v.Data, format, &x); err != nil {
+	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &x); err != nil {
 		return err
 	}
-	if len(x.Segments) == 0 || !c.knows(x.Segments[len(x.Segments)-1].ID) {
+	if len(x.Segments) == 0 || !c.hasSegment(x.Segments[len(x.Segments)-1].ID) {
 		return nil
 	}
 	var refs []segmentRef
@@ -99,7 +100,7 @@
 		refs = append(refs, s.ref())
 	}
 	kept := c.retained(refs)
-	data, err := beechstore.Seal(format, index{Segments: kept})
+	data, err := beechstore.Seal(formatVersion, index{Segments: kept})
 	if err != nil {
 		return err
 	}
@@ -109,14 +110,14 @@
 	dropped := c.segments[:len(refs)-len(kept)]
 	c.segments = c.segments[len(dropped):]
 	for _, s := range dropped {
-		delete(c.known, s.id)
-		// What fails to be deleted only takes room.
+		delete(c.closed, s.id)
+		// If the deletion fails, the segment only takes up space.
 		_ = c.store.Delete(ctx, segmentKey(c.shard, s.id), s.version, beechstore.ImportanceRest)
 	}
 	return nil
 }
 
-func (c *chain) knows(id string) bool {
+func (c *chain) hasSegment(id string) bool {
 	for _, s := range c.segments {
 		if s.id == id {
 			return true
--- a/internal/state/beechrecord/segment.go
+++ b/internal/state/beechrecord/segment.go
@@ -14,10 +14,10 @@
 )
 
 type (
-	// segment is one value of the service: claims of one shard in the order
-	// they were made. Entries are added only while it is open; outcomes may
-	// be added later. A closed segment names the next one, which was there
-	// before this one was closed.
+	// segment is one value in the service: claims of one shard in the order
+	// they were made. Entries are added only while the segment is open;
+	// outcomes may be added later. A closed segment holds the ID of the next
+	// one, which is created first.
 	segment struct {
 		Opened  time.Time `json:"opened"`
 		Next    string    `json:"next,omitempty"`
@@ -40,8 +40,8 @@
 		Complete bool   `json:"w,omitempty"`
 	}
 
-	// index lists the segments that are kept, the oldest first. It may lack
-	// the newest, which are found by their predecessor's Next.
+	// index lists the retained segments, oldest first. The newest ones may be
+	// missing; they are found through Next of their predecessors.
 	index struct {
 		Segments []segmentRef `json:"segments"`
 	}
@@ -51,24 +51,24 @@
 		Opened time.Time `json:"opened"`
 	}
 
-	// stored is a segment as last read or written, with a look-up by key. A
-	// closed one is kept compact: only its keys, since a day's entries would
-	// not fit in an agent's memory, and nearly every claim needs to know no
-	// more than that its key is not there.
-	stored struct {
+	// cachedSegment is a segment as last read or written, with a lookup by
+	// key. Old closed segments are compacted to their keys, since a day's
+	// entries would not fit into an agent's memory and nearly every claim only
+	// needs to know that its key is absent.
+	cachedSegment struct {
 		id      string
 		version uint64
 		segment segment
 		bytes   int
-		byKey   map[string]int // the newest entry of a key; nil in a compact one
-		keys    []keyID        // sorted; of a compact one
+		byKey   map[string]int // index of a key's newest entry; nil if compacted
+		keys    []keyID        // sorted; only if compacted
 	}
 )
 
 const (
-	format         = 1
-	tokenBytes     = 12
-	hardLimitBytes = beechstore.MaxValueBytes * 7 / 8
+	formatVersion   = 1
+	tokenBytes      = 12
+	maxSegmentBytes = beechstore.MaxValueBytes * 7 / 8
 )
 
 func newToken() string {
@@ -87,33 +87,33 @@
 
 func segmentKey(shard int, id string) string { return fmt.Sprintf("record/%d/%s", shard, id) }
 
-func encodeSegment(s segment) ([]byte, error) { return beechstore.Seal(format, s) }
+func encodeSegment(s segment) ([]byte, error) { return beechstore.Seal(formatVersion, s) }
 
-func decodeSegment(id string, v beechstore.Value) (*stored, error) {
+func decodeSegment(id string, v beechstore.Value) (*cachedSegment, error) {
 	var s segment
-	if err := beechstore.Unseal(v.Key, v.Data, format, &s); err != nil {
+	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &s); err != nil {
 		return nil, err
 	}
-	return newStored(id, v.Version, s, len(v.Data)), nil
+	return newCachedSegment(id, v.Version, s, len(v.Data)), nil
 }
 
-func newStored(id string, version uint64, s segment, bytes int) *stored {
-	x := &stored{id: id, version: version, segment: s, bytes: bytes, byKey: make(map[string]int, len(s.Entries))}
+func newCachedSegment(id string, version uint64, s segment, bytes int) *cachedSegment {
+	x := &cachedSegment{id: id, version: version, segment: s, bytes: bytes, byKey: make(map[string]int, len(s.Entries))}
 	for i, e := range s.Entries {
 		x.byKey[e.Key] = i
 	}
 	return x
 }
 
-func (x *stored) ref() segmentRef { return segmentRef{ID: x.id, Opened: x.segment.Opened} }
+func (x *cachedSegment) ref() segmentRef { return segmentRef{ID: x.id, Opened: x.segment.Opened} }
 
-func (x *stored) open() bool { return x.segment.Next == "" }
+func (x *cachedSegment) open() bool { return x.segment.Next == "" }
 
-func (x *stored) compact() bool { return x.byKey == nil }
+func (x *cachedSegment) compact() bool { return x.byKey == nil }
 
-// compacted is the segment without its entries.
-func (x *stored) compacted() *stored {
-	c := &stored{id: x.id, version: x.version, bytes: x.bytes, keys: make([]keyID, 0, len(x.byKey))}
+// compacted returns a copy of the segment without its entries.
+func (x *cachedSegment) compacted() *cachedSegment {
+	c := &cachedSegment{id: x.id, version: x.version, bytes: x.bytes, keys: make([]keyID, 0, len(x.byKey))}
 	c.segment = segment{Opened: x.segment.Opened, Next: x.segment.Next}
 	for key := range x.byKey {
 		c.keys = append(c.keys, parseKeyID(key))
@@ -122,8 +122,9 @@
 	return c
 }
 
-// has tells whether the segment has an entry of a key, compact or not.
-func (x *stored) has(key string) bool {
+// contains reports whether the segment has an entry of a key. It also works on
+// a compacted segment.
+func (x *cachedSegment) contains(key string) bool {
 	if x.compact() {
 		_, ok := slices.BinarySearchFunc(x.keys, parseKeyID(key), compareKeys)
 		return ok
@@ -132,8 +133,8 @@
 	return ok
 }
 
-// find gives the newest entry of a key; in a compact segment there is none.
-func (x *stored) find(key string) (entry, bool) {
+// find returns the newest entry of a key. A compacted segment has none.
+func (x *cachedSegment) find(key string) (entry, bool) {
 	i, ok := x.byKey[key]
 	if !ok {
 		return entry{}, false
@@ -141,23 +142,23 @@
 	return x.segment.Entries[i], true
 }
 
-// draft is a copy to change: what is not yet written must not be seen in
-// stored, where it would be taken for a fact.
-func (x *stored) draft() *stored {
+// draft returns a copy to modify. Changes that are not yet written must not be
+// made in the cached segment, where they would be taken as stored.
+func (x *cachedSegment) draft() *cachedSegment {
 	s := x.segment
 	s.Entries = slices.Clone(s.Entries)
-	return newStored(x.id, x.version, s, x.bytes)
+	return newCachedSegment(x.id, x.version, s, x.bytes)
 }
 
-func (x *stored) add(e entry) {
+func (x *cachedSegment) add(e entry) {
 	x.byKey[e.Key] = len(x.segment.Entries)
 	x.segment.Entries = append(x.segment.Entries, e)
 	x.bytes += sizeOf(e)
 }
 
-// finish sets the outcome of a token. A second outcome changes nothing: the
-// first is the one that repeats have been given.
-func (x *stored) finish(key, token string, o outcome) (found, changed bool) {
+// finish sets the outcome of a token. A second outcome is ignored, since
+// repeats have been given the first one.
+func (x *cachedSegment) finish(key, token string, o outcome) (found, changed bool) {
 	i, ok := x.byKey[key]
 	if !ok || x.segment.Entries[i].Token != token {
 		return false, false
@@ -166,7 +167,7 @@
 	if e.Outcome != nil {
 		return true, false
 	}
-	if x.bytes+len(o.Body)*4/3 > hardLimitBytes {
+	if x.bytes+len(o.Body)*4/3 > maxSegmentBytes {
 		o.Body, o.Complete = nil, false
 	}
 	e.Outcome = &o
@@ -174,8 +175,8 @@
 	return true, true
 }
 
-// parseKeyID reads what keyID.String wrote; anything else, which only a
-// damaged entry can have, gives the zero id.
+// parseKeyID parses the output of keyID.String. Other text, which only occurs
+// in a damaged entry, gives the zero ID.
 func parseKeyID(text string) keyID {
 	var id keyID
 	if b, err := hex.DecodeString(text); err == nil && len(b) == len(id) {
@@ -194,11 +195,11 @@
 	return len(data) + 1
 }
 
-func (s BodySum) text() string { return base64.RawURLEncoding.EncodeToString(s[:]) }
+func (s BodySum) encode() string { return base64.RawURLEncoding.EncodeToString(s[:]) }
 
-// answerTo gives what a claim with this body gets of an entry that is there.
-// Free is true if the entry's request provably did not run.
-func (e entry) answerTo(body string) (answer Answer, free bool) {
+// answerFor returns the answer to a claim with this body when the entry is
+// already present. Free is true if the entry's request provably did not run.
+func (e entry) answerFor(body string) (answer Answer, free bool) {
 	switch {
 	case e.Body != body:
 		return Mismatch{RequestID: e.Request}, false
@@ -207,9 +208,9 @@
 	case e.Outcome.NotRun:
 		return nil, true
 	}
-	return e.Outcome.done(e.Request), false
+	return e.Outcome.toDone(e.Request), false
 }
 
-func (o *outcome) done(requestID string) Done {
+func (o *outcome) toDone(requestID string) Done {
 	return Done{RequestID: requestID, Status: o.Status, ContentType: o.Type, Body: o.Body, Complete: o.Complete}
 }
--- a/internal/state/beechrecord/shard.go
+++ b/internal/state/beechrecord/shard.go
@@ -13,37 +13,40 @@
 )
 
 type (
-	// shard handles the claims and outcomes of one shard, a batch at a time.
+	// shard processes the claims and outcomes of one shard in batches.
 	shard struct {
 		chain    chain
 		clock    clockwork.Clock
 		settings Settings
-		arrivals chan *operation
+		queue    chan *operation
 
-		// After some failures nothing is tried until downUntil, see holdBack.
-		down      error
-		downUntil time.Time
+		// After some errors batches fail with backoffErr until backoffUntil,
+		// see backOff.
+		backoffErr   error
+		backoffUntil time.Time
 
-		wrote time.Time // when the last batch began
+		lastBatch time.Time // start of the last batch
 
-		// fresh names the segments read for this batch. The budget may allow
-		// one call at a time: a try that read them anew after each wait would
-		// spend every call on the first read, and no claim would be made again.
-		fresh map[string]bool
+		// refreshed holds the IDs of the segments already read again for this
+		// batch. The call budget may allow a single call at a time: if each
+		// attempt read them again after waiting, every call would be spent on
+		// the first read and no claim would be written.
+		refreshed map[string]bool
 	}
 
-	// operation is a claim or an outcome that waits for its batch. Withdraws
-	// names the request of a claim whose token is not known: it is looked up.
+	// operation is a claim or an outcome that waits for its batch. withdrawID
+	// is the request ID of a claim to withdraw; its token is unknown and is
+	// looked up.
 	operation struct {
-		ctx       context.Context
-		key       string
-		token     string
-		claim     *claim
-		granted   func(token string) // called before a claim of the same batch is answered
-		outcome   *outcome
-		withdraws string
-		result    chan result // holds one
-		done      bool        // result was given; the shard's goroutine only
+		ctx        context.Context
+		key        string
+		token      string
+		claim      *claim
+		onGranted  func(token string) // called before Granted is sent, so that a repeat in the same batch finds the run
+		outcome    *outcome
+		withdrawID string
+		result     chan result // capacity 1
+		delivered  bool        // result was sent; used only by the shard's goroutine
 	}
 
 	claim struct {
@@ -51,43 +54,44 @@
 		requestID string
 	}
 
-	// beforeWrite is an error from before any claim of the batch was written.
-	beforeWrite struct{ error }
+	// preWriteError wraps an error that occurred before any claim of the batch
+	// was written.
+	preWriteError struct{ error }
 
-	// result is the answer to a claim or the error of an outcome.
+	// result is the answer to a claim, or the error of recording an outcome.
 	result struct {
 		answer Answer
 		err    error
-		token  string // of the entry that the answer speaks of
+		token  string // of the entry that the answer refers to
 	}
 
-	// verdict is what an operation gets if the batch's write is made. A
-	// settled one needs no write; an outcome that is not inOpen is for a
-	// closed segment.
-	verdict struct {
-		operation *operation
-		result    result
-		settled   bool
-		inOpen    bool
+	// decision is the result that an operation gets once the batch is written.
+	// With noWrite the result does not depend on the write. An outcome without
+	// inOpenSegment belongs to a closed segment.
+	decision struct {
+		operation     *operation
+		result        result
+		noWrite       bool
+		inOpenSegment bool
 	}
 )
 
 const (
-	settlePause = 20 * time.Millisecond
-	holdOff     = 250 * time.Millisecond
-	// budgetWait is how long a batch waits for the process's budget of calls.
-	// It grows meanwhile, so that claims share the calls there are; refused,
-	// they would come again and cost more.
-	budgetWait   = 100 * time.Millisecond
-	budgetSpread = 60 * time.Millisecond
+	unknownWriteDelay = 20 * time.Millisecond
+	minBackoff        = 250 * time.Millisecond
+	// maxBudgetWait is how long a batch waits for the process's call budget.
+	// The batch collects more claims meanwhile, so that they share the
+	// available calls; refused claims would be sent again and cost more.
+	maxBudgetWait = 100 * time.Millisecond
+	budgetJitter  = 60 * time.Millisecond
 )
 
 var (
-	errTokenUnknown = errors.New("the token is in no segment that is kept")
-	errBusy         = errors.New("too many claims wait in this shard")
-	errClosed       = errors.New("the records are closed")
-	errFull         = errors.New("the open segment is full and cannot be closed now")
-	errTooSlow      = errors.New("the batch took longer than a batch may take")
+	errTokenUnknown = errors.New("token not found in any retained segment")
+	errQueueFull    = errors.New("claim queue of the shard is full")
+	errClosed       = errors.New("records are closed")
+	errSegmentFull  = errors.New("open segment is full and cannot be closed at present")
+	errBatchTimeout = errors.New("batch exceeded its time limit")
 )
 
 func (s *shard) run(ctx context.Context) {
@@ -97,24 +101,25 @@
 			deliverAll(batch, result{answer: Refused{Err: errClosed}, err: errClosed})
 			return
 		}
-		s.wrote = s.clock.Now()
-		s.process(ctx, batch)
+		s.lastBatch = s.clock.Now()
+		s.processBatch(ctx, batch)
 	}
 }
 
-// collect waits for a first operation and then for those of the window.
+// collect waits for a first operation and then collects more until the window
+// ends or the batch is full.
 func (s *shard) collect(ctx context.Context) []*operation {
 	var batch []*operation
 	select {
 	case <-ctx.Done():
 		return nil
-	case first := <-s.arrivals:
+	case first := <-s.queue:
 		batch = append(batch, first)
 	}
-	if s.heldOff() {
-		return s.drain(batch) // a refusal need not wait for company
+	if s.backingOff() {
+		return s.drainQueue(batch) // the batch will be refused, so there is no need to collect more
 	}
-	paced := s.settings.Pace - s.clock.Since(s.wrote)
+	paced := s.settings.Pace - s.clock.Since(s.lastBatch)
 	window := s.clock.NewTimer(max(s.settings.Window, paced))
 	defer window.Stop()
 	for len(batch) < s.settings.MaxBatch {
@@ -122,37 +127,37 @@
 		case <-ctx.Done():
 			return batch
 		case <-window.Chan():
-			return s.drain(batch)
-		case next := <-s.arrivals:
+			return s.drainQueue(batch)
+		case next := <-s.queue:
 			batch = append(batch, next)
 		}
 	}
 	return batch
 }
 
-// holdBack keeps the next batches from being tried. A service that does not
-// answer would have each of them wait as long, and their callers with them; a
-// bad value would be read again for each. A service that refuses at once costs
-// nothing, and is tried again at once.
-func (s *shard) holdBack(err error, took time.Duration) {
+// backOff delays further attempts after an error. If the service does not
+// answer, each batch, with its callers, would wait for the full time limit; a
+// corrupt value would be read again for each batch. A service that refuses
+// immediately costs nothing and is tried again immediately.
+func (s *shard) backOff(err error, took time.Duration) {
 	var refused beechstore.Refused
 	var over beechstore.OverBudget
-	s.down, s.downUntil = err, time.Time{}
+	s.backoffErr, s.backoffUntil = err, time.Time{}
 	switch {
 	case errors.As(err, &over):
 	case !errors.As(err, &refused):
-		s.downUntil = s.clock.Now().Add(holdOff)
-	case took > holdOff:
-		s.downUntil = s.clock.Now().Add(took)
+		s.backoffUntil = s.clock.Now().Add(minBackoff)
+	case took > minBackoff:
+		s.backoffUntil = s.clock.Now().Add(took)
 	}
 }
 
-func (s *shard) heldOff() bool { return s.clock.Now().Before(s.downUntil) }
+func (s *shard) backingOff() bool { return s.clock.Now().Before(s.backoffUntil) }
 
-func (s *shard) drain(batch []*operation) []*operation {
+func (s *shard) drainQueue(batch []*operation) []*operation {
 	for len(batch) < s.settings.MaxBatch {
 		select {
-		case next := <-s.arrivals:
+		case next := <-s.queue:
 			batch = append(batch, next)
 		default:
 			return batch
@@ -161,67 +166,70 @@
 	return batch
 }
 
-// process brings a batch to its end. Lost says that a write of this batch may
-// have taken effect: from then on a failure is no longer a refusal.
-func (s *shard) process(ctx context.Context, batch []*operation) {
+// processBatch processes a batch until every operation has its result. Once
+// mayBeWritten is set, a write of this batch may have taken effect, so a
+// failure is no longer reported as a refusal.
+func (s *shard) processBatch(ctx context.Context, batch []*operation) {
 	ctx, cancel := clockwork.WithTimeout(ctx, s.clock, s.settings.CallTimeout)
 	defer cancel()
 	defer s.chain.compact()
 	batch = dropExpired(batch)
-	if s.heldOff() {
-		deliverAll(batch, failure(false, s.down))
+	if s.backingOff() {
+		deliverAll(batch, failureResult(false, s.backoffErr))
 		return
 	}
-	lost, began, tries := false, s.clock.Now(), 0
-	s.fresh = map[string]bool{}
+	mayBeWritten, began, attempts := false, s.clock.Now(), 0
+	s.refreshed = map[string]bool{}
 	for {
-		rest, err := s.try(ctx, batch)
-		tries++
+		rest, err := s.attempt(ctx, batch)
+		attempts++
 		if err == nil && len(rest) == 0 {
 			return
 		}
 		batch = rest
 		var conflict beechstore.Conflict
 		var unknown beechstore.UnknownOutcome
-		var before beforeWrite
+		var before preWriteError
 		var over beechstore.OverBudget
 		switch {
-		case errors.As(err, &over) && over.After <= budgetWait:
-			// The shards of a process wait for the same budget. Woken together
-			// each time, the same one could be first for ever.
-			s.pause(ctx, over.After+rand.N(budgetSpread))
-			if !lost {
-				batch = s.drain(batch)
+		case errors.As(err, &over) && over.After <= maxBudgetWait:
+			// The shards of a process wait for the same budget. Without jitter
+			// they would wake up together and the same shard could always be
+			// first.
+			s.sleep(ctx, over.After+rand.N(budgetJitter))
+			if !mayBeWritten {
+				batch = s.drainQueue(batch)
 			}
 		case err == nil, errors.As(err, &conflict) && !errors.As(err, &before):
 		case errors.As(err, &unknown) && !errors.As(err, &before):
-			lost = true
-		case lost && ctx.Err() == nil:
+			mayBeWritten = true
+		case mayBeWritten && ctx.Err() == nil:
 		default:
-			s.holdBack(err, s.clock.Since(began))
-			deliverAll(batch, failure(lost, err))
+			s.backOff(err, s.clock.Since(began))
+			deliverAll(batch, failureResult(mayBeWritten, err))
 			return
 		}
-		if lost {
-			s.pause(ctx, settlePause)
+		if mayBeWritten {
+			s.sleep(ctx, unknownWriteDelay)
 		}
 		if ctx.Err() != nil {
-			deliverAll(batch, failure(lost, tooSlow(tries, len(batch), err)))
+			deliverAll(batch, failureResult(mayBeWritten, batchTimeout(attempts, len(batch), err)))
 			return
 		}
 	}
 }
 
-// tooSlow says what kept the batch from its end.
-func tooSlow(tries, left int, last error) error {
+// batchTimeout returns an error that tells why the batch did not finish in
+// time.
+func batchTimeout(attempts, left int, last error) error {
 	if last == nil {
-		return fmt.Errorf("%w: %d left after %d tries", errTooSlow, left, tries)
+		return fmt.Errorf("%w: %d operations left after %d attempts", errBatchTimeout, left, attempts)
 	}
-	return fmt.Errorf("%w: %d left after %d tries, the last: %w", errTooSlow, left, tries, last)
+	return fmt.Errorf("%w: %d operations left after %d attempts, last error: %w", errBatchTimeout, left, attempts, last)
 }
 
-// dropExpired leaves out what nobody waits for any more: a claim whose caller
-// is gone would be granted to no one and stay unknown for ever.
+// dropExpired refuses claims whose callers no longer wait. Such a claim would
+// be granted to nobody and stay unknown permanently.
 func dropExpired(batch []*operation) []*operation {
 	var live []*operation
 	for _, o := range batch {
@@ -234,38 +242,38 @@
 	return live
 }
 
-func (s *shard) pause(ctx context.Context, d time.Duration) {
+func (s *shard) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-s.clock.After(d):
 	}
 }
 
-// try reads what is needed, decides the batch and writes it. It gives the
-// operations that are not answered yet.
-func (s *shard) try(ctx context.Context, batch []*operation) ([]*operation, error) {
-	if err := s.ready(ctx); err != nil {
-		return batch, beforeWrite{err}
+// attempt reads what is needed, decides the batch and writes it once. It
+// returns the operations that have no result yet.
+func (s *shard) attempt(ctx context.Context, batch []*operation) ([]*operation, error) {
+	if err := s.prepare(ctx); err != nil {
+		return batch, preWriteError{err}
 	}
 	if err := s.refresh(ctx, batch); err != nil {
-		return batch, beforeWrite{err}
+		return batch, preWriteError{err}
 	}
 	last := len(s.chain.segments) - 1
 	draft := s.chain.current().draft()
-	verdicts, changed := s.decide(draft, batch)
-	rest := deliverSettled(verdicts)
+	decisions, changed := s.decide(draft, batch)
+	rest := deliverSettled(decisions)
 	if !changed {
 		return s.finishClosed(ctx, rest)
 	}
 	if err := s.chain.write(ctx, last, draft); err != nil {
-		s.reread(ctx, err)
+		s.refreshAfterWrite(ctx, err)
 		return rest, err
 	}
-	return s.finishClosed(ctx, deliverWritten(verdicts))
+	return s.finishClosed(ctx, deliverWritten(decisions))
 }
 
-// ready loads the chain at first and rotates it when due.
-func (s *shard) ready(ctx context.Context) error {
+// prepare loads the chain on first use and rotates it when due.
+func (s *shard) prepare(ctx context.Context) error {
 	if len(s.chain.segments) == 0 {
 		if err := s.chain.load(ctx); err != nil {
 			return err
@@ -274,28 +282,30 @@
 	if err := s.chain.rotate(ctx); err == nil {
 		return nil
 	}
-	// A failed rotation can wait, if what is there is known and has room.
+	// A failed rotation can be retried later, provided that the open segment
+	// is known and has room.
 	if len(s.chain.segments) == 0 {
 		return s.chain.load(ctx)
 	}
 	if err := s.chain.refresh(ctx, len(s.chain.segments)-1); err != nil {
 		return err
 	}
-	if s.chain.current().bytes > hardLimitBytes {
-		return errFull
+	if s.chain.current().bytes > maxSegmentBytes {
+		return errSegmentFull
 	}
 	return nil
 }
 
-// Unwrap gives the cause.
-func (e beforeWrite) Unwrap() error { return e.error }
+// Unwrap returns the wrapped error.
+func (e preWriteError) Unwrap() error { return e.error }
 
-// reread learns what is there after a write that failed or may have.
-func (s *shard) reread(ctx context.Context, err error) {
+// refreshAfterWrite reads the open segment again after a write that conflicted
+// or whose outcome is unknown.
+func (s *shard) refreshAfterWrite(ctx context.Context, err error) {
 	var conflict beechstore.Conflict
 	var unknown beechstore.UnknownOutcome
 	if errors.As(err, &conflict) || errors.As(err, &unknown) {
-		s.fresh = map[string]bool{}
+		s.refreshed = map[string]bool{}
 		if s.chain.refresh(ctx, len(s.chain.segments)-1) != nil {
 			s.chain.segments = nil
 		}
--- a/internal/state/beechrecord/unrecorded.go
+++ b/internal/state/beechrecord/unrecorded.go
@@ -9,8 +9,8 @@
 )
 
 // unrecorded is an outcome that this process knows but could not record. The
-// service may be down for long; without this each request that ended in that
-// time would be unknown to its caller for ever, although its agent knows.
+// service may be down for a long time; without the retries, every request that
+// ended during that time would stay unknown to its caller for good.
 type unrecorded struct {
 	key     Key
 	token   string
@@ -19,15 +19,15 @@
 }
 
 const (
-	maxUnrecorded  = 1 << 16
-	firstLatePause = 100 * time.Millisecond
-	maxLatePause   = 2 * time.Second
-	// settleFor is how long a token that is not in the service may still
-	// arrive there by a late write.
-	settleFor = time.Minute
+	maxUnrecorded        = 1 << 16
+	initialRetryInterval = 100 * time.Millisecond
+	maxRetryInterval     = 2 * time.Second
+	// lateWriteTimeout is how long a claim whose token is not in the service
+	// may still appear there through a delayed write.
+	lateWriteTimeout = time.Minute
 )
 
-func (r *Records) recordLater(key Key, token string, o *outcome) {
+func (r *Records) addUnrecorded(key Key, token string, o *outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.unrecorded) >= maxUnrecorded {
@@ -35,37 +35,39 @@
 	}
 	r.unrecorded[token] = &unrecorded{key: key, token: token, outcome: o, since: r.clock.Now()}
 	select {
-	case r.more <- struct{}{}:
+	case r.unrecordedAdded <- struct{}{}:
 	default:
 	}
 }
 
-// notYetRecorded answers a repeat from an outcome that is known here only.
-func (r *Records) notYetRecorded(token, requestID string) (Answer, bool) {
+// answerFromUnrecorded answers a repeat with an outcome that is not yet in the
+// service.
+func (r *Records) answerFromUnrecorded(token, requestID string) (Answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u, ok := r.unrecorded[token]
 	if !ok || u.outcome.NotRun {
 		return nil, false
 	}
-	return u.outcome.done(requestID), true
+	return u.outcome.toDone(requestID), true
 }
 
-// Unrecorded gives the number of outcomes that are known here and not yet in
-// the service. A process that stops should wait for 0, within reason.
+// Unrecorded returns the number of outcomes that are not yet in the service. A
+// process should wait for 0, for a limited time, before it exits.
 func (r *Records) Unrecorded() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.unrecorded)
 }
 
-// recordLate goes on trying what is unrecorded until ctx ends.
-func (r *Records) recordLate(ctx context.Context) {
+// retryUnrecorded retries the unrecorded outcomes, with backoff, until ctx
+// ends.
+func (r *Records) retryUnrecorded(ctx context.Context) {
 	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstLatePause
-	pause.MaxInterval = maxLatePause
+	pause.InitialInterval = initialRetryInterval
+	pause.MaxInterval = maxRetryInterval
 	for {
-		wait := r.more
+		wait := r.unrecordedAdded
 		var timer <-chan time.Time
 		if r.Unrecorded() > 0 {
 			wait, timer = nil, r.clock.After(pause.NextBackOff())
@@ -77,14 +79,14 @@
 			return
 		case <-wait:
 		case <-timer:
-			r.tryUnrecorded(ctx)
+			r.submitUnrecorded(ctx)
 		}
 	}
 }
 
-// tryUnrecorded submits all before it waits for any, so that they share
-// writes.
-func (r *Records) tryUnrecorded(ctx context.Context) {
+// submitUnrecorded submits all unrecorded outcomes before it waits for any
+// result, so that they share writes.
+func (r *Records) submitUnrecorded(ctx context.Context) {
 	r.mu.Lock()
 	var operations []*operation
 	for _, u := range r.unrecorded {
@@ -99,19 +101,19 @@
 		case <-ctx.Done():
 			return
 		case got := <-o.result:
-			r.settled(o.token, got.err)
+			r.handleRetryResult(o.token, got.err)
 		}
 	}
 }
 
-func (r *Records) settled(token string, err error) {
+func (r *Records) handleRetryResult(token string, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	u, ok := r.unrecorded[token]
 	if !ok {
 		return
 	}
-	gone := errors.Is(err, errTokenUnknown) && r.clock.Since(u.since) > settleFor
+	gone := errors.Is(err, errTokenUnknown) && r.clock.Since(u.since) > lateWriteTimeout
 	if err == nil || gone {
 		delete(r.unrecorded, token)
 	}
