--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -87,9 +87,9 @@
 	g.sendToZone(message(false))
 	for _, zone := range g.otherZones.zones(g.clock.Now()) {
 		targets := zone
-		relays := beechrelay.Of(g.peers.Self(), zone)
+		relays := beechrelay.Select(g.peers.Self(), zone)
 		if relays != nil {
-			targets = beechrelay.Take(relays, round, urgent)
+			targets = beechrelay.Recipients(relays, round, urgent)
 		}
 		if err := g.socket.SendAll(targets, beechbeat.Far, message(relays != nil)); err != nil {
 			g.log.Debug("send to gate failed", zap.Error(err))
