--- a/internal/command/beechscenario/world_test.go
+++ b/internal/command/beechscenario/world_test.go
@@ -225,9 +225,9 @@
 
 // publishHosts gives the platform's stand-in the list of hosts.
 func (w *world) publishHosts() {
-	lines := make([]beechstore.HostLine, 0, len(w.hosts))
+	lines := make([]beechstore.WireHost, 0, len(w.hosts))
 	for _, h := range w.hosts {
-		lines = append(lines, h.Line())
+		lines = append(lines, h.Wire())
 	}
 	if p := w.processes["platform"]; p != nil {
 		_ = postJSON(p.address, "/standin/hosts", lines)
--- a/internal/process/beechentry/restart.go
+++ b/internal/process/beechentry/restart.go
@@ -71,7 +71,7 @@
 func (e *Entry) readHosts(ctx context.Context) {
 	reading, cancel := context.WithTimeout(ctx, hostsTimeout)
 	defer cancel()
-	hosts, err := e.store.Hosts(reading, beechstore.ImportanceRest)
+	hosts, err := e.store.Hosts(reading, beechstore.ImportanceOther)
 	if err != nil {
 		e.log.Warn("host list not read", beechlog.Step("read hosts"), zap.Error(err))
 		e.fleet.rebuild()
--- a/internal/standin/beechplatform/admin.go
+++ b/internal/standin/beechplatform/admin.go
@@ -17,7 +17,7 @@
 }
 
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
-	var lines []beechstore.HostLine
+	var lines []beechstore.WireHost
 	if !decode(w, r, &lines) {
 		return
 	}
--- a/internal/standin/beechplatform/platform.go
+++ b/internal/standin/beechplatform/platform.go
@@ -288,9 +288,9 @@
 		answerError(w, err)
 		return
 	}
-	lines := make([]beechstore.HostLine, 0, len(hosts))
+	lines := make([]beechstore.WireHost, 0, len(hosts))
 	for _, h := range hosts {
-		lines = append(lines, h.Line())
+		lines = append(lines, h.Wire())
 	}
 	answerJSON(w, lines)
 }
--- a/internal/standin/beechplatform/platform_test.go
+++ b/internal/standin/beechplatform/platform_test.go
@@ -77,7 +77,7 @@
 	is.Equal(got, beechstore.Value{Key: key, Version: v.Version, Data: []byte("one")})
 
 	hosts := []beechstore.Host{{Name: "h1", Address: netip.MustParseAddrPort("10.0.0.1:7000"), Zone: "a", Role: "agent", Leaving: true}}
-	is.Equal(s.post(t, "/standin/hosts", []beechstore.HostLine{hosts[0].Line()}), http.StatusNoContent)
+	is.Equal(s.post(t, "/standin/hosts", []beechstore.WireHost{hosts[0].Wire()}), http.StatusNoContent)
 	listed, err := s.store.Hosts(ctx, importance)
 	is.NoErr(err)
 	is.Equal(listed, hosts)
@@ -266,7 +266,7 @@
 			n++
 		}
 	}
-	is.Equal(spend(beechstore.ImportanceRest), 5)
+	is.Equal(spend(beechstore.ImportanceOther), 5)
 	is.Equal(spend(beechstore.ImportanceConfiguration), 3)
 	is.Equal(spend(beechstore.ImportanceClaim), 2)
 	is.Equal(over.After, time.Second)
--- a/internal/state/beechfence/fence_test.go
+++ b/internal/state/beechfence/fence_test.go
@@ -260,7 +260,7 @@
 }
 
 func flaky(store beechstore.Store, clock clockwork.Clock, seed uint64) beechstore.Store {
-	return beechstore.NewFlaky(store, clock, seed, beechstore.Odds{
+	return beechstore.NewFlaky(store, clock, seed, beechstore.FlakySettings{
 		Refused: 0.03, LostCall: 0.03, LostReply: 0.05, LateWrite: 0.03, Stalled: 0.05,
 		Delay: 5 * time.Millisecond, Stall: 15 * time.Second,
 	})
--- a/internal/state/beechfence/guard.go
+++ b/internal/state/beechfence/guard.go
@@ -111,11 +111,11 @@
 	}
 	mark := g.mark(g.term.lease)
 	g.term = term{}
-	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceRest)
+	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceOther)
 	if err != nil || string(v.Data) != mark {
 		return err
 	}
-	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceRest)
+	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceOther)
 }
 
 // left is the time for an order under this term, by whichever clock has
@@ -235,7 +235,7 @@
 		}
 		r.Number++
 		r.Holder = g.id
-		data, err := beechstore.Seal(format, r)
+		data, err := beechstore.EncodeValue(format, r)
 		if err != nil {
 			return 0, err
 		}
@@ -259,7 +259,7 @@
 		return fenceRecord{}, 0, err
 	}
 	var r fenceRecord
-	err = beechstore.Unseal(v.Key, v.Data, format, &r)
+	err = beechstore.DecodeValue(v.Key, v.Data, format, &r)
 	return r, v.Version, err
 }
 
--- a/internal/state/beechmanifest/head.go
+++ b/internal/state/beechmanifest/head.go
@@ -85,7 +85,7 @@
 		return head{}, ErrNone
 	}
 	var h head
-	err := beechstore.Unseal(v.Key, v.Data, format, &h)
+	err := beechstore.DecodeValue(v.Key, v.Data, format, &h)
 	if err == nil && (h.Generation == 0 || len(h.Parts) == 0) {
 		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it names no generation or no part")}
 	}
--- a/internal/state/beechmanifest/history_test.go
+++ b/internal/state/beechmanifest/history_test.go
@@ -100,7 +100,7 @@
 }
 
 func (f *fleet) store(client int) beechstore.Store {
-	return beechstore.NewFlaky(f.fake, f.clock, f.seed*1000+uint64(client), beechstore.Odds{
+	return beechstore.NewFlaky(f.fake, f.clock, f.seed*1000+uint64(client), beechstore.FlakySettings{
 		Refused: 0.05, LostCall: 0.03, LostReply: 0.06, LateWrite: 0.04, Stalled: 0.03,
 		Delay: 4 * time.Millisecond, Stall: 2 * time.Second,
 	})
--- a/internal/state/beechmanifest/publish.go
+++ b/internal/state/beechmanifest/publish.go
@@ -278,7 +278,7 @@
 func (p *publication) remove(ctx context.Context, stale []staleKey) {
 	for _, s := range stale {
 		_ = p.patient(ctx, func() error {
-			return p.store.Delete(ctx, s.key, s.version, beechstore.ImportanceRest)
+			return p.store.Delete(ctx, s.key, s.version, beechstore.ImportanceOther)
 		})
 	}
 }
--- a/internal/state/beechmanifest/settle.go
+++ b/internal/state/beechmanifest/settle.go
@@ -20,7 +20,7 @@
 // content, so at most one of them takes effect. Once a reply was lost a
 // refusal is no longer an answer, since the lost one may still arrive.
 func (p *publication) moveHead(ctx context.Context) Outcome {
-	data, err := beechstore.Seal(format, p.next)
+	data, err := beechstore.EncodeValue(format, p.next)
 	if err != nil {
 		return Refused{Err: err}
 	}
--- a/internal/state/beechmember/bench_test.go
+++ b/internal/state/beechmember/bench_test.go
@@ -24,9 +24,9 @@
 // taken in, and listed again.
 func BenchmarkListed(b *testing.B) {
 	hosts := manyHosts(12_450)
-	lines := make([]beechstore.HostLine, 0, len(hosts))
+	lines := make([]beechstore.WireHost, 0, len(hosts))
 	for _, h := range hosts {
-		lines = append(lines, h.Line())
+		lines = append(lines, h.Wire())
 	}
 	data, err := json.Marshal(lines)
 	if err != nil {
@@ -35,7 +35,7 @@
 	m := New(clockwork.NewRealClock(), Settings{})
 	b.Run("decode", func(b *testing.B) {
 		for b.Loop() {
-			var got []beechstore.HostLine
+			var got []beechstore.WireHost
 			if err := json.Unmarshal(data, &got); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/state/beechrecord/chain.go
+++ b/internal/state/beechrecord/chain.go
@@ -67,7 +67,7 @@
 		return false, c.create(ctx)
 	}
 	var x index
-	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &x); err != nil {
+	if err := beechstore.DecodeValue(v.Key, v.Data, formatVersion, &x); err != nil {
 		return false, err
 	}
 	refs := c.retained(x.Segments)
--- a/internal/state/beechrecord/history_test.go
+++ b/internal/state/beechrecord/history_test.go
@@ -98,7 +98,7 @@
 }
 
 func (h *historyRun) agent(i int) *Records {
-	flaky := beechstore.NewFlaky(h.fake, h.clock, h.seed*100+uint64(i), beechstore.Odds{
+	flaky := beechstore.NewFlaky(h.fake, h.clock, h.seed*100+uint64(i), beechstore.FlakySettings{
 		Refused: 0.04, LostCall: 0.03, LostReply: 0.06, LateWrite: 0.05, Stalled: 0.03,
 		Delay: 4 * time.Millisecond, Stall: 2 * time.Second,
 	})
--- a/internal/state/beechrecord/records_test.go
+++ b/internal/state/beechrecord/records_test.go
@@ -110,7 +110,7 @@
 func TestClaimOfDisconnectedCallerIsFreed(t *testing.T) {
 	runVirtual(t, func(is *is.I, store *beechstore.Fake, _ func(Settings) *Records) {
 		clock := clockwork.NewRealClock()
-		slow := beechstore.NewFlaky(store, clock, 1, beechstore.Odds{Delay: 100 * time.Millisecond})
+		slow := beechstore.NewFlaky(store, clock, 1, beechstore.FlakySettings{Delay: 100 * time.Millisecond})
 		r := New(slow, clock, Settings{Shards: 1})
 		defer r.Close()
 		claimAs(r, "warm")
@@ -284,7 +284,7 @@
 	var x index
 	v, err := store.Get(context.Background(), indexKey(0), 0)
 	if err == nil {
-		err = beechstore.Unseal(v.Key, v.Data, formatVersion, &x)
+		err = beechstore.DecodeValue(v.Key, v.Data, formatVersion, &x)
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/beechrecord/rotate.go
+++ b/internal/state/beechrecord/rotate.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	data, err := beechstore.Seal(formatVersion, index{Segments: []segmentRef{s.ref()}})
+	data, err := beechstore.EncodeValue(formatVersion, index{Segments: []segmentRef{s.ref()}})
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		return err
 	}
 	var x index
-	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &x); err != nil {
+	if err := beechstore.DecodeValue(v.Key, v.Data, formatVersion, &x); err != nil {
 		return err
 	}
 	if len(x.Segments) == 0 || !c.hasSegment(x.Segments[len(x.Segments)-1].ID) {
@@ -100,7 +100,7 @@
 		refs = append(refs, s.ref())
 	}
 	kept := c.retained(refs)
-	data, err := beechstore.Seal(formatVersion, index{Segments: kept})
+	data, err := beechstore.EncodeValue(formatVersion, index{Segments: kept})
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	for _, s := range dropped {
 		delete(c.closed, s.id)
 		// If the deletion fails, the segment only takes up space.
-		_ = c.store.Delete(ctx, segmentKey(c.shard, s.id), s.version, beechstore.ImportanceRest)
+		_ = c.store.Delete(ctx, segmentKey(c.shard, s.id), s.version, beechstore.ImportanceOther)
 	}
 	return nil
 }
--- a/internal/state/beechrecord/segment.go
+++ b/internal/state/beechrecord/segment.go
@@ -87,11 +87,11 @@
 
 func segmentKey(shard int, id string) string { return fmt.Sprintf("record/%d/%s", shard, id) }
 
-func encodeSegment(s segment) ([]byte, error) { return beechstore.Seal(formatVersion, s) }
+func encodeSegment(s segment) ([]byte, error) { return beechstore.EncodeValue(formatVersion, s) }
 
 func decodeSegment(id string, v beechstore.Value) (*cachedSegment, error) {
 	var s segment
-	if err := beechstore.Unseal(v.Key, v.Data, formatVersion, &s); err != nil {
+	if err := beechstore.DecodeValue(v.Key, v.Data, formatVersion, &s); err != nil {
 		return nil, err
 	}
 	return newCachedSegment(id, v.Version, s, len(v.Data)), nil
--- a/internal/state/beechstore/client.go
+++ b/internal/state/beechstore/client.go
@@ -171,7 +171,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var lines []HostLine
+	var lines []WireHost
 	if err := json.Unmarshal(r.body, &lines); err != nil {
 		return nil, Refused{Step: "hosts", Peer: c.peer(), Err: err}
 	}
--- a/internal/state/beechstore/flaky.go
+++ b/internal/state/beechstore/flaky.go
@@ -16,15 +16,15 @@
 	Flaky struct {
 		store Store
 		clock clockwork.Clock
-		odds  Odds
+		odds  FlakySettings
 
 		mu  sync.Mutex
 		rng *rand.Rand
 	}
 
-	// Odds of each fault, of 1. Each call and each reply takes up to Delay; a
+	// FlakySettings of each fault, of 1. Each call and each reply takes up to Delay; a
 	// stalled one, and a late write, takes up to Stall.
-	Odds struct {
+	FlakySettings struct {
 		Refused   float64 // the call is refused and takes no effect
 		LostCall  float64 // a write takes no effect, its outcome is unknown
 		LostReply float64 // a write takes effect, its outcome is unknown
@@ -55,7 +55,7 @@
 )
 
 // NewFlaky puts random faults before store.
-func NewFlaky(store Store, clock clockwork.Clock, seed uint64, odds Odds) *Flaky {
+func NewFlaky(store Store, clock clockwork.Clock, seed uint64, odds FlakySettings) *Flaky {
 	return &Flaky{store: store, clock: clock, odds: odds, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
--- a/internal/state/beechstore/protocol.go
+++ b/internal/state/beechstore/protocol.go
@@ -17,8 +17,8 @@
 		TTLMillis int64  `json:"ttl"`
 	}
 
-	// HostLine is one host in the reply to GET /v1/hosts.
-	HostLine struct {
+	// WireHost is one host in the reply to GET /v1/hosts.
+	WireHost struct {
 		Name    string         `json:"name"`
 		Address netip.AddrPort `json:"address"`
 		Zone    string         `json:"zone"`
@@ -45,8 +45,8 @@
 	MaxWait       = 30 * time.Second
 )
 
-// Line gives a host as it is sent.
-func (h Host) Line() HostLine { return HostLine(h) }
+// Wire gives a host as it is sent.
+func (h Host) Wire() WireHost { return WireHost(h) }
 
 // Host gives a received line as a host.
-func (l HostLine) Host() Host { return Host(l) }
+func (l WireHost) Host() Host { return Host(l) }
--- a/internal/state/beechstore/sealed.go
+++ b/internal/state/beechstore/sealed.go
@@ -41,10 +41,10 @@
 	return fmt.Sprintf("value of %s has format %d; this version reads formats up to %d", e.Key, e.Format, e.Known)
 }
 
-// Seal encodes content in JSON with its format and a checksum. Without the
+// EncodeValue encodes content in JSON with its format and a checksum. Without the
 // checksum a value that was damaged but is still JSON could be taken for a
 // far newer generation, which no process would ever leave again.
-func Seal(format int, content any) ([]byte, error) {
+func EncodeValue(format int, content any) ([]byte, error) {
 	raw, err := json.Marshal(content)
 	if err != nil {
 		return nil, fmt.Errorf("encode a value: %w", err)
@@ -52,9 +52,9 @@
 	return json.Marshal(envelope{Format: format, Sum: sumOf(raw), Content: raw})
 }
 
-// Unseal decodes what Seal has made of the value of key. Known is the newest
+// DecodeValue decodes what Seal has made of the value of key. Known is the newest
 // format that the caller reads. The errors are CorruptValue and NewerFormat.
-func Unseal(key string, data []byte, known int, content any) error {
+func DecodeValue(key string, data []byte, known int, content any) error {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
 		return CorruptValue{Key: key, Err: err}
--- a/internal/state/beechstore/types.go
+++ b/internal/state/beechstore/types.go
@@ -57,5 +57,5 @@
 const (
 	ImportanceClaim Importance = iota
 	ImportanceConfiguration
-	ImportanceRest
+	ImportanceOther
 )
