--- a/internal/state/beechfence/guard.go
+++ b/internal/state/beechfence/guard.go
@@ -111,11 +111,11 @@
 	}
 	value := g.holderValue(g.term.lease)
 	g.term = term{}
-	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceRest)
+	v, err := g.store.Get(ctx, holderKey(g.server), beechstore.ImportanceOther)
 	if err != nil || string(v.Data) != value {
 		return err
 	}
-	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceRest)
+	return g.store.Delete(ctx, v.Key, v.Version, beechstore.ImportanceOther)
 }
 
 // remaining returns the time left for an order in this term, by the clock that has
@@ -235,7 +235,7 @@
 		}
 		r.Number++
 		r.Holder = g.id
-		data, err := beechstore.Seal(recordFormat, r)
+		data, err := beechstore.EncodeValue(recordFormat, r)
 		if err != nil {
 			return 0, err
 		}
@@ -259,7 +259,7 @@
 		return fenceRecord{}, 0, err
 	}
 	var r fenceRecord
-	err = beechstore.Unseal(v.Key, v.Data, recordFormat, &r)
+	err = beechstore.DecodeValue(v.Key, v.Data, recordFormat, &r)
 	return r, v.Version, err
 }
 
--- a/internal/state/beechmanifest/head.go
+++ b/internal/state/beechmanifest/head.go
@@ -86,7 +86,7 @@
 		return head{}, ErrNone
 	}
 	var h head
-	err := beechstore.Unseal(v.Key, v.Data, headFormat, &h)
+	err := beechstore.DecodeValue(v.Key, v.Data, headFormat, &h)
 	if err == nil && (h.Generation == 0 || len(h.Parts) == 0) {
 		err = beechstore.CorruptValue{Key: v.Key, Err: errors.New("it has no generation or no parts")}
 	}
--- a/internal/state/beechmanifest/publish.go
+++ b/internal/state/beechmanifest/publish.go
@@ -281,7 +281,7 @@
 func (p *publication) deleteStale(ctx context.Context, stale []staleKey) {
 	for _, s := range stale {
 		_ = p.retryOverBudget(ctx, func() error {
-			return p.store.Delete(ctx, s.key, s.version, beechstore.ImportanceRest)
+			return p.store.Delete(ctx, s.key, s.version, beechstore.ImportanceOther)
 		})
 	}
 }
--- a/internal/state/beechmanifest/swap.go
+++ b/internal/state/beechmanifest/swap.go
@@ -20,7 +20,7 @@
 // so at most one of them takes effect. Once a reply was lost, an error of a later attempt
 // does not prove that nothing was written, as the earlier write may still arrive.
 func (p *publication) swapHead(ctx context.Context) Outcome {
-	data, err := beechstore.Seal(headFormat, p.next)
+	data, err := beechstore.EncodeValue(headFormat, p.next)
 	if err != nil {
 		return Refused{Err: err}
 	}
