--- a/internal/state/beechstore/budget.go
+++ b/internal/state/beechstore/budget.go
@@ -7,31 +7,32 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// budget is a token bucket of calls in which the less important leave a
-// reserve for the more important. Without the reserve a herd of host list
-// reads after a restart would take the calls that claims need, and callers
-// would see bookings refused while the service is healthy.
+// budget is a token bucket for calls in which less important calls leave a
+// reserve for more important ones. Without the reserve, a burst of host list
+// reads after a restart would use up the calls that claims need, and requests
+// would be refused although the service is healthy.
 type budget struct {
 	clock clockwork.Clock
-	rate  float64 // calls a second
+	rate  float64 // calls per second
 	burst float64
 
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-// The share of the burst that each importance must leave.
+// Fractions of the burst that calls of an importance must leave unused.
 const (
 	configurationReserve = 0.2
 	restReserve          = 0.5
 )
 
 func newBudget(clock clockwork.Clock, perSecond, burst int) *budget {
-	return &budget{clock: clock, rate: float64(perSecond), burst: float64(burst), tokens: float64(burst), at: clock.Now()}
+	return &budget{clock: clock, rate: float64(perSecond), burst: float64(burst), tokens: float64(burst), refilledAt: clock.Now()}
 }
 
-// take spends one call, or gives the time until importance may.
+// take uses one call of the budget and returns 0, or returns the time until a
+// call of this importance is allowed.
 func (b *budget) take(importance Importance) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,10 +47,10 @@
 
 func (b *budget) refill() {
 	now := b.clock.Now()
-	if passed := now.Sub(b.at); passed > 0 {
+	if passed := now.Sub(b.refilledAt); passed > 0 {
 		b.tokens = min(b.burst, b.tokens+passed.Seconds()*b.rate)
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
 func (b *budget) reserve(importance Importance) float64 {
--- a/internal/state/beechstore/client.go
+++ b/internal/state/beechstore/client.go
@@ -19,45 +19,46 @@
 )
 
 type (
-	// Settings of the client. Zero fields get the defaults named.
+	// Settings configures the client. Zero fields get the defaults given after
+	// the semicolons.
 	Settings struct {
-		Addresses      []netip.AddrPort // tried in turn
-		TLS            bool             // https; the http.Client has the certificates
+		Addresses      []netip.AddrPort // the next one is used after a failed call
+		TLS            bool             // use https; the http.Client holds the certificates
 		Key            string           // bearer key
-		CallTimeout    time.Duration    // of one try; 1 s
-		Attempts       int              // tries of a call that may be repeated; 3
-		Backoff        time.Duration    // before the second try, jittered, then growing; 20 ms
-		CallsPerSecond int              // budget of this process; 50
-		Burst          int              // calls at once out of an unused budget; CallsPerSecond
+		CallTimeout    time.Duration    // time limit of one attempt; 1 s
+		Attempts       int              // maximum attempts of a call that may be retried; 3
+		Backoff        time.Duration    // initial delay before a retry, jittered and growing; 20 ms
+		CallsPerSecond int              // call budget of this process; 50
+		Burst          int              // maximum burst of calls after idle time; CallsPerSecond
 	}
 
 	client struct {
-		settings Settings
-		http     *http.Client
-		clock    clockwork.Clock
-		budget   *budget
-		address  atomic.Uint64 // index of the address that answered last
+		settings     Settings
+		http         *http.Client
+		clock        clockwork.Clock
+		budget       *budget
+		addressIndex atomic.Uint64 // index of the address in use, modulo len(Addresses)
 	}
 
-	// call is one request of the protocol.
+	// call is one request to the service.
 	call struct {
-		step       string
-		method     string
-		path       string
-		header     http.Header
-		body       []byte
-		importance Importance
-		timeout    time.Duration
-		write      bool
-		versioned  bool // its reply must name a version
+		step           string
+		method         string
+		path           string
+		header         http.Header
+		body           []byte
+		importance     Importance
+		timeout        time.Duration
+		write          bool
+		expectsVersion bool // the reply must have a Version header
 	}
 
-	// reply is a whole answer of the service.
+	// reply is a complete response of the service.
 	reply struct {
-		status    int
-		version   uint64
-		versioned bool // the reply names a version
-		body      []byte
+		status     int
+		version    uint64
+		hasVersion bool // the reply has a valid Version header
+		body       []byte
 	}
 )
 
@@ -66,13 +67,13 @@
 	defaultAttempts       = 3
 	defaultBackoff        = 20 * time.Millisecond
 	defaultCallsPerSecond = 50
-	replySlack            = 64 << 10 // bytes beyond the largest value
+	maxReplyOverhead      = 64 << 10 // bytes allowed beyond MaxValueBytes
 )
 
-var errNoAddress = errors.New("no address of the platform's service is set")
+var errNoAddress = errors.New("no address of the platform's service is configured")
 
-// New gives the client of the HTTP protocol. Deadlines and backoff run on
-// clock, so do the expiries of the leases it returns.
+// New returns the client of the HTTP protocol. Deadlines, backoff and lease
+// expiry use clock.
 func New(settings Settings, httpClient *http.Client, clock clockwork.Clock) Store {
 	s := settings.withDefaults()
 	return &client{settings: s, http: httpClient, clock: clock, budget: newBudget(clock, s.CallsPerSecond, s.Burst)}
@@ -98,7 +99,7 @@
 }
 
 func (c *client) Get(ctx context.Context, key string, importance Importance) (Value, error) {
-	r, err := c.retry(ctx, call{step: "get " + key, method: http.MethodGet, path: valuePath(key), importance: importance, versioned: true})
+	r, err := c.retry(ctx, call{step: "get " + key, method: http.MethodGet, path: valuePath(key), importance: importance, expectsVersion: true})
 	return r.value(key), err
 }
 
@@ -109,7 +110,7 @@
 	}
 	r, err := c.retry(ctx, call{
 		step: "compare and swap " + key, method: http.MethodPut, path: valuePath(key),
-		header: h, body: data, importance: importance, write: true, versioned: true,
+		header: h, body: data, importance: importance, write: true, expectsVersion: true,
 	})
 	if err != nil {
 		return Value{}, err
@@ -132,7 +133,7 @@
 	}
 	r, err := c.retry(ctx, call{
 		step: "watch " + key, method: http.MethodGet, path: valuePath(key) + "?" + query.Encode(),
-		importance: importance, timeout: MaxWait + c.settings.CallTimeout, versioned: true,
+		importance: importance, timeout: MaxWait + c.settings.CallTimeout, expectsVersion: true,
 	})
 	return r.value(key), err
 }
@@ -150,17 +151,17 @@
 	return c.lease(ctx, call{step: "keep alive " + lease.ID, method: http.MethodPost, path: path, importance: importance, write: true})
 }
 
-// lease counts the lease's time from before the call: the service starts to
-// count later, so the holder's view ends first.
-func (c *client) lease(ctx context.Context, l call) (Lease, error) {
+// lease computes the expiry from the time before the call. The service starts
+// its count later, so the lease ends first at its holder.
+func (c *client) lease(ctx context.Context, cl call) (Lease, error) {
 	asked := c.clock.Now()
-	r, err := c.retry(ctx, l)
+	r, err := c.retry(ctx, cl)
 	if err != nil {
 		return Lease{}, err
 	}
 	var g GrantReply
 	if err := json.Unmarshal(r.body, &g); err != nil {
-		return Lease{}, UnknownOutcome{Step: l.step, Peer: c.peer(), Err: err}
+		return Lease{}, UnknownOutcome{Step: cl.step, Peer: c.peer(), Err: err}
 	}
 	ttl := time.Duration(g.TTLMillis) * time.Millisecond
 	return Lease{ID: g.ID, TTL: ttl, Expires: asked.Add(ttl)}, nil
@@ -182,20 +183,20 @@
 	return hosts, nil
 }
 
-// retry repeats a call that was refused for now. A lost write is not tried
-// again here: the second try could meet the first one's effect and look like
-// another's conflict.
-func (c *client) retry(ctx context.Context, l call) (reply, error) {
+// retry retries a call that was refused temporarily. A write with an unknown
+// outcome is not retried here: the second attempt could conflict with the
+// first one's effect, which would look like a conflict with another writer.
+func (c *client) retry(ctx context.Context, cl call) (reply, error) {
 	pause := backoff.NewExponentialBackOff()
 	pause.InitialInterval = c.settings.Backoff
 	for try := 1; ; try++ {
-		r, err := c.once(ctx, l)
+		r, err := c.attempt(ctx, cl)
 		var refused Refused
 		if err == nil || !errors.As(err, &refused) || try >= c.settings.Attempts {
 			return r, err
 		}
 		if refused.After == 0 || refused.After > c.settings.Backoff {
-			return r, err // the caller is told when to come back, rather than held
+			return r, err // let the caller decide instead of blocking for that long
 		}
 		select {
 		case <-ctx.Done():
@@ -205,48 +206,48 @@
 	}
 }
 
-func (c *client) once(ctx context.Context, l call) (reply, error) {
-	if wait := c.budget.take(l.importance); wait > 0 {
-		return reply{}, OverBudget{Step: l.step, After: wait}
+func (c *client) attempt(ctx context.Context, cl call) (reply, error) {
+	if wait := c.budget.take(cl.importance); wait > 0 {
+		return reply{}, OverBudget{Step: cl.step, After: wait}
 	}
 	if len(c.settings.Addresses) == 0 {
-		return reply{}, Refused{Step: l.step, Err: errNoAddress}
+		return reply{}, Refused{Step: cl.step, Err: errNoAddress}
 	}
-	timeout := l.timeout
+	timeout := cl.timeout
 	if timeout == 0 {
 		timeout = c.settings.CallTimeout
 	}
 	ctx, cancel := clockwork.WithTimeout(ctx, c.clock, timeout)
 	defer cancel()
-	request, err := c.request(ctx, l)
+	request, err := c.request(ctx, cl)
 	if err != nil {
-		return reply{}, Refused{Step: l.step, Peer: c.peer(), Err: err}
+		return reply{}, Refused{Step: cl.step, Peer: c.peer(), Err: err}
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return reply{}, c.failed(l, err)
+		return reply{}, c.transportError(cl, err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValueBytes+replySlack))
+	body, err := io.ReadAll(io.LimitReader(response.Body, MaxValueBytes+maxReplyOverhead))
 	if err != nil {
-		return reply{}, c.failed(l, err)
+		return reply{}, c.transportError(cl, err)
 	}
 	version, err := strconv.ParseUint(response.Header.Get(HeaderVersion), 10, 64)
-	r := reply{status: response.StatusCode, version: version, versioned: err == nil, body: body}
-	return r, c.judge(l, r, response.Header)
+	r := reply{status: response.StatusCode, version: version, hasVersion: err == nil, body: body}
+	return r, c.checkStatus(cl, r, response.Header)
 }
 
-func (c *client) request(ctx context.Context, l call) (*http.Request, error) {
+func (c *client) request(ctx context.Context, cl call) (*http.Request, error) {
 	scheme := "http://"
 	if c.settings.TLS {
 		scheme = "https://"
 	}
-	request, err := http.NewRequestWithContext(ctx, l.method, scheme+c.peer()+l.path, bytes.NewReader(l.body))
+	request, err := http.NewRequestWithContext(ctx, cl.method, scheme+c.peer()+cl.path, bytes.NewReader(cl.body))
 	if err != nil {
 		return nil, err
 	}
-	if l.header != nil {
-		request.Header = l.header.Clone()
+	if cl.header != nil {
+		request.Header = cl.header.Clone()
 	}
 	request.Header.Set("Authorization", "Bearer "+c.settings.Key)
 	return request, nil
@@ -257,7 +258,7 @@
 	if n == 0 {
 		return "no address"
 	}
-	return c.settings.Addresses[c.address.Load()%uint64(n)].String()
+	return c.settings.Addresses[c.addressIndex.Load()%uint64(n)].String()
 }
 
 func (r reply) value(key string) Value {
--- a/internal/state/beechstore/errors.go
+++ b/internal/state/beechstore/errors.go
@@ -6,62 +6,63 @@
 )
 
 type (
-	// Refused says that the call surely took no effect: the service could not
-	// be reached, is down, is over its rate, or does not accept the value.
-	// After is when to try again, or 0 if trying again does not help.
+	// Refused means that the call certainly had no effect: the service could
+	// not be reached, is down, is over its rate limit, or does not accept the
+	// value. After is the time to wait before trying again, or 0 if trying
+	// again does not help.
 	Refused struct {
-		Step  string // what was called, with its key
+		Step  string // the operation and its key
 		Peer  string // address of the service
 		After time.Duration
 		Err   error
 	}
 
-	// Conflict says that the key is at another version than the caller's, so
-	// the write took no effect. Current is the version there, 0 for a key
-	// that is not there.
+	// Conflict means that the write had no effect because the key is at a
+	// different version. Current is that version, 0 if the key does not exist.
 	Conflict struct {
 		Step    string
 		Peer    string
 		Current uint64
 	}
 
-	// UnknownOutcome says that a write may or may not have taken effect, or
-	// may yet: its reply was lost, late or made no sense. Only reading back
-	// can settle it.
+	// UnknownOutcome means that a write may have taken effect, or may still do
+	// so: its reply was lost, late or invalid. The caller can only find out by
+	// reading the value back.
 	UnknownOutcome struct {
 		Step string
 		Peer string
 		Err  error
 	}
 
-	// OverBudget says that this process has spent its calls for now; nothing
-	// was sent. After is when the budget allows the call.
+	// OverBudget means that this process has used up its call budget for now
+	// and nothing was sent. After is the time until the budget allows the
+	// call.
 	OverBudget struct {
 		Step  string
 		After time.Duration
 	}
 )
 
-// Error gives the step, the peer and the cause.
+// Error implements error.
 func (e Refused) Error() string { return fmt.Sprintf("%s at %s: refused: %v", e.Step, e.Peer, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying error.
 func (e Refused) Unwrap() error { return e.Err }
 
-// Error gives the step, the peer and the version there.
+// Error implements error.
 func (e Conflict) Error() string {
 	return fmt.Sprintf("%s at %s: conflict: the key is at version %d", e.Step, e.Peer, e.Current)
 }
 
-// Error gives the step, the peer and the cause.
+// Error implements error.
 func (e UnknownOutcome) Error() string {
 	return fmt.Sprintf("%s at %s: outcome unknown: %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the underlying error.
 func (e UnknownOutcome) Unwrap() error { return e.Err }
 
-// Error gives the step and when the budget allows it.
+// Error implements error.
 func (e OverBudget) Error() string {
-	return fmt.Sprintf("%s: over this process's budget of calls, try again in %s", e.Step, e.After)
+	return fmt.Sprintf("%s: call budget of this process exceeded, retry after %s", e.Step, e.After)
 }
--- a/internal/state/beechstore/fake.go
+++ b/internal/state/beechstore/fake.go
@@ -12,10 +12,10 @@
 )
 
 type (
-	// Fake is the platform's service in memory: what tests use in its place,
-	// and what the stand-in serves over HTTP. Its faults can be set at any
-	// time. Versions come from one counter, so a key that is deleted and
-	// created again never shows an earlier version.
+	// Fake is an in-memory implementation of the platform's service. Tests use
+	// it directly, and the stand-in serves it over HTTP. Its faults can be
+	// changed at any time. All versions come from one counter, so a key that
+	// is deleted and created again never gets an earlier version.
 	Fake struct {
 		clock clockwork.Clock
 
@@ -29,15 +29,16 @@
 		counts   Counts
 	}
 
-	// Faults is what goes wrong in a Fake from now on.
+	// Faults are the faults that a Fake injects.
 	Faults struct {
-		Down        bool // each call is refused and takes no effect
-		LoseReplies int  // this many writes take effect, then their reply is lost
-		LoseWrites  int  // this many writes take no effect, their reply is lost
+		Down        bool // each call is refused and has no effect
+		LoseReplies int  // number of writes that take effect and lose their reply
+		LoseWrites  int  // number of writes that have no effect and lose their reply
 		HostLag     time.Duration
 	}
 
-	// Counts are the calls so far; a waiting watch counts as one read.
+	// Counts are the numbers of calls so far. A waiting Watch counts as one
+	// read.
 	Counts struct {
 		Reads  int `json:"reads"`
 		Writes int `json:"writes"`
@@ -55,7 +56,7 @@
 	}
 
 	hostList struct {
-		at    time.Time
+		setAt time.Time
 		hosts []Host
 	}
 )
@@ -63,15 +64,16 @@
 const fakePeer = "fake"
 
 var (
-	errDown     = errors.New("the service is down")
-	errLost     = errors.New("the reply was lost")
-	errNoLease  = errors.New("no such lease, or it has expired")
-	errTooLarge = fmt.Errorf("a value may have at most %d bytes", MaxValueBytes)
+	errDown      = errors.New("the service is down")
+	errReplyLost = errors.New("reply was lost")
+	errNoLease   = errors.New("lease does not exist or has expired")
+	errTooLarge  = fmt.Errorf("value exceeds %d bytes", MaxValueBytes)
 
 	_ Store = (*Fake)(nil)
 )
 
-// NewFake starts empty; clock ends leases and delays the host list.
+// NewFake returns an empty Fake. The clock determines when leases end and when
+// changes of the host list become visible.
 func NewFake(clock clockwork.Clock) *Fake {
 	return &Fake{
 		clock:   clock,
@@ -81,38 +83,39 @@
 	}
 }
 
-// SetFaults replaces what goes wrong.
+// SetFaults replaces the injected faults.
 func (f *Fake) SetFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
-	f.wake()
+	f.notifyWatchers()
 }
 
-// SetHosts replaces the host list; it shows after Faults.HostLag.
+// SetHosts replaces the host list. The new list is visible after
+// Faults.HostLag.
 func (f *Fake) SetHosts(hosts []Host) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts = append(f.hosts, hostList{at: f.clock.Now(), hosts: slices.Clone(hosts)})
+	f.hosts = append(f.hosts, hostList{setAt: f.clock.Now(), hosts: slices.Clone(hosts)})
 }
 
-// ExpireLeases ends each lease now, with its keys.
+// ExpireLeases ends all leases now and deletes their keys.
 func (f *Fake) ExpireLeases() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id := range f.leases {
-		f.endLease(id)
+		f.removeLease(id)
 	}
 }
 
-// Counts gives the calls so far.
+// Counts returns the numbers of calls so far.
 func (f *Fake) Counts() Counts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.counts
 }
 
-// Get is Store's.
+// Get implements Store.
 func (f *Fake) Get(_ context.Context, key string, _ Importance) (Value, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +125,7 @@
 	return f.value(key), nil
 }
 
-// CompareAndSwap is Store's.
+// CompareAndSwap implements Store.
 func (f *Fake) CompareAndSwap(_ context.Context, key string, version uint64, data []byte, lease string, _ Importance) (Value, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,11 +144,11 @@
 	}
 	f.revision++
 	f.values[key] = fakeValue{version: f.revision, data: slices.Clone(data), lease: lease}
-	f.wake()
+	f.notifyWatchers()
 	return f.value(key), f.loseReply(step)
 }
 
-// Delete is Store's.
+// Delete implements Store.
 func (f *Fake) Delete(_ context.Context, key string, version uint64, _ Importance) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,11 +160,11 @@
 		return Conflict{Step: step, Peer: fakePeer, Current: f.values[key].version}
 	}
 	delete(f.values, key)
-	f.wake()
+	f.notifyWatchers()
 	return f.loseReply(step)
 }
 
-// Watch is Store's; the wait ends after MaxWait.
+// Watch implements Store. It waits for at most MaxWait.
 func (f *Fake) Watch(ctx context.Context, key string, version uint64, _ Importance) (Value, error) {
 	step := "watch " + key
 	f.mu.Lock()
@@ -173,8 +176,8 @@
 	end := f.clock.Now().Add(MaxWait)
 	for {
 		f.mu.Lock()
-		f.endLeases()
-		v, changed, down, wait := f.value(key), f.changed, f.faults.Down, f.untilLease(end)
+		f.removeExpiredLeases()
+		v, changed, down, wait := f.value(key), f.changed, f.faults.Down, f.untilNextExpiry(end)
 		f.mu.Unlock()
 		switch {
 		case down:
@@ -194,7 +197,7 @@
 	}
 }
 
-// Grant is Store's.
+// Grant implements Store.
 func (f *Fake) Grant(_ context.Context, ttl time.Duration, _ Importance) (Lease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,7 +210,7 @@
 	return l, f.loseReply("grant")
 }
 
-// KeepAlive is Store's.
+// KeepAlive implements Store.
 func (f *Fake) KeepAlive(_ context.Context, lease Lease, _ Importance) (Lease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -224,7 +227,7 @@
 	return Lease{ID: lease.ID, TTL: held.ttl, Expires: held.expires}, f.loseReply(step)
 }
 
-// Hosts is Store's.
+// Hosts implements Store.
 func (f *Fake) Hosts(_ context.Context, _ Importance) ([]Host, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -233,7 +236,7 @@
 	}
 	var hosts []Host
 	for _, l := range f.hosts {
-		if f.clock.Since(l.at) >= f.faults.HostLag {
+		if f.clock.Since(l.setAt) >= f.faults.HostLag {
 			hosts = l.hosts
 		}
 	}
@@ -242,23 +245,23 @@
 
 func (f *Fake) read(step string) error {
 	f.counts.Reads++
-	return f.begin(step)
+	return f.checkAvailable(step)
 }
 
 func (f *Fake) write(step string) error {
 	f.counts.Writes++
-	if err := f.begin(step); err != nil {
+	if err := f.checkAvailable(step); err != nil {
 		return err
 	}
 	if f.faults.LoseWrites == 0 {
 		return nil
 	}
 	f.faults.LoseWrites--
-	return UnknownOutcome{Step: step, Peer: fakePeer, Err: errLost}
+	return UnknownOutcome{Step: step, Peer: fakePeer, Err: errReplyLost}
 }
 
-func (f *Fake) begin(step string) error {
-	f.endLeases()
+func (f *Fake) checkAvailable(step string) error {
+	f.removeExpiredLeases()
 	if f.faults.Down {
 		return Refused{Step: step, Peer: fakePeer, After: time.Second, Err: errDown}
 	}
@@ -270,7 +273,7 @@
 		return nil
 	}
 	f.faults.LoseReplies--
-	return UnknownOutcome{Step: step, Peer: fakePeer, Err: errLost}
+	return UnknownOutcome{Step: step, Peer: fakePeer, Err: errReplyLost}
 }
 
 func (f *Fake) value(key string) Value {
@@ -278,31 +281,31 @@
 	return Value{Key: key, Version: v.version, Data: slices.Clone(v.data)}
 }
 
-func (f *Fake) wake() {
+func (f *Fake) notifyWatchers() {
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-func (f *Fake) endLeases() {
+func (f *Fake) removeExpiredLeases() {
 	now := f.clock.Now()
 	for id, l := range f.leases {
 		if !now.Before(l.expires) {
-			f.endLease(id)
+			f.removeLease(id)
 		}
 	}
 }
 
-func (f *Fake) endLease(id string) {
+func (f *Fake) removeLease(id string) {
 	delete(f.leases, id)
 	for key, v := range f.values {
 		if v.lease == id {
 			delete(f.values, key)
 		}
 	}
-	f.wake()
+	f.notifyWatchers()
 }
 
-func (f *Fake) untilLease(end time.Time) time.Duration {
+func (f *Fake) untilNextExpiry(end time.Time) time.Duration {
 	for _, l := range f.leases {
 		if l.expires.Before(end) {
 			end = l.expires
--- a/internal/state/beechstore/flaky.go
+++ b/internal/state/beechstore/flaky.go
@@ -11,25 +11,26 @@
 )
 
 type (
-	// Flaky is a Store for tests that fails at random between one process and
+	// Flaky is a Store for tests that injects random faults into the calls to
 	// another Store. The same seed gives the same sequence of faults.
 	Flaky struct {
-		store Store
-		clock clockwork.Clock
-		odds  FlakySettings
+		store    Store
+		clock    clockwork.Clock
+		settings FlakySettings
 
 		mu  sync.Mutex
 		rng *rand.Rand
 	}
 
-	// FlakySettings of each fault, of 1. Each call and each reply takes up to Delay; a
-	// stalled one, and a late write, takes up to Stall.
+	// FlakySettings holds the probability of each fault, between 0 and 1. Each
+	// call and each reply is delayed by up to Delay, a stalled one and a late
+	// write by up to Stall.
 	FlakySettings struct {
-		Refused   float64 // the call is refused and takes no effect
-		LostCall  float64 // a write takes no effect, its outcome is unknown
-		LostReply float64 // a write takes effect, its outcome is unknown
-		LateWrite float64 // a write's outcome is unknown, it takes effect later if it still can
-		Stalled   float64 // the caller is held before or after the effect
+		Refused   float64 // the call is refused and has no effect
+		LostCall  float64 // a write has no effect, and its outcome is unknown
+		LostReply float64 // a write takes effect, and its outcome is unknown
+		LateWrite float64 // a write's outcome is unknown, and it is sent later
+		Stalled   float64 // the call or its reply is delayed by up to Stall
 		Delay     time.Duration
 		Stall     time.Duration
 	}
@@ -44,36 +45,36 @@
 	faultLostReply
 	faultLateWrite
 
-	flakyPeer  = "flaky"
-	flakyAfter = 10 * time.Millisecond
+	flakyPeer       = "flaky"
+	flakyRetryAfter = 10 * time.Millisecond
 )
 
 var (
-	errFlaky = errors.New("a random fault")
+	errInjected = errors.New("injected random fault")
 
 	_ Store = (*Flaky)(nil)
 )
 
-// NewFlaky puts random faults before store.
-func NewFlaky(store Store, clock clockwork.Clock, seed uint64, odds FlakySettings) *Flaky {
-	return &Flaky{store: store, clock: clock, odds: odds, rng: rand.New(rand.NewPCG(seed, seed))}
+// NewFlaky returns a Store that injects random faults into the calls to store.
+func NewFlaky(store Store, clock clockwork.Clock, seed uint64, settings FlakySettings) *Flaky {
+	return &Flaky{store: store, clock: clock, settings: settings, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Get is Store's.
+// Get implements Store.
 func (f *Flaky) Get(ctx context.Context, key string, importance Importance) (Value, error) {
 	return flakyRead(ctx, f, "get "+key, func() (Value, error) {
 		return f.store.Get(ctx, key, importance)
 	})
 }
 
-// CompareAndSwap is Store's.
+// CompareAndSwap implements Store.
 func (f *Flaky) CompareAndSwap(ctx context.Context, key string, version uint64, data []byte, lease string, importance Importance) (Value, error) {
 	return flakyWrite(ctx, f, "compare and swap "+key, func(ctx context.Context) (Value, error) {
 		return f.store.CompareAndSwap(ctx, key, version, data, lease, importance)
 	})
 }
 
-// Delete is Store's.
+// Delete implements Store.
 func (f *Flaky) Delete(ctx context.Context, key string, version uint64, importance Importance) error {
 	_, err := flakyWrite(ctx, f, "delete "+key, func(ctx context.Context) (Value, error) {
 		return Value{}, f.store.Delete(ctx, key, version, importance)
@@ -81,14 +82,14 @@
 	return err
 }
 
-// Watch is Store's.
+// Watch implements Store.
 func (f *Flaky) Watch(ctx context.Context, key string, version uint64, importance Importance) (Value, error) {
 	return flakyRead(ctx, f, "watch "+key, func() (Value, error) {
 		return f.store.Watch(ctx, key, version, importance)
 	})
 }
 
-// Grant is Store's.
+// Grant implements Store.
 func (f *Flaky) Grant(ctx context.Context, ttl time.Duration, importance Importance) (Lease, error) {
 	asked := f.clock.Now()
 	return flakyWrite(ctx, f, "grant", func(ctx context.Context) (Lease, error) {
@@ -98,7 +99,7 @@
 	})
 }
 
-// KeepAlive is Store's.
+// KeepAlive implements Store.
 func (f *Flaky) KeepAlive(ctx context.Context, lease Lease, importance Importance) (Lease, error) {
 	asked := f.clock.Now()
 	return flakyWrite(ctx, f, "keep alive "+lease.ID, func(ctx context.Context) (Lease, error) {
@@ -108,7 +109,7 @@
 	})
 }
 
-// Hosts is Store's.
+// Hosts implements Store.
 func (f *Flaky) Hosts(ctx context.Context, importance Importance) ([]Host, error) {
 	return flakyRead(ctx, f, "hosts", func() ([]Host, error) {
 		return f.store.Hosts(ctx, importance)
@@ -117,28 +118,28 @@
 
 func flakyRead[T any](ctx context.Context, f *Flaky, step string, do func() (T, error)) (T, error) {
 	var none T
-	if err := f.sleep(ctx); err != nil || f.roll() == faultRefused {
-		return none, Refused{Step: step, Peer: flakyPeer, After: flakyAfter, Err: errors.Join(errFlaky, err)}
+	if err := f.sleep(ctx); err != nil || f.drawFault() == faultRefused {
+		return none, Refused{Step: step, Peer: flakyPeer, After: flakyRetryAfter, Err: errors.Join(errInjected, err)}
 	}
 	got, err := do()
 	if err != nil {
 		return none, err
 	}
 	if err := f.sleep(ctx); err != nil {
-		return none, Refused{Step: step, Peer: flakyPeer, After: flakyAfter, Err: err}
+		return none, Refused{Step: step, Peer: flakyPeer, After: flakyRetryAfter, Err: err}
 	}
 	return got, nil
 }
 
 func flakyWrite[T any](ctx context.Context, f *Flaky, step string, do func(context.Context) (T, error)) (T, error) {
 	var none T
-	unknown := UnknownOutcome{Step: step, Peer: flakyPeer, Err: errFlaky}
-	rolled := f.roll()
-	if rolled == faultRefused {
-		return none, Refused{Step: step, Peer: flakyPeer, After: flakyAfter, Err: errFlaky}
+	unknown := UnknownOutcome{Step: step, Peer: flakyPeer, Err: errInjected}
+	drawn := f.drawFault()
+	if drawn == faultRefused {
+		return none, Refused{Step: step, Peer: flakyPeer, After: flakyRetryAfter, Err: errInjected}
 	}
-	if rolled == faultLateWrite {
-		late := f.upTo(f.odds.Stall)
+	if drawn == faultLateWrite {
+		late := f.randomDuration(f.settings.Stall)
 		go func() {
 			<-f.clock.After(late)
 			_, _ = do(context.WithoutCancel(ctx))
@@ -147,11 +148,11 @@
 	if err := f.sleep(ctx); err != nil {
 		return none, unknown
 	}
-	if rolled == faultLostCall || rolled == faultLateWrite {
+	if drawn == faultLostCall || drawn == faultLateWrite {
 		return none, unknown
 	}
 	got, err := do(ctx)
-	if sleepErr := f.sleep(ctx); sleepErr != nil || rolled == faultLostReply {
+	if sleepErr := f.sleep(ctx); sleepErr != nil || drawn == faultLostReply {
 		return none, unknown
 	}
 	if err != nil {
@@ -160,43 +161,43 @@
 	return got, nil
 }
 
-func (f *Flaky) roll() fault {
+func (f *Flaky) drawFault() fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	x := f.rng.Float64()
 	for _, o := range []struct {
-		odds  float64
-		fault fault
+		probability float64
+		fault       fault
 	}{
-		{f.odds.Refused, faultRefused},
-		{f.odds.LostCall, faultLostCall},
-		{f.odds.LostReply, faultLostReply},
-		{f.odds.LateWrite, faultLateWrite},
+		{f.settings.Refused, faultRefused},
+		{f.settings.LostCall, faultLostCall},
+		{f.settings.LostReply, faultLostReply},
+		{f.settings.LateWrite, faultLateWrite},
 	} {
-		if x < o.odds {
+		if x < o.probability {
 			return o.fault
 		}
-		x -= o.odds
+		x -= o.probability
 	}
 	return faultNone
 }
 
 func (f *Flaky) sleep(ctx context.Context) error {
-	longest := f.odds.Delay
+	longest := f.settings.Delay
 	f.mu.Lock()
-	if f.rng.Float64() < f.odds.Stalled {
-		longest = f.odds.Stall
+	if f.rng.Float64() < f.settings.Stalled {
+		longest = f.settings.Stall
 	}
 	f.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-f.clock.After(f.upTo(longest)):
+	case <-f.clock.After(f.randomDuration(longest)):
 		return nil
 	}
 }
 
-func (f *Flaky) upTo(longest time.Duration) time.Duration {
+func (f *Flaky) randomDuration(longest time.Duration) time.Duration {
 	if longest <= 0 {
 		return 0
 	}
--- a/internal/state/beechstore/protocol.go
+++ b/internal/state/beechstore/protocol.go
@@ -26,13 +26,13 @@
 		Leaving bool           `json:"leaving,omitempty"`
 	}
 
-	// ErrorReply is the body of a reply that is not 2xx.
+	// ErrorReply is the body of a reply with a status other than 2xx.
 	ErrorReply struct {
 		Error string `json:"error"`
 	}
 )
 
-// The protocol's paths, headers and limits; doc.go describes the protocol.
+// Paths, headers and limits of the protocol that doc.go describes.
 const (
 	PathValues    = "/v1/values/"
 	PathLeases    = "/v1/leases"
@@ -45,8 +45,8 @@
 	MaxWait       = 30 * time.Second
 )
 
-// Wire gives a host as it is sent.
+// Wire returns the host in the form that is sent.
 func (h Host) Wire() WireHost { return WireHost(h) }
 
-// Host gives a received line as a host.
+// Host returns the received host as a Host.
 func (l WireHost) Host() Host { return Host(l) }
