--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -93,7 +93,7 @@
 // setHosts takes the platform's list, which lags, and links to the agents that
 // this entry should know. A link that is up stays, whatever the list says.
 func (f *fleet) setHosts(hosts []beechstore.Host) {
-	f.members.Listed(hosts)
+	f.members.UpdateHosts(hosts)
 	wanted := f.wantedAgents(hosts)
 	for _, h := range wanted {
 		f.link(h.Address, h.Zone)
@@ -160,7 +160,7 @@
 	if restarted {
 		f.router.ForgetCache(p.Address, old)
 	}
-	f.members.Met(p.Address, p.Incarnation)
+	f.members.HandshakeDone(p.Address, p.Incarnation)
 	f.entry.log.Info("agent linked", beechlog.Peer(p.Address), zap.Uint64("incarnation", p.Incarnation))
 	f.entry.pullIfNewer(p.Address, p.Generation)
 	f.rebuild()
@@ -173,7 +173,7 @@
 		l.up = false
 	}
 	f.mu.Unlock()
-	f.members.Lost(p.Address, p.Incarnation)
+	f.members.LinkDown(p.Address, p.Incarnation)
 	f.entry.log.Info("agent lost", beechlog.Peer(p.Address), zap.Error(err))
 	f.rebuild()
 }
@@ -190,7 +190,7 @@
 	changed := !slices.Equal(l.offers, h.Models)
 	l.offers = h.Models
 	f.mu.Unlock()
-	f.members.Said(p.Address, h.Incarnation, h.Leaving)
+	f.members.UpdateLeaving(p.Address, h.Incarnation, h.Leaving)
 	f.report(p.Address, h.Load)
 	f.entry.suspects.Merge(beechshare.SuspectRecords(h.Suspects))
 	f.entry.pullIfNewer(p.Address, h.Generation)
--- a/internal/process/beechentry/restart.go
+++ b/internal/process/beechentry/restart.go
@@ -216,7 +216,7 @@
 		}
 		seen := m.Incarnation > 0
 		if seen {
-			f.members.Said(address, m.Incarnation, m.Leaving)
+			f.members.UpdateLeaving(address, m.Incarnation, m.Leaving)
 		}
 		hosts = append(hosts, beechstore.Host{Address: address, Role: m.Role, Zone: m.Zone, Leaving: m.Leaving && !seen})
 	}
--- a/internal/state/beechmember/bench_test.go
+++ b/internal/state/beechmember/bench_test.go
@@ -44,7 +44,7 @@
 	})
 	b.Run("listed", func(b *testing.B) {
 		for b.Loop() {
-			m.Listed(hosts)
+			m.UpdateHosts(hosts)
 		}
 	})
 	b.Run("members", func(b *testing.B) {
--- a/internal/state/beechmember/members.go
+++ b/internal/state/beechmember/members.go
@@ -16,8 +16,8 @@
 	Settings struct {
 		Damping    time.Duration // wait after the second loss, doubled by each further one; 1 s
 		MaxDamping time.Duration // longest such wait; 30 s
-		Forget     time.Duration // a link that holds so long has its losses forgotten; 60 s
-		Remember   time.Duration // a process that is gone is remembered so long; 10 min
+		LossReset  time.Duration // a link that holds so long has its losses forgotten; 60 s
+		Retention  time.Duration // a process that is gone is remembered so long; 10 min
 	}
 
 	// Member is what is known of one process.
@@ -69,20 +69,20 @@
 	if settings.MaxDamping == 0 {
 		settings.MaxDamping = defaultMaxDamping
 	}
-	if settings.Forget == 0 {
-		settings.Forget = defaultForget
+	if settings.LossReset == 0 {
+		settings.LossReset = defaultForget
 	}
-	if settings.Remember == 0 {
-		settings.Remember = defaultRemember
+	if settings.Retention == 0 {
+		settings.Retention = defaultRemember
 	}
 	return &Members{clock: clock, settings: settings, members: map[netip.AddrPort]*member{}, changed: make(chan struct{})}
 }
 
-// Listed takes the platform's host list. A host that is no longer listed
+// UpdateHosts takes the platform's host list. A host that is no longer listed
 // stays while a link to it is up. That it leaves is believed once, of the
 // incarnation that is there then, until the list takes it back: the list is late,
 // and may go on saying so of a process that has been replaced at the same address.
-func (m *Members) Listed(hosts []beechstore.Host) {
+func (m *Members) UpdateHosts(hosts []beechstore.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, x := range m.members {
@@ -103,17 +103,17 @@
 // said that it leaves would look new to a late heartbeat, and get work again.
 func (m *Members) forget() {
 	for address, x := range m.members {
-		if !x.listed && !x.linked && m.clock.Since(x.since) > m.settings.Remember {
+		if !x.listed && !x.linked && m.clock.Since(x.since) > m.settings.Retention {
 			delete(m.members, address)
 		}
 	}
 }
 
-// Met says that a handshake with the process was made just now. Unlike late
+// HandshakeDone says that a handshake with the process was made just now. Unlike late
 // news it is believed also with a smaller incarnation: incarnations come from
 // clocks, and a host that was replaced may have one that is behind. Without this
 // a replaced host would get no work until its clock had caught up.
-func (m *Members) Met(address netip.AddrPort, incarnation uint64) {
+func (m *Members) HandshakeDone(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	x := m.get(address)
 	if incarnation < x.incarnation {
@@ -123,11 +123,11 @@
 		x.linked = false
 	}
 	m.mu.Unlock()
-	m.Linked(address, incarnation)
+	m.LinkUp(address, incarnation)
 }
 
-// Linked says that a link to the process is up.
-func (m *Members) Linked(address netip.AddrPort, incarnation uint64) {
+// LinkUp says that a link to the process is up.
+func (m *Members) LinkUp(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := m.get(address)
@@ -142,15 +142,15 @@
 	m.notify()
 }
 
-// Lost says that the link to the process is lost.
-func (m *Members) Lost(address netip.AddrPort, incarnation uint64) {
+// LinkDown says that the link to the process is lost.
+func (m *Members) LinkDown(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x, ok := m.members[address]
 	if !ok || x.outdated(incarnation) || !x.linked {
 		return
 	}
-	if m.clock.Since(x.since) >= m.settings.Forget {
+	if m.clock.Since(x.since) >= m.settings.LossReset {
 		x.losses = 0
 	}
 	x.losses++
@@ -159,8 +159,8 @@
 	m.notify()
 }
 
-// Said takes a process's own word about leaving.
-func (m *Members) Said(address netip.AddrPort, incarnation uint64, leaving bool) {
+// UpdateLeaving takes a process's own word about leaving.
+func (m *Members) UpdateLeaving(address netip.AddrPort, incarnation uint64, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := m.get(address)
--- a/internal/state/beechmember/members_test.go
+++ b/internal/state/beechmember/members_test.go
@@ -31,7 +31,7 @@
 func TestMembersNeverUseWhatIsLeavingOrLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		m := New(clock, Settings{Remember: 24 * time.Hour}) // longer than any run here
+		m := New(clock, Settings{Retention: 24 * time.Hour}) // longer than any run here
 		w := truth{left: map[uint64]bool{}, lost: true}
 		heard := uint64(0) // the newest incarnation that was heard of
 		incarnation := func(t *rapid.T) uint64 { return rapid.Uint64Range(1, 4).Draw(t, "incarnation") }
@@ -49,28 +49,28 @@
 				if hear(n) {
 					w.lost = false
 				}
-				m.Linked(agent, n)
+				m.LinkUp(agent, n)
 			},
 			"lost": func(t *rapid.T) {
 				n := incarnation(t)
 				if n >= heard {
 					w.lost = true
 				}
-				m.Lost(agent, n)
+				m.LinkDown(agent, n)
 			},
 			"said": func(t *rapid.T) {
 				n, leaving := incarnation(t), rapid.Bool().Draw(t, "leaving")
 				if hear(n) && leaving {
 					w.left[n] = true
 				}
-				m.Said(agent, n, leaving)
+				m.UpdateLeaving(agent, n, leaving)
 			},
 			"listed": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "there") {
-					m.Listed(hostList(rapid.Bool().Draw(t, "leaving")))
+					m.UpdateHosts(hostList(rapid.Bool().Draw(t, "leaving")))
 					return
 				}
-				m.Listed(nil)
+				m.UpdateHosts(nil)
 			},
 			"wait": func(t *rapid.T) {
 				clock.Advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
@@ -90,26 +90,26 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
-	m.Listed(hostList(false))
+	m.UpdateHosts(hostList(false))
 	is.True(!m.Usable(agent)) // only a candidate
-	m.Linked(agent, 1)
+	m.LinkUp(agent, 1)
 	is.True(m.Usable(agent))
-	m.Said(agent, 1, true)
+	m.UpdateLeaving(agent, 1, true)
 	is.True(!m.Usable(agent)) // at once, not after the list's lag
-	m.Listed(hostList(false))
-	m.Said(agent, 1, false)
+	m.UpdateHosts(hostList(false))
+	m.UpdateLeaving(agent, 1, false)
 	is.True(!m.Usable(agent)) // final
-	m.Lost(agent, 1)
-	m.Listed(nil)
-	m.Linked(agent, 1)
+	m.LinkDown(agent, 1)
+	m.UpdateHosts(nil)
+	m.LinkUp(agent, 1)
 	is.True(!m.Usable(agent)) // also after it was gone from the list
-	m.Lost(agent, 1)
-	m.Linked(agent, 2)
-	m.Listed(hostList(true))
-	m.Linked(agent, 3)
-	m.Said(agent, 3, false)
+	m.LinkDown(agent, 1)
+	m.LinkUp(agent, 2)
+	m.UpdateHosts(hostList(true))
+	m.LinkUp(agent, 3)
+	m.UpdateLeaving(agent, 3, false)
 	clock.Advance(time.Minute)
-	m.Listed(hostList(true))
+	m.UpdateHosts(hostList(true))
 	is.True(m.Usable(agent)) // the list still speaks of the one before
 	is.Equal(len(m.Members()), 1)
 }
@@ -120,16 +120,16 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
-	m.Listed(hostList(true))
-	m.Linked(agent, 2)
-	m.Said(agent, 2, false)
+	m.UpdateHosts(hostList(true))
+	m.LinkUp(agent, 2)
+	m.UpdateLeaving(agent, 2, false)
 	is.True(!m.Usable(agent)) // the list may know more than the process itself
-	m.Listed(hostList(false))
+	m.UpdateHosts(hostList(false))
 	is.True(m.Usable(agent))
-	m.Listed(hostList(true))
+	m.UpdateHosts(hostList(true))
 	is.True(!m.Usable(agent))
-	m.Said(agent, 2, true)
-	m.Listed(hostList(false))
+	m.UpdateLeaving(agent, 2, true)
+	m.UpdateHosts(hostList(false))
 	is.True(!m.Usable(agent)) // its own word is final
 }
 
@@ -143,7 +143,7 @@
 	usable, changes, before := 0, 0, false
 	const seconds = 120
 	for range seconds {
-		m.Linked(agent, 1)
+		m.LinkUp(agent, 1)
 		for range 10 {
 			clock.Advance(50 * time.Millisecond)
 			now := m.Usable(agent)
@@ -155,17 +155,17 @@
 			}
 			before = now
 		}
-		m.Lost(agent, 1)
+		m.LinkDown(agent, 1)
 		clock.Advance(500 * time.Millisecond)
 	}
 	is.True(usable <= 20) // of 1,200 looks: the first two times it is believed
 	is.True(changes <= 4)
-	m.Linked(agent, 1)
+	m.LinkUp(agent, 1)
 	clock.Advance(30 * time.Second)
 	is.True(m.Usable(agent)) // a link that holds is used again
 	clock.Advance(time.Minute)
-	m.Lost(agent, 1)
-	m.Linked(agent, 1)
+	m.LinkDown(agent, 1)
+	m.LinkUp(agent, 1)
 	is.True(m.Usable(agent)) // and an ordinary restart after that at once
 }
 
@@ -177,18 +177,18 @@
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
 	address := netip.MustParseAddrPort("10.0.0.1:7100")
-	m.Met(address, 1000)
-	m.Said(address, 1000, true)
-	m.Lost(address, 1000)
+	m.HandshakeDone(address, 1000)
+	m.UpdateLeaving(address, 1000, true)
+	m.LinkDown(address, 1000)
 	is.True(!m.Usable(address))
 
-	m.Met(address, 400)
+	m.HandshakeDone(address, 400)
 	is.True(m.Usable(address))
 
-	m.Lost(address, 1000)
-	m.Said(address, 1000, false)
-	m.Linked(address, 1000)
+	m.LinkDown(address, 1000)
+	m.UpdateLeaving(address, 1000, false)
+	m.LinkUp(address, 1000)
 	is.True(m.Usable(address)) // late news of the one before
-	m.Said(address, 400, true)
+	m.UpdateLeaving(address, 400, true)
 	is.True(!m.Usable(address))
 }
--- a/internal/state/beechmember/rendezvous.go
+++ b/internal/state/beechmember/rendezvous.go
@@ -33,9 +33,9 @@
 	return top
 }
 
-// First gives the member with the highest score, the zero address without
+// Highest gives the member with the highest score, the zero address without
 // members. It allocates nothing.
-func First(key string, members []netip.AddrPort) netip.AddrPort {
+func Highest(key string, members []netip.AddrPort) netip.AddrPort {
 	seed := xxh3.HashString(key)
 	var best scored
 	for _, m := range members {
--- a/internal/state/beechrecord/types.go
+++ b/internal/state/beechrecord/types.go
@@ -140,7 +140,7 @@
 // same members choose the same agent. If their members differ, claims become
 // slower but stay safe.
 func Owner(shard int, members []netip.AddrPort) netip.AddrPort {
-	return beechmember.First(fmt.Sprintf("record/%d", shard), members)
+	return beechmember.Highest(fmt.Sprintf("record/%d", shard), members)
 }
 
 func (Granted) answer()  {}
