--- a/internal/state/beechmember/bench_test.go
+++ b/internal/state/beechmember/bench_test.go
@@ -20,9 +20,9 @@
 	return hosts
 }
 
-// BenchmarkListed reads the platform's host list of 12,450 hosts: decoded,
-// taken in, and listed again.
-func BenchmarkListed(b *testing.B) {
+// BenchmarkHostList measures the platform's host list of 12,450 hosts:
+// decoding it, applying it, and listing the members.
+func BenchmarkHostList(b *testing.B) {
 	hosts := manyHosts(12_450)
 	lines := make([]beechstore.WireHost, 0, len(hosts))
 	for _, h := range hosts {
--- a/internal/state/beechmember/doc.go
+++ b/internal/state/beechmember/doc.go
@@ -1,25 +1,28 @@
-// Package beechmember keeps who is there. Three sources tell: the platform's
-// host list, which is late; the links to the processes, which know at once
-// that one is up or lost; and the processes' own word, carried by heartbeats,
+// Package beechmember tracks which processes exist and which of them may be
+// given new work. It combines three sources: the platform's host list, which
+// is late; the links to the processes, which show immediately when a process
+// is reachable or lost; and the processes' heartbeats, in which they report
 // that they are leaving.
 //
-// The list only adds candidates. It never makes usable what a link has lost or
-// what has said that it leaves, since it may show a host for long after it
-// went. A process counts as usable once a link to it is up. Leaving is final
-// for an incarnation: a late heartbeat or list that says otherwise is passed
-// over, and only a restarted process, which has a higher incarnation, comes
-// back.
+// The host list only adds candidates. A process becomes usable when a link to
+// it is up. The list never makes a process usable whose link is lost or which
+// has reported that it is leaving, since the list may show a host long after
+// it is gone. Leaving is final for an incarnation: a late heartbeat or list
+// that says otherwise is ignored. To be usable again, the process must restart
+// with a higher incarnation, or with a lower one and a new handshake (see
+// HandshakeDone).
 //
-// A server that flaps is damped: each loss makes the wait longer before a
-// link that is up again counts, up to a bound, and the count of losses decays
-// while the link holds. Without this a server that comes and goes every second
-// would pull load to itself and drop it each time.
+// Flapping links are damped: from the second loss on, each loss doubles the
+// time that a new link must hold before the process is usable, up to a
+// maximum. The losses are reset once a link has held for long enough. Without
+// damping, a server that connects and disconnects every second would attract
+// requests and drop them each time.
 //
 // # Usage
 //
 //	members := beechmember.New(clock, beechmember.Settings{})
-//	members.Listed(hosts)
-//	members.Linked(address, incarnation)
-//	members.Said(address, incarnation, true)
+//	members.UpdateHosts(hosts)
+//	members.LinkUp(address, incarnation)
+//	members.UpdateLeaving(address, incarnation, true)
 //	if members.Usable(address) { ... }
 package beechmember
--- a/internal/state/beechmember/main_test.go
+++ b/internal/state/beechmember/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain makes the runs of rapid the same each time; the command line may
-// ask for others with -rapid.seed and -rapid.checks.
+// TestMain sets a fixed seed for rapid, so that runs are reproducible. The
+// flags -rapid.seed and -rapid.checks override the defaults.
 func TestMain(m *testing.M) {
 	defaults := map[string]string{"rapid.seed": "1", "rapid.checks": "1000", "rapid.nofailfile": "true"}
 	for name, value := range defaults {
--- a/internal/state/beechmember/members.go
+++ b/internal/state/beechmember/members.go
@@ -12,24 +12,26 @@
 )
 
 type (
-	// Settings of Members. Zero fields get the defaults named.
+	// Settings configures Members. Zero fields get the defaults given after
+	// the semicolons.
 	Settings struct {
-		Damping    time.Duration // wait after the second loss, doubled by each further one; 1 s
-		MaxDamping time.Duration // longest such wait; 30 s
-		LossReset  time.Duration // a link that holds so long has its losses forgotten; 60 s
-		Retention  time.Duration // a process that is gone is remembered so long; 10 min
+		Damping    time.Duration // wait after the second loss, doubled by each further loss; 1 s
+		MaxDamping time.Duration // maximum wait; 30 s
+		LossReset  time.Duration // time a link must hold for its losses to be reset; 60 s
+		Retention  time.Duration // how long a process that is gone is kept; 10 min
 	}
 
-	// Member is what is known of one process.
+	// Member is the state of one process.
 	Member struct {
-		Host        beechstore.Host // from the list; only the address if it was never there
+		Host        beechstore.Host // from the host list; only Address is set if it was never listed
 		Incarnation uint64          // 0 before the first link
 		Linked      bool
 		Leaving     bool
 		Usable      bool
 	}
 
-	// Members is the view of one process. All methods may be called at once.
+	// Members is one process's view of the other processes. All methods are
+	// safe for concurrent use.
 	Members struct {
 		clock    clockwork.Clock
 		settings Settings
@@ -40,28 +42,28 @@
 	}
 
 	member struct {
-		host        beechstore.Host
-		listed      bool
-		listLeaving bool // the list said that it leaves
-		incarnation uint64
-		replaced    uint64 // a greater incarnation that was there before
-		linked      bool
-		saidLeaving bool      // its own word, which is final
-		toldLeaving bool      // the list's word on this incarnation
-		since       time.Time // of the last change of linked
-		losses      int
+		host                beechstore.Host
+		listed              bool
+		lastListLeaving     bool // the last host list showed it as leaving
+		incarnation         uint64
+		replacedIncarnation uint64 // the greater incarnation before the current one, 0 for none
+		linked              bool
+		leavingBySelf       bool      // reported by the process itself; final for the incarnation
+		leavingByList       bool      // shown by the host list for this incarnation
+		linkChangedAt       time.Time // time of the last change of linked
+		losses              int
 	}
 )
 
 const (
 	defaultDamping    = time.Second
 	defaultMaxDamping = 30 * time.Second
-	defaultForget     = time.Minute
-	defaultRemember   = 10 * time.Minute
+	defaultLossReset  = time.Minute
+	defaultRetention  = 10 * time.Minute
 	maxDoublings      = 16
 )
 
-// New starts without members.
+// New returns Members without any member.
 func New(clock clockwork.Clock, settings Settings) *Members {
 	if settings.Damping == 0 {
 		settings.Damping = defaultDamping
@@ -70,18 +72,19 @@
 		settings.MaxDamping = defaultMaxDamping
 	}
 	if settings.LossReset == 0 {
-		settings.LossReset = defaultForget
+		settings.LossReset = defaultLossReset
 	}
 	if settings.Retention == 0 {
-		settings.Retention = defaultRemember
+		settings.Retention = defaultRetention
 	}
 	return &Members{clock: clock, settings: settings, members: map[netip.AddrPort]*member{}, changed: make(chan struct{})}
 }
 
-// UpdateHosts takes the platform's host list. A host that is no longer listed
-// stays while a link to it is up. That it leaves is believed once, of the
-// incarnation that is there then, until the list takes it back: the list is late,
-// and may go on saying so of a process that has been replaced at the same address.
+// UpdateHosts applies the platform's host list. A host that is no longer
+// listed stays while a link to it is up. The leaving flag of the list applies
+// only to the incarnation that is known when the flag first appears, until the
+// list clears it: the list is late, and may still show the flag after the
+// process has been replaced at the same address.
 func (m *Members) UpdateHosts(hosts []beechstore.Host) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,89 +95,92 @@
 		x := m.get(h.Address)
 		x.host = h
 		x.listed = true
-		x.toldLeaving = h.Leaving && (x.toldLeaving || !x.listLeaving)
-		x.listLeaving = h.Leaving
+		x.leavingByList = h.Leaving && (x.leavingByList || !x.lastListLeaving)
+		x.lastListLeaving = h.Leaving
 	}
-	m.forget()
+	m.removeGone()
 	m.notify()
 }
 
-// forget drops what has been gone for long. Dropped at once, a process that
-// said that it leaves would look new to a late heartbeat, and get work again.
-func (m *Members) forget() {
+// removeGone removes processes that have been gone for long. If they were
+// removed immediately, a process that is leaving would look new when a late
+// heartbeat arrives, and would get work again.
+func (m *Members) removeGone() {
 	for address, x := range m.members {
-		if !x.listed && !x.linked && m.clock.Since(x.since) > m.settings.Retention {
+		if !x.listed && !x.linked && m.clock.Since(x.linkChangedAt) > m.settings.Retention {
 			delete(m.members, address)
 		}
 	}
 }
 
-// HandshakeDone says that a handshake with the process was made just now. Unlike late
-// news it is believed also with a smaller incarnation: incarnations come from
-// clocks, and a host that was replaced may have one that is behind. Without this
-// a replaced host would get no work until its clock had caught up.
+// HandshakeDone reports that a handshake with the process has just been made.
+// Unlike a late message, it is accepted even with a smaller incarnation:
+// incarnations are derived from clocks, and the clock of a replaced host may
+// be behind. Otherwise the host would get no work until its clock had caught
+// up.
 func (m *Members) HandshakeDone(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	x := m.get(address)
 	if incarnation < x.incarnation {
-		x.replaced = x.incarnation
+		x.replacedIncarnation = x.incarnation
 		x.incarnation = incarnation
-		x.saidLeaving, x.toldLeaving = false, false
+		x.leavingBySelf, x.leavingByList = false, false
 		x.linked = false
 	}
 	m.mu.Unlock()
 	m.LinkUp(address, incarnation)
 }
 
-// LinkUp says that a link to the process is up.
+// LinkUp reports that the link to the process is up.
 func (m *Members) LinkUp(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := m.get(address)
-	if x.outdated(incarnation) {
+	if x.isStale(incarnation) {
 		return
 	}
-	x.renew(incarnation)
+	x.advanceTo(incarnation)
 	if !x.linked {
 		x.linked = true
-		x.since = m.clock.Now()
+		x.linkChangedAt = m.clock.Now()
 	}
 	m.notify()
 }
 
-// LinkDown says that the link to the process is lost.
+// LinkDown reports that the link to the process is lost.
 func (m *Members) LinkDown(address netip.AddrPort, incarnation uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x, ok := m.members[address]
-	if !ok || x.outdated(incarnation) || !x.linked {
+	if !ok || x.isStale(incarnation) || !x.linked {
 		return
 	}
-	if m.clock.Since(x.since) >= m.settings.LossReset {
+	if m.clock.Since(x.linkChangedAt) >= m.settings.LossReset {
 		x.losses = 0
 	}
 	x.losses++
 	x.linked = false
-	x.since = m.clock.Now()
+	x.linkChangedAt = m.clock.Now()
 	m.notify()
 }
 
-// UpdateLeaving takes a process's own word about leaving.
+// UpdateLeaving applies a process's own report of whether it is leaving. A
+// report of true is final for the incarnation.
 func (m *Members) UpdateLeaving(address netip.AddrPort, incarnation uint64, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	x := m.get(address)
-	if x.outdated(incarnation) {
+	if x.isStale(incarnation) {
 		return
 	}
-	x.renew(incarnation)
-	if leaving && !x.saidLeaving {
-		x.saidLeaving = true
+	x.advanceTo(incarnation)
+	if leaving && !x.leavingBySelf {
+		x.leavingBySelf = true
 		m.notify()
 	}
 }
 
-// Members gives what is known, ordered by address.
+// Members returns the listed or linked processes, ordered by address.
 func (m *Members) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -195,7 +201,7 @@
 	return all
 }
 
-// Usable tells whether the process may be given new work.
+// Usable reports whether the process may be given new work.
 func (m *Members) Usable(address netip.AddrPort) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,8 +209,8 @@
 	return ok && m.usable(x)
 }
 
-// Changed gives a channel that closes with the next change. The end of a
-// damping wait is no change; Usable tells it.
+// Changed returns a channel that is closed at the next change. The end of a
+// damping wait is not signalled; only Usable shows it.
 func (m *Members) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -214,7 +220,7 @@
 func (m *Members) get(address netip.AddrPort) *member {
 	x, ok := m.members[address]
 	if !ok {
-		x = &member{host: beechstore.Host{Address: address}, since: m.clock.Now()}
+		x = &member{host: beechstore.Host{Address: address}, linkChangedAt: m.clock.Now()}
 		m.members[address] = x
 	}
 	return x
@@ -226,10 +232,11 @@
 }
 
 func (m *Members) usable(x *member) bool {
-	return x.linked && !x.leaving() && m.clock.Since(x.since) >= m.damping(x.losses)
+	return x.linked && !x.leaving() && m.clock.Since(x.linkChangedAt) >= m.damping(x.losses)
 }
 
-// damping is nothing for the first loss: an ordinary restart is no flapping.
+// damping returns 0 for the first loss, since an ordinary restart is not
+// flapping.
 func (m *Members) damping(losses int) time.Duration {
 	if losses < 2 {
 		return 0
@@ -237,22 +244,22 @@
 	return min(m.settings.Damping<<min(losses-2, maxDoublings), m.settings.MaxDamping)
 }
 
-func (x *member) leaving() bool { return x.saidLeaving || x.toldLeaving }
+func (x *member) leaving() bool { return x.leavingBySelf || x.leavingByList }
 
-// outdated tells whether news of an incarnation is about one that is gone.
-func (x *member) outdated(incarnation uint64) bool {
-	return incarnation < x.incarnation || (incarnation == x.replaced && x.replaced > 0)
+// isStale reports whether a message is about an earlier incarnation.
+func (x *member) isStale(incarnation uint64) bool {
+	return incarnation < x.incarnation || (incarnation == x.replacedIncarnation && x.replacedIncarnation > 0)
 }
 
-// renew forgets what an earlier incarnation has said, and its link, whose
-// loss would be passed over as late news. The first one that is seen keeps
-// what the list has said of it.
-func (x *member) renew(incarnation uint64) {
+// advanceTo moves to a newer incarnation and resets the leaving flags and the
+// link of the earlier one; a loss of that link would be ignored as stale. The
+// first known incarnation keeps the leaving flag of the host list.
+func (x *member) advanceTo(incarnation uint64) {
 	if incarnation <= x.incarnation {
 		return
 	}
 	if x.incarnation > 0 {
-		x.saidLeaving, x.toldLeaving = false, false
+		x.leavingBySelf, x.leavingByList = false, false
 		x.linked = false
 	}
 	x.incarnation = incarnation
--- a/internal/state/beechmember/members_test.go
+++ b/internal/state/beechmember/members_test.go
@@ -12,11 +12,11 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// truth is what one process has done, which Members hears of late and in any
-// order.
-type truth struct {
-	left map[uint64]bool // incarnations whose leaving was heard
-	lost bool            // there is no link to the newest
+// processModel is the state that Members should hold of one process. Messages
+// arrive late and in any order.
+type processModel struct {
+	leaving  map[uint64]bool // incarnations reported as leaving
+	linkLost bool            // there is no link to the newest incarnation
 }
 
 var agent = netip.MustParseAddrPort("10.0.0.1:7000")
@@ -25,43 +25,43 @@
 	return []beechstore.Host{{Address: agent, Zone: "a", Role: "agent", Leaving: leaving}}
 }
 
-// Heartbeats, links and lists of a process that restarts and leaves arrive
-// late and in any order. If an old one were believed, a server that is leaving
-// or dead would get new work and its callers would wait for nothing.
-func TestMembersNeverUseWhatIsLeavingOrLost(t *testing.T) {
+// Heartbeats, link events and host lists of a process that restarts and leaves
+// arrive late and in any order. If a stale one were believed, a leaving or
+// dead server would get new work and its callers would wait for nothing.
+func TestLeavingAndUnlinkedMembersAreNotUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := clockwork.NewFakeClock()
-		m := New(clock, Settings{Retention: 24 * time.Hour}) // longer than any run here
-		w := truth{left: map[uint64]bool{}, lost: true}
-		heard := uint64(0) // the newest incarnation that was heard of
+		m := New(clock, Settings{Retention: 24 * time.Hour}) // longer than any run
+		model := processModel{leaving: map[uint64]bool{}, linkLost: true}
+		newest := uint64(0) // the newest incarnation seen in a message
 		incarnation := func(t *rapid.T) uint64 { return rapid.Uint64Range(1, 4).Draw(t, "incarnation") }
-		hear := func(n uint64) bool {
-			if n < heard {
+		observe := func(n uint64) bool {
+			if n < newest {
 				return false
 			}
-			w.lost = w.lost || n > heard
-			heard = n
+			model.linkLost = model.linkLost || n > newest
+			newest = n
 			return true
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"linked": func(t *rapid.T) {
 				n := incarnation(t)
-				if hear(n) {
-					w.lost = false
+				if observe(n) {
+					model.linkLost = false
 				}
 				m.LinkUp(agent, n)
 			},
 			"lost": func(t *rapid.T) {
 				n := incarnation(t)
-				if n >= heard {
-					w.lost = true
+				if n >= newest {
+					model.linkLost = true
 				}
 				m.LinkDown(agent, n)
 			},
 			"said": func(t *rapid.T) {
 				n, leaving := incarnation(t), rapid.Bool().Draw(t, "leaving")
-				if hear(n) && leaving {
-					w.left[n] = true
+				if observe(n) && leaving {
+					model.leaving[n] = true
 				}
 				m.UpdateLeaving(agent, n, leaving)
 			},
@@ -76,33 +76,33 @@
 				clock.Advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
 			},
 			"": func(t *rapid.T) {
-				if m.Usable(agent) && (w.lost || w.left[heard]) {
-					t.Fatalf("used incarnation %d: lost %v, leaving %v", heard, w.lost, w.left[heard])
+				if m.Usable(agent) && (model.linkLost || model.leaving[newest]) {
+					t.Fatalf("incarnation %d is usable: link lost %v, leaving %v", newest, model.linkLost, model.leaving[newest])
 				}
 			},
 		})
 	})
 }
 
-// The platform's list shows a server as live for half a minute after it began
-// to leave, and as leaving long after it was replaced.
-func TestLateListDoesNotDecide(t *testing.T) {
+// The platform's host list shows a server as live for half a minute after it
+// began to leave, and as leaving long after it was replaced.
+func TestStaleHostListIsOverridden(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
 	m.UpdateHosts(hostList(false))
-	is.True(!m.Usable(agent)) // only a candidate
+	is.True(!m.Usable(agent)) // the list only adds candidates
 	m.LinkUp(agent, 1)
 	is.True(m.Usable(agent))
 	m.UpdateLeaving(agent, 1, true)
-	is.True(!m.Usable(agent)) // at once, not after the list's lag
+	is.True(!m.Usable(agent)) // immediately, not after the list's lag
 	m.UpdateHosts(hostList(false))
 	m.UpdateLeaving(agent, 1, false)
-	is.True(!m.Usable(agent)) // final
+	is.True(!m.Usable(agent)) // leaving is final
 	m.LinkDown(agent, 1)
 	m.UpdateHosts(nil)
 	m.LinkUp(agent, 1)
-	is.True(!m.Usable(agent)) // also after it was gone from the list
+	is.True(!m.Usable(agent)) // even after it was removed from the list
 	m.LinkDown(agent, 1)
 	m.LinkUp(agent, 2)
 	m.UpdateHosts(hostList(true))
@@ -110,32 +110,32 @@
 	m.UpdateLeaving(agent, 3, false)
 	clock.Advance(time.Minute)
 	m.UpdateHosts(hostList(true))
-	is.True(m.Usable(agent)) // the list still speaks of the one before
+	is.True(m.Usable(agent)) // the list still shows the previous incarnation
 	is.Equal(len(m.Members()), 1)
 }
 
-// The list says of an address that its process leaves, and later that it does not: the
-// process was replaced before this one started.
-func TestListTakesItsWordBack(t *testing.T) {
+// The host list shows a process as leaving and later no longer: the process
+// was replaced before this one started.
+func TestLeavingByListCanBeRetracted(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
 	m.UpdateHosts(hostList(true))
 	m.LinkUp(agent, 2)
 	m.UpdateLeaving(agent, 2, false)
-	is.True(!m.Usable(agent)) // the list may know more than the process itself
+	is.True(!m.Usable(agent)) // the list may know more than the process
 	m.UpdateHosts(hostList(false))
 	is.True(m.Usable(agent))
 	m.UpdateHosts(hostList(true))
 	is.True(!m.Usable(agent))
 	m.UpdateLeaving(agent, 2, true)
 	m.UpdateHosts(hostList(false))
-	is.True(!m.Usable(agent)) // its own word is final
+	is.True(!m.Usable(agent)) // the process's own report is final
 }
 
-// A server's link comes and goes every second, as with a bad cable. Work that
-// follows it each time is cut each time; over a minute it may be offered only
-// now and then.
+// A server's link goes up and down every second, for example because of a bad
+// cable. Requests that follow the link would be cut off each time, so the
+// server may be usable only rarely.
 func TestFlappingServerIsDamped(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
@@ -158,21 +158,21 @@
 		m.LinkDown(agent, 1)
 		clock.Advance(500 * time.Millisecond)
 	}
-	is.True(usable <= 20) // of 1,200 looks: the first two times it is believed
+	is.True(usable <= 20) // of 1,200 samples: the first two links count at once
 	is.True(changes <= 4)
 	m.LinkUp(agent, 1)
 	clock.Advance(30 * time.Second)
-	is.True(m.Usable(agent)) // a link that holds is used again
+	is.True(m.Usable(agent)) // a link that holds is usable again
 	clock.Advance(time.Minute)
 	m.LinkDown(agent, 1)
 	m.LinkUp(agent, 1)
-	is.True(m.Usable(agent)) // and an ordinary restart after that at once
+	is.True(m.Usable(agent)) // the losses were reset, so an ordinary restart is not damped
 }
 
-// A host is replaced under the same address, and the new one's clock is behind.
-// Its agent's incarnation is then smaller than the one before. It must get work
-// at once, and late news of the one before must not count.
-func TestReplacedHostWithAClockBehindIsUsed(t *testing.T) {
+// A host is replaced at the same address, and the clock of the new one is
+// behind, so that its agent's incarnation is smaller. It must get work
+// immediately, and stale messages about the earlier one must be ignored.
+func TestReplacedHostWithClockBehindIsUsable(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	m := New(clock, Settings{})
@@ -188,7 +188,7 @@
 	m.LinkDown(address, 1000)
 	m.UpdateLeaving(address, 1000, false)
 	m.LinkUp(address, 1000)
-	is.True(m.Usable(address)) // late news of the one before
+	is.True(m.Usable(address)) // stale messages about the earlier incarnation
 	m.UpdateLeaving(address, 400, true)
 	is.True(!m.Usable(address))
 }
--- a/internal/state/beechmember/rendezvous.go
+++ b/internal/state/beechmember/rendezvous.go
@@ -13,10 +13,10 @@
 	score   uint64
 }
 
-// Rank gives the n members with the highest rendezvous score for key, the
-// highest first, fewer if there are fewer. Each process with the same members
-// gives the same answer; a member that comes or goes moves only the keys that
-// it gains or had.
+// Rank returns the n members with the highest rendezvous score for key, the
+// highest first, or all if there are fewer. Processes with the same members
+// get the same result. When a member is added or removed, only the keys that
+// it gains or had move.
 func Rank(key string, members []netip.AddrPort, n int) []netip.AddrPort {
 	seed := xxh3.HashString(key)
 	all := make([]scored, 0, len(members))
@@ -33,8 +33,8 @@
 	return top
 }
 
-// Highest gives the member with the highest score, the zero address without
-// members. It allocates nothing.
+// Highest returns the member with the highest score, or the zero address if
+// there are no members. It does not allocate.
 func Highest(key string, members []netip.AddrPort) netip.AddrPort {
 	seed := xxh3.HashString(key)
 	var best scored
