--- a/internal/state/beechstore/errors.go
+++ b/internal/state/beechstore/errors.go
@@ -64,5 +64,5 @@
 
 // Error implements error.
 func (e OverBudget) Error() string {
-	return fmt.Sprintf("%s: call budget of this process exceeded, retry after %s", e.Step, e.After)
+	return fmt.Sprintf("%s: over this process's budget of calls, try again in %s", e.Step, e.After)
 }
