--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -81,14 +81,14 @@
 		return NotKnown{After: notKnownAfter}
 	}
 	age := g.belief.Age()
-	route, ok := c.Find(ask.Host, ask.Path)
+	route, ok := c.FindRoute(ask.Host, ask.Path)
 	if !ok {
 		if age > denySure {
 			return NotKnown{After: notKnownAfter}
 		}
 		return NoRoute{}
 	}
-	admitted := Admitted{Route: route, Service: route.Pick(rand.Float64()), Version: c.Version, BodyBytes: c.Limits.BodyBytes, Workspace: beechcall.Workspace{Priority: -1}}
+	admitted := Admitted{Route: route, Service: route.PickService(rand.Float64()), Version: c.Version, BodyBytes: c.Limits.BodyBytes, Workspace: beechcall.Workspace{Priority: -1}}
 	if route.Public || c.Workspaces == nil {
 		return admitted
 	}
--- a/internal/process/beechgate/beliefs.go
+++ b/internal/process/beechgate/beliefs.go
@@ -12,7 +12,7 @@
 
 // naming is a named version with when this gate learned of it.
 type naming struct {
-	beechcall.Named
+	beechcall.WeightsVersion
 	at    time.Time
 	short bool // it was told that not all engines can have it in time
 }
@@ -44,7 +44,7 @@
 			continue
 		}
 		g.mu.Lock()
-		g.named[n.Model] = naming{Named: n, at: g.clock.Now()}
+		g.named[n.Model] = naming{WeightsVersion: n, at: g.clock.Now()}
 		g.mu.Unlock()
 		g.log.Info("weights named", zap.String("model", n.Model), zap.Uint64("version", n.Version), zap.Uint64("revision", n.Revision))
 		g.followNow()
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -51,7 +51,7 @@
 		ServerPrefix   string
 		// Operators decodes what operators wrote, Servers the servers' entries.
 		// What cannot be read is told in the error, the rest is given.
-		Operators func([]beechmirror.Item) (*beechcall.Configuration, []beechcall.Named, error)
+		Operators func([]beechmirror.Item) (*beechcall.Configuration, []beechcall.WeightsVersion, error)
 		Servers   func([]beechmirror.Item) ([]beechcall.Server, error)
 	}
 
--- a/internal/process/beechgate/idle.go
+++ b/internal/process/beechgate/idle.go
@@ -55,8 +55,8 @@
 
 // idleLimit is the operators' bound, or one of our own where they name none.
 func (g *Gate) idleLimit() time.Duration {
-	if c := g.configuration.Load(); c != nil && c.Limits.IdleTime > 0 {
-		return c.Limits.IdleTime
+	if c := g.configuration.Load(); c != nil && c.Limits.IdleTimeout > 0 {
+		return c.Limits.IdleTimeout
 	}
 	return idleTime
 }
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -39,7 +39,7 @@
 	unknown := make(map[string]bool)
 	for _, w := range c.Workspaces {
 		switch {
-		case w.Quota.Unknown:
+		case w.Quota.Invalid:
 			unknown[w.Name] = true
 		case w.Quota.Rate > 0:
 			limits[w.Name] = beechquota.Limit{Rate: w.Quota.Rate, Burst: w.Quota.Burst}
@@ -54,7 +54,7 @@
 func (g *Gate) askQuota(ctx context.Context, call *beechcall.Call) beechquota.Decision {
 	until := g.clock.Now().Add(min(startHold, call.Route.Objective/startHoldShare))
 	for {
-		d := g.quotas.Admit(call.Workspace.Name, call.Size())
+		d := g.quotas.Admit(call.Workspace.Name, call.QuotaCost())
 		refused, ok := d.(beechquota.Refused)
 		if !ok || !refused.Starts || !g.clock.Now().Before(until) {
 			return d
@@ -73,7 +73,7 @@
 	case beechquota.Refused:
 		g.metrics.denied.Add("over quota", 1)
 		g.log.Warn("request refused", zap.String("request", call.ID), zap.String("route", call.Route.Name), zap.String("reason", "over quota"),
-			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", d.After),
+			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.QuotaCost()), zap.Duration("after", d.After),
 			zap.Float64("left", d.Level), zap.Float64("unread", d.Unread), zap.Float64("rate", d.Limit.Rate), zap.Float64("burst", d.Limit.Burst),
 			zap.Bool("alone", d.Alone), zap.Duration("age", d.Age))
 		out.Reject(beechattempt.QuotaExceeded{RetryAfter: d.After})
@@ -90,9 +90,9 @@
 func (g *Gate) spent(call *beechcall.Call, runs int) {
 	switch {
 	case runs == 0:
-		g.quotas.GiveBack(call.Workspace.Name, call.Size())
+		g.quotas.GiveBack(call.Workspace.Name, call.QuotaCost())
 	case runs > 1:
-		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(runs-1))
+		g.quotas.Charge(call.Workspace.Name, call.QuotaCost()*float64(runs-1))
 	}
 }
 
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -136,10 +136,10 @@
 	return f
 }
 
-func (f *fixture) call(rule beechcall.Rule, stream bool) *beechcall.Call {
+func (f *fixture) call(rule beechcall.RetryPolicy, stream bool) *beechcall.Call {
 	return &beechcall.Call{
 		ID: "id", Service: "app", Method: http.MethodPost, Target: "/x", Deadline: f.clock.Now().Add(5 * time.Second),
-		Route: &beechcall.Route{Name: "r", Rule: rule, Stream: stream, Objective: 100 * time.Millisecond, MaxAttempts: 2},
+		Route: &beechcall.Route{Name: "r", RetryPolicy: rule, Stream: stream, Objective: 100 * time.Millisecond, MaxAttempts: 2},
 	}
 }
 
@@ -181,15 +181,15 @@
 
 func hangs(ctx context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
 	<-ctx.Done()
-	return nil, beechcall.Unknown{Peer: a.Server.Address, Step: "read answer", Err: ctx.Err()}
+	return nil, beechcall.OutcomeUnknown{Peer: a.Server.Address, Step: "read answer", Err: ctx.Err()}
 }
 
 func refuses(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
-	return nil, beechcall.NotRun{Peer: a.Server.Address, Status: http.StatusServiceUnavailable}
+	return nil, beechcall.NotExecuted{Peer: a.Server.Address, Status: http.StatusServiceUnavailable}
 }
 
 func resets(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
-	return nil, beechcall.Unknown{Peer: a.Server.Address, Step: "read answer", Err: errReset}
+	return nil, beechcall.OutcomeUnknown{Peer: a.Server.Address, Step: "read answer", Err: errReset}
 }
 
 func unreachable(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
@@ -203,23 +203,23 @@
 func TestRetriesAndAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		rule     beechcall.Rule
+		rule     beechcall.RetryPolicy
 		first    step
 		attempts int
 		want     any
 	}{
-		{"once, refused", beechcall.RuleOnce, refuses, 2, http.StatusOK},
-		{"once, unreachable", beechcall.RuleOnce, unreachable, 2, http.StatusOK},
-		{"once, reset", beechcall.RuleOnce, resets, 1, OutcomeUnknown{Reason: "no more tries"}},
-		{"once, cut in the answer", beechcall.RuleOnce, breaks("ha"), 1, OutcomeUnknown{Reason: "no more tries"}},
-		{"once, failed", beechcall.RuleOnce, answers(http.StatusInternalServerError, "no"), 1, http.StatusInternalServerError},
-		{"once, hangs", beechcall.RuleOnce, hangs, 1, DeadlineExceeded{}},
-		{"repeatable, reset", beechcall.RuleRepeatable, resets, 2, http.StatusOK},
-		{"repeatable, cut in the answer", beechcall.RuleRepeatable, breaks("ha"), 2, http.StatusOK},
-		{"repeatable, failed", beechcall.RuleRepeatable, answers(http.StatusInternalServerError, "no"), 2, http.StatusOK},
-		{"repeatable, over time there", beechcall.RuleRepeatable, answers(http.StatusGatewayTimeout, ""), 1, http.StatusGatewayTimeout},
-		{"repeatable, hangs", beechcall.RuleRepeatable, hangs, 2, http.StatusOK},
-		{"repeatable, not found there", beechcall.RuleRepeatable, answers(http.StatusNotFound, ""), 1, http.StatusNotFound},
+		{"once, refused", beechcall.AtMostOnce, refuses, 2, http.StatusOK},
+		{"once, unreachable", beechcall.AtMostOnce, unreachable, 2, http.StatusOK},
+		{"once, reset", beechcall.AtMostOnce, resets, 1, OutcomeUnknown{Reason: "no more tries"}},
+		{"once, cut in the answer", beechcall.AtMostOnce, breaks("ha"), 1, OutcomeUnknown{Reason: "no more tries"}},
+		{"once, failed", beechcall.AtMostOnce, answers(http.StatusInternalServerError, "no"), 1, http.StatusInternalServerError},
+		{"once, hangs", beechcall.AtMostOnce, hangs, 1, DeadlineExceeded{}},
+		{"repeatable, reset", beechcall.Repeatable, resets, 2, http.StatusOK},
+		{"repeatable, cut in the answer", beechcall.Repeatable, breaks("ha"), 2, http.StatusOK},
+		{"repeatable, failed", beechcall.Repeatable, answers(http.StatusInternalServerError, "no"), 2, http.StatusOK},
+		{"repeatable, over time there", beechcall.Repeatable, answers(http.StatusGatewayTimeout, ""), 1, http.StatusGatewayTimeout},
+		{"repeatable, hangs", beechcall.Repeatable, hangs, 2, http.StatusOK},
+		{"repeatable, not found there", beechcall.Repeatable, answers(http.StatusNotFound, ""), 1, http.StatusNotFound},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
@@ -240,7 +240,7 @@
 func TestRetriesUseOtherServers(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(8, 10, refuses)
-	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+	c := f.serve(t.Context(), f.call(beechcall.AtMostOnce, false))
 	is.Equal(len(f.backend.sent), maxAttempts)
 	seen := map[string]bool{}
 	for _, a := range f.backend.sent {
@@ -256,14 +256,14 @@
 func TestOutcomeIsUnknownIfAnyAttemptMayHaveExecuted(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(3, 1, resets, refuses)
-	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
+	c := f.serve(t.Context(), f.call(beechcall.Repeatable, false))
 	is.Equal(c.rejection, OutcomeUnknown{Reason: "no more tries"})
 }
 
 func TestNoRetryWithoutBudget(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(3, 0, resets)
-	f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
+	f.serve(t.Context(), f.call(beechcall.Repeatable, false))
 	is.Equal(len(f.backend.sent), 1)
 }
 
@@ -274,14 +274,14 @@
 	slow := func(ctx context.Context, _ beechcall.Attempt) (*beechcall.Answer, error) {
 		for range 400 {
 			if isDone(ctx) {
-				return nil, beechcall.Unknown{Err: context.Cause(ctx)}
+				return nil, beechcall.OutcomeUnknown{Err: context.Cause(ctx)}
 			}
 			time.Sleep(100 * time.Microsecond)
 		}
 		return answers(http.StatusOK, "late")(ctx, beechcall.Attempt{})
 	}
 	f := newFixture(3, 0, slow)
-	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, false))
+	c := f.serve(t.Context(), f.call(beechcall.Repeatable, false))
 	is.Equal(c.body, "late")
 	is.Equal(len(f.backend.sent), 1)
 }
@@ -342,7 +342,7 @@
 func TestNoServer(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(0, 5, refuses)
-	call := f.call(beechcall.RuleOnce, false)
+	call := f.call(beechcall.AtMostOnce, false)
 	began := f.clock.Now()
 	c := f.serve(t.Context(), call)
 	rejection, ok := c.rejection.(NotExecuted)
@@ -356,10 +356,10 @@
 func TestResumedStream(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(3, 5, breaks(event(1)+event(2)+"id: 3\nda"), func(_ context.Context, a beechcall.Attempt) (*beechcall.Answer, error) {
-		is.Equal(a.LastEvent, "2")
+		is.Equal(a.LastEventID, "2")
 		return answers(http.StatusOK, event(3)+event(4))(context.Background(), a)
 	})
-	c := f.serve(t.Context(), f.call(beechcall.RuleResumable, true))
+	c := f.serve(t.Context(), f.call(beechcall.Resumable, true))
 	is.Equal(c.body, event(1)+event(2)+event(3)+event(4))
 	is.True(c.ended)
 	is.True(!c.broken)
@@ -369,7 +369,7 @@
 func TestStreamEndingInsideEventIsAborted(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(3, 0, answers(http.StatusOK, event(1)+"id: 2\ndata"))
-	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, true))
+	c := f.serve(t.Context(), f.call(beechcall.AtMostOnce, true))
 	is.Equal(c.body, event(1))
 	is.True(c.broken)
 	is.True(!c.ended)
@@ -383,14 +383,14 @@
 	sent := event(1) + event(2)
 	for _, status := range []int{http.StatusInternalServerError, http.StatusNotFound, http.StatusGatewayTimeout, http.StatusNoContent} {
 		f := newFixture(3, 5, breaks(sent), answers(status, "sorry"))
-		c := f.serve(t.Context(), f.call(beechcall.RuleResumable, true))
+		c := f.serve(t.Context(), f.call(beechcall.Resumable, true))
 		is.True(c.broken)
 		is.True(!c.ended)
 		is.Equal(c.status, http.StatusOK)
 		is.Equal(c.body, sent)
 	}
 	f := newFixture(3, 5, breaks(sent), answers(http.StatusInternalServerError, "sorry"), answers(http.StatusOK, event(3)))
-	call := f.call(beechcall.RuleResumable, true)
+	call := f.call(beechcall.Resumable, true)
 	call.Route.MaxAttempts = 3
 	c := f.serve(t.Context(), call)
 	is.True(c.ended)
@@ -401,7 +401,7 @@
 func TestStartedStreamIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(3, 5, breaks(event(1)), answers(http.StatusOK, event(1)+event(2)))
-	c := f.serve(t.Context(), f.call(beechcall.RuleRepeatable, true))
+	c := f.serve(t.Context(), f.call(beechcall.Repeatable, true))
 	is.Equal(len(f.backend.sent), 1)
 	is.True(c.broken)
 }
@@ -413,7 +413,7 @@
 		cancel()
 		return hangs(ctx, a)
 	})
-	c := f.serve(ctx, f.call(beechcall.RuleRepeatable, false))
+	c := f.serve(ctx, f.call(beechcall.Repeatable, false))
 	is.Equal(len(f.backend.sent), 1)
 	is.Equal(c.rejection, nil)
 }
@@ -424,10 +424,10 @@
 	is := is.New(t)
 	f := newFixture(5, 50, resets)
 	for range 4 {
-		f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+		f.serve(t.Context(), f.call(beechcall.AtMostOnce, false))
 	}
 	is.Equal(len(f.backend.sent), 2)
-	c := f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+	c := f.serve(t.Context(), f.call(beechcall.AtMostOnce, false))
 	_, ok := c.rejection.(NotExecuted)
 	is.True(ok)
 }
@@ -442,9 +442,9 @@
 		f.reachable[netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)] = true
 	}
 	for range 4 {
-		f.serve(t.Context(), f.call(beechcall.RuleOnce, false))
+		f.serve(t.Context(), f.call(beechcall.AtMostOnce, false))
 	}
-	is.Equal(f.serve(t.Context(), f.call(beechcall.RuleOnce, false)).body, "has recovered")
+	is.Equal(f.serve(t.Context(), f.call(beechcall.AtMostOnce, false)).body, "has recovered")
 }
 
 // A request waits in an engine whose weights have been superseded. If it started after they
@@ -453,7 +453,7 @@
 func TestRequestIsCanceledBeforeWeightsExpire(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2, 5, hangs, answers(http.StatusOK, "elsewhere"))
-	r := &execution{dispatcher: f.dispatcher, call: f.call(beechcall.RuleRepeatable, false), out: &caller{}, callerCtx: t.Context(), started: f.clock.Now()}
+	r := &execution{dispatcher: f.dispatcher, call: f.call(beechcall.Repeatable, false), out: &caller{}, callerCtx: t.Context(), started: f.clock.Now()}
 	r.call.Route.Objective = 2 * time.Second // its time-out is longer
 	choice, ok := f.dispatcher.placer.Choose(r.call, nil)
 	is.True(ok)
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -166,7 +166,7 @@
 	sent := r.dispatcher.clock.Now()
 	answer, err := r.dispatcher.backend.Send(ctx, beechcall.Attempt{
 		Call: r.call, Server: choice.Server, Weights: choice.Weights, Salt: choice.Salt,
-		Urgency: r.urgency(), Fetch: choice.Fetch, Save: choice.Save, LastEvent: r.stream.lastEventID,
+		Urgency: r.urgency(), Fetch: choice.Fetch, Save: choice.Save, LastEventID: r.stream.lastEventID,
 	})
 	if err != nil {
 		return r.handleFailure(choice, placement, watch, err)
@@ -211,7 +211,7 @@
 		err = errAnswerTooLong
 	}
 	if err != nil {
-		return r.handleFailure(choice, placement, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
+		return r.handleFailure(choice, placement, watch, beechcall.OutcomeUnknown{Peer: choice.Server.Address, Step: "read the answer's body", Err: err})
 	}
 	watch.stop()
 	if !r.stream.started {
@@ -248,7 +248,7 @@
 	}
 	r.triedServers = append(r.triedServers, choice.Server.ID)
 	var notSent beechcall.NotSent
-	var notRun beechcall.NotRun
+	var notRun beechcall.NotExecuted
 	switch {
 	case errors.As(err, &notSent):
 		r.notExecuted++
@@ -266,7 +266,7 @@
 		}
 		placement.Done(beechplace.Rejected)
 		r.dispatcher.placer.ObserveRejection(choice.Server.ID, notRun, r.call.Model)
-		r.logAttempt("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.Other))
+		r.logAttempt("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.WeightsDiffer))
 		if r.attempts < maxAttempts && r.takeRetry(beechretry.RanNo, choice, true) {
 			return tryAgain
 		}
@@ -298,10 +298,10 @@
 // repeatable reports whether a call that may have been executed may be sent again. A stream
 // that has started goes on only if it can be resumed after its last event.
 func (r *execution) repeatable() bool {
-	switch r.call.Route.Rule {
-	case beechcall.RuleRepeatable:
+	switch r.call.Route.RetryPolicy {
+	case beechcall.Repeatable:
 		return !r.stream.started
-	case beechcall.RuleResumable:
+	case beechcall.Resumable:
 		return !r.stream.started || r.stream.lastEventID != ""
 	}
 	return false
@@ -335,7 +335,7 @@
 		r.out.Respond(r.serverError.status, r.serverError.header, r.serverError.body)
 		return "answered"
 	case r.maybeExecuted == 0:
-		after := min(jitter(defaultRetryAfter), max(r.call.Left(r.dispatcher.clock.Now())/3, 0))
+		after := min(jitter(defaultRetryAfter), max(r.call.TimeLeft(r.dispatcher.clock.Now())/3, 0))
 		if r.limitRetryAfter > 0 {
 			after = r.dispatcher.placer.RetryAfter(r.call.Service, r.limitRetryAfter)
 		}
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -49,7 +49,7 @@
 	if choice.FirstByteTimeout > 0 {
 		w.startTimer = r.dispatcher.clock.AfterFunc(choice.FirstByteTimeout, w.onStartDeadline)
 	}
-	if r.call.Route.Rule == beechcall.RuleOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
+	if r.call.Route.RetryPolicy == beechcall.AtMostOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
 		return w
 	}
 	w.timer = r.dispatcher.clock.AfterFunc(r.dispatcher.timeouts.firstByte(r.call.Route.Name, r.call.Route.Objective), w.onTimeout)
@@ -129,7 +129,7 @@
 		n, err := answer.Body.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
 		if n > 0 {
-			watch.dataReceived(r.call.Route.Pause)
+			watch.dataReceived(r.call.Route.MaxPause)
 			if end := wholeEvents(buffer); end > 0 {
 				if !r.startStream(answer) {
 					r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), milliseconds(choice.Expected), r.dispatcher.clock.Now())
@@ -160,7 +160,7 @@
 		case err == io.EOF:
 			err = errIncompleteEvent
 		}
-		return r.handleFailure(choice, placement, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
+		return r.handleFailure(choice, placement, watch, beechcall.OutcomeUnknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
 	}
 }
 
--- a/internal/request/beechcall/call.go
+++ b/internal/request/beechcall/call.go
@@ -24,36 +24,36 @@
 	// Call is one request of a caller. Header and Body are opaque: they are
 	// handed on as they came, without what concerns one connection only.
 	Call struct {
-		ID           string
-		Workspace    Workspace
-		Route        *Route
-		Service      string
-		Version      uint64 // of the configuration it was admitted under
-		Model        string // empty for plain services
-		Parts        []Part // the last belongs to the request or its session
-		PromptTokens int
-		OutputTokens int  // at most
-		UsageTold    bool // the caller named the tokens
-		LastEvent    string
-		Received     time.Time
-		Deadline     time.Time // the caller's own or the route's, the earlier
-		Method       string
-		Target       string // path and query
-		Host         string
-		Header       http.Header
-		Body         []byte
+		ID             string
+		Workspace      Workspace
+		Route          *Route
+		Service        string
+		Version        uint64 // of the configuration it was admitted under
+		Model          string // empty for plain services
+		Parts          []Part // the last belongs to the request or its session
+		PromptTokens   int
+		OutputTokens   int  // at most
+		TokensDeclared bool // the caller named the tokens
+		LastEventID    string
+		Received       time.Time
+		Deadline       time.Time // the caller's own or the route's, the earlier
+		Method         string
+		Target         string // path and query
+		Host           string
+		Header         http.Header
+		Body           []byte
 	}
 
 	// Attempt is a call on its way to one server.
 	Attempt struct {
-		Call      *Call
-		Server    Server
-		Weights   uint64 // version the server must have; 0 is any
-		Salt      string // what cached parts are kept under
-		Urgency   int    // 0 goes first
-		Fetch     netip.AddrPort
-		Save      netip.AddrPort
-		LastEvent string // go on after it
+		Call        *Call
+		Server      Server
+		Weights     uint64 // version the server must have; 0 is any
+		Salt        string // what cached parts are kept under
+		Urgency     int    // 0 goes first
+		Fetch       netip.AddrPort
+		Save        netip.AddrPort
+		LastEventID string // go on after it
 	}
 
 	// Answer is a server's answer, its body not yet read. Close before the
@@ -93,32 +93,32 @@
 		Err  error
 	}
 
-	// NotRun says that the server turned the request away, by its own word.
+	// NotExecuted says that the server turned the request away, by its own word.
 	// Replaced tells that another server answered at its address, There which,
 	// Other that it was the right one with other weights.
-	NotRun struct {
-		Peer     netip.AddrPort
-		Status   int
-		Replaced bool
-		There    string // ID
-		Other    bool
-		Weights  uint64 // that it has, where told
-		Load     Load
-		Limit    beechthrottle.Said // nil is not known
-		After    time.Duration      // when it asks to be tried again; 0 is not told
+	NotExecuted struct {
+		Peer          netip.AddrPort
+		Status        int
+		Replaced      bool
+		ActualID      string // ID
+		WeightsDiffer bool
+		Weights       uint64 // that it has, where told
+		Load          Load
+		Limit         beechthrottle.Said // nil is not known
+		RetryAfter    time.Duration      // when it asks to be tried again; 0 is not told
 	}
 
-	// Unknown says that the request was sent and may have run.
-	Unknown struct {
+	// OutcomeUnknown says that the request was sent and may have run.
+	OutcomeUnknown struct {
 		Peer netip.AddrPort
 		Step string
 		Err  error
 	}
 )
 
-func (NotSent) failure() {}
-func (NotRun) failure()  {}
-func (Unknown) failure() {}
+func (NotSent) failure()        {}
+func (NotExecuted) failure()    {}
+func (OutcomeUnknown) failure() {}
 
 // Error gives the step, the peer and the cause.
 func (e NotSent) Error() string { return fmt.Sprintf("%s at %s: not sent: %v", e.Step, e.Peer, e.Err) }
@@ -127,30 +127,30 @@
 func (e NotSent) Unwrap() error { return e.Err }
 
 // Error gives the peer and its status.
-func (e NotRun) Error() string {
+func (e NotExecuted) Error() string {
 	return fmt.Sprintf("attempt at %s: not run, status %d", e.Peer, e.Status)
 }
 
 // Error gives the step, the peer and the cause.
-func (e Unknown) Error() string {
+func (e OutcomeUnknown) Error() string {
 	return fmt.Sprintf("%s at %s: it may have run: %v", e.Step, e.Peer, e.Err)
 }
 
 // Unwrap gives the cause.
-func (e Unknown) Unwrap() error { return e.Err }
+func (e OutcomeUnknown) Unwrap() error { return e.Err }
 
-// Left is the time until the call's deadline.
-func (c *Call) Left(now time.Time) time.Duration { return c.Deadline.Sub(now) }
+// TimeLeft is the time until the call's deadline.
+func (c *Call) TimeLeft(now time.Time) time.Duration { return c.Deadline.Sub(now) }
 
-// Size is what the call counts of its workspace's quota.
-func (c *Call) Size() float64 {
+// QuotaCost is what the call counts of its workspace's quota.
+func (c *Call) QuotaCost() float64 {
 	switch {
-	case !c.Workspace.Quota.Tokens:
+	case !c.Workspace.Quota.CountsTokens:
 		return 1
-	case c.UsageTold:
+	case c.TokensDeclared:
 		return float64(c.PromptTokens + c.OutputTokens)
 	}
-	return float64(c.Workspace.Quota.Plain)
+	return float64(c.Workspace.Quota.DefaultTokens)
 }
 
 // SharedTokens counts the tokens of the parts that other requests may share.
@@ -162,9 +162,9 @@
 	return total
 }
 
-// Subject names the chain of shared parts, the same for all requests about one
+// SharedPrefix names the chain of shared parts, the same for all requests about one
 // thing; empty where nothing is shared.
-func (c *Call) Subject() string {
+func (c *Call) SharedPrefix() string {
 	name := ""
 	for i := 0; i+1 < len(c.Parts); i++ {
 		name += c.Parts[i].ID + ","
--- a/internal/request/beechcall/configuration.go
+++ b/internal/request/beechcall/configuration.go
@@ -10,14 +10,14 @@
 // The rules of a route: what may be done with a request whose outcome is not
 // known.
 const (
-	RuleOnce       Rule = iota // runs at most once
-	RuleRepeatable             // may run again from its start
-	RuleResumable              // a stream that may go on elsewhere after its last event
+	AtMostOnce RetryPolicy = iota // runs at most once
+	Repeatable                    // may run again from its start
+	Resumable                     // a stream that may go on elsewhere after its last event
 )
 
 type (
-	// Rule says what may be repeated.
-	Rule int
+	// RetryPolicy says what may be repeated.
+	RetryPolicy int
 
 	// Configuration is one accepted state of what operators describe. It is
 	// not changed after it was made.
@@ -36,15 +36,15 @@
 	Route struct {
 		Name        string
 		Host        string
-		Prefix      string // begins and ends with a slash
+		PathPrefix  string // begins and ends with a slash
 		Targets     []Target
-		Rule        Rule
+		RetryPolicy RetryPolicy
 		Stream      bool
 		Public      bool          // needs no key
 		Generation  bool          // carries a prompt for a model
 		Timeout     time.Duration // 0 is none
 		Objective   time.Duration // to the first byte of the answer
-		Pause       time.Duration // longest between events of a stream
+		MaxPause    time.Duration // longest between events of a stream
 		MaxAttempts int           // servers that one request may run on
 		Priority    int           // 0 goes first
 	}
@@ -63,8 +63,8 @@
 		Slots          int // requests that an engine runs at once; 0 for plain services
 		TokenBytes     int // KV cache of one token
 		Models         []string
-		Kept           netip.AddrPort
-		Link           float64 // of a kept store: bytes that it sends or takes in a millisecond; 0 is not known
+		KVStore        netip.AddrPort
+		KVStoreRate    float64 // of a kept store: bytes that it sends or takes in a millisecond; 0 is not known
 	}
 
 	// Workspace is who a key belongs to.
@@ -77,21 +77,21 @@
 
 	// Quota is what a workspace may use over all gates together.
 	Quota struct {
-		Rate    float64 // a second; 0 is no limit
-		Burst   float64
-		Tokens  bool // both are tokens, else requests
-		Plain   int  // tokens that a request counts which names none
-		Unknown bool // what operators wrote cannot be used: the last good one stays
+		Rate          float64 // a second; 0 is no limit
+		Burst         float64
+		CountsTokens  bool // both are tokens, else requests
+		DefaultTokens int  // tokens that a request counts which names none
+		Invalid       bool // what operators wrote cannot be used: the last good one stays
 	}
 
 	// Limits bound what a caller may send. Zero is not known.
 	Limits struct {
-		BodyBytes int64
-		IdleTime  time.Duration // of a connection between requests
+		BodyBytes   int64
+		IdleTimeout time.Duration // of a connection between requests
 	}
 
-	// Named is a version of a model's weights that operators want in use.
-	Named struct {
+	// WeightsVersion is a version of a model's weights that operators want in use.
+	WeightsVersion struct {
 		Model    string
 		Version  uint64
 		Revision uint64 // of the store; grows with the version
@@ -99,43 +99,43 @@
 
 	// Server is a backend server in one lifetime.
 	Server struct {
-		ID      string // of this lifetime
-		Service string
-		Address netip.AddrPort
-		Zone    string
-		Since   uint64 // revision at which it was listed first; orders lifetimes
-		Born    uint64 // Unix milliseconds at which this lifetime began, the same ID may have several; 0 is not told
-		Slots   int
-		Leaving bool
-		Weights map[string]uint64 // version by model, as the list says; late
+		ID       string // of this lifetime
+		Service  string
+		Address  netip.AddrPort
+		Zone     string
+		ListedAt uint64 // revision at which it was listed first; orders lifetimes
+		Born     uint64 // Unix milliseconds at which this lifetime began, the same ID may have several; 0 is not told
+		Slots    int
+		Leaving  bool
+		Weights  map[string]uint64 // version by model, as the list says; late
 	}
 )
 
-// Index prepares a configuration for Find. It is called once, before the
+// BuildIndex prepares a configuration for Find. It is called once, before the
 // configuration is shared.
-func (c *Configuration) Index() {
+func (c *Configuration) BuildIndex() {
 	c.byHost = make(map[string][]*Route, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		c.byHost[r.Host] = append(c.byHost[r.Host], r)
 	}
 	for _, routes := range c.byHost {
-		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.Prefix) - len(x.Prefix) })
+		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.PathPrefix) - len(x.PathPrefix) })
 	}
 }
 
-// Find gives the route of a host with the longest prefix of the path.
-func (c *Configuration) Find(host, path string) (*Route, bool) {
+// FindRoute gives the route of a host with the longest prefix of the path.
+func (c *Configuration) FindRoute(host, path string) (*Route, bool) {
 	for _, r := range c.byHost[host] {
-		if strings.HasPrefix(path, r.Prefix) {
+		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
 	}
 	return nil, false
 }
 
-// Pick draws a target's service by weight; draw is in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService draws a target's service by weight; draw is in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
@@ -152,14 +152,14 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// KeptStores gives the stores of kept KV cache, by address.
-func (c *Configuration) KeptStores() []Service {
+// KVStores gives the stores of kept KV cache, by address.
+func (c *Configuration) KVStores() []Service {
 	var stores []Service
 	for _, s := range c.Services {
-		if s.Kept.IsValid() {
+		if s.KVStore.IsValid() {
 			stores = append(stores, s)
 		}
 	}
-	slices.SortFunc(stores, func(x, y Service) int { return x.Kept.Compare(y.Kept) })
+	slices.SortFunc(stores, func(x, y Service) int { return x.KVStore.Compare(y.KVStore) })
 	return stores
 }
--- a/internal/request/beechplace/attempt.go
+++ b/internal/request/beechplace/attempt.go
@@ -185,7 +185,7 @@
 // another answered is over for good, however long the list still has it; if the
 // list has that other too, it is the one to use there, whichever was listed
 // later: an entry that somebody else wrote would hide the real server otherwise.
-func (p *Placer) ObserveRejection(id string, notRun beechcall.NotRun, model string) {
+func (p *Placer) ObserveRejection(id string, notRun beechcall.NotExecuted, model string) {
 	p.ObserveVersion(id, model, notRun.Weights)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,13 +194,13 @@
 	case !ok:
 	case notRun.Replaced:
 		s.superseded, s.replaced = true, true
-		if successor, listed := p.byID[notRun.There]; listed && successor.Address == s.Address {
+		if successor, listed := p.byID[notRun.ActualID]; listed && successor.Address == s.Address {
 			successor.superseded = false
 			p.byAddress[s.Address] = successor
 		}
-	case notRun.Other && notRun.Weights == 0:
+	case notRun.WeightsDiffer && notRun.Weights == 0:
 		s.unavailableUntil = p.clock.Now().Add(rejectionPause)
-	case !notRun.Other && !s.hasRecentReport(p.clock.Now()):
-		p.overloaded.TurnedAway(id, notRun.After)
+	case !notRun.WeightsDiffer && !s.hasRecentReport(p.clock.Now()):
+		p.overloaded.TurnedAway(id, notRun.RetryAfter)
 	}
 }
--- a/internal/request/beechplace/kvstore.go
+++ b/internal/request/beechplace/kvstore.go
@@ -29,7 +29,7 @@
 func (p *Placer) setKVStores(list []beechcall.Service) {
 	stores := make([]*kvStore, 0, len(list))
 	for _, service := range list {
-		store := p.kvStoreAt(service.Kept)
+		store := p.kvStoreAt(service.KVStore)
 		if store == nil {
 			store = &kvStore{}
 		}
@@ -48,8 +48,8 @@
 		tokenBytes = max(tokenBytes, s.TokenBytes)
 	}
 	for _, store := range p.kvStores {
-		store.fetches.setRate(store.Link, tokenBytes, p.settings.Gates)
-		store.saves.setRate(store.Link, tokenBytes, p.settings.Gates)
+		store.fetches.setRate(store.KVStoreRate, tokenBytes, p.settings.Gates)
+		store.saves.setRate(store.KVStoreRate, tokenBytes, p.settings.Gates)
 	}
 }
 
@@ -63,7 +63,7 @@
 // storeAt gives the store at an address, nil if there is none. The caller holds the
 // lock.
 func (p *Placer) kvStoreAt(address netip.AddrPort) *kvStore {
-	i := slices.IndexFunc(p.kvStores, func(s *kvStore) bool { return s.Kept == address })
+	i := slices.IndexFunc(p.kvStores, func(s *kvStore) bool { return s.KVStore == address })
 	if i < 0 {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	var best *kvStore
 	var bestScore uint64
 	for _, store := range p.kvStores {
-		if score := xxhash.Sum64String(part + store.Kept.String()); best == nil || score > bestScore {
+		if score := xxhash.Sum64String(part + store.KVStore.String()); best == nil || score > bestScore {
 			best, bestScore = store, score
 		}
 	}
@@ -100,7 +100,7 @@
 	if now.Before(s.downUntil) {
 		return netip.AddrPort{}
 	}
-	return s.Kept
+	return s.KVStore
 }
 
 // KVStoreFailed tells that a store of kept KV cache does not answer. It comes back
@@ -120,7 +120,7 @@
 	defer p.mu.Unlock()
 	addresses := make([]netip.AddrPort, 0, len(p.kvStores))
 	for _, store := range p.kvStores {
-		addresses = append(addresses, store.Kept)
+		addresses = append(addresses, store.KVStore)
 	}
 	return addresses
 }
--- a/internal/request/beechplace/placer.go
+++ b/internal/request/beechplace/placer.go
@@ -171,7 +171,7 @@
 		s.superseded = true
 	case !occupied:
 		p.byAddress[s.Address] = s
-	case current.Since < s.Since:
+	case current.ListedAt < s.ListedAt:
 		current.superseded = true
 		p.byAddress[s.Address] = s
 	default:
@@ -184,7 +184,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.serviceConfigs = c.Services
-	p.setKVStores(c.KeptStores())
+	p.setKVStores(c.KVStores())
 }
 
 // SetGates tells how many gates send to the same engines.
--- a/internal/request/beechplace/placer_test.go
+++ b/internal/request/beechplace/placer_test.go
@@ -56,12 +56,12 @@
 	for i := range n {
 		zone := []string{"a", "b"}[i%2]
 		f.servers = append(f.servers,
-			beechcall.Server{ID: fmt.Sprintf("e%02d", i), Service: "llm", Address: address(i), Zone: zone, Slots: 48, Since: 1, Weights: map[string]uint64{"m": 1}},
-			beechcall.Server{ID: fmt.Sprintf("p%02d", i), Service: "app", Address: address(1000 + i), Zone: zone, Slots: 6, Since: 1})
+			beechcall.Server{ID: fmt.Sprintf("e%02d", i), Service: "llm", Address: address(i), Zone: zone, Slots: 48, ListedAt: 1, Weights: map[string]uint64{"m": 1}},
+			beechcall.Server{ID: fmt.Sprintf("p%02d", i), Service: "app", Address: address(1000 + i), Zone: zone, Slots: 6, ListedAt: 1})
 	}
 	f.SetServers(f.servers)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm"}, "kept": {Name: "kept", Kept: kvStoreAddress},
+		"llm": {Name: "llm"}, "kept": {Name: "kept", KVStore: kvStoreAddress},
 	}})
 	f.SetLatestVersion("m", 1)
 	return f
--- a/internal/request/beechplace/storelink_test.go
+++ b/internal/request/beechplace/storelink_test.go
@@ -24,7 +24,7 @@
 		for range 5 { // gates
 			f := newFleet(2)
 			f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-				"llm": {Name: "llm"}, "one": {Name: "one", Kept: kvStoreAddress}, "two": {Name: "two", Kept: other},
+				"llm": {Name: "llm"}, "one": {Name: "one", KVStore: kvStoreAddress}, "two": {Name: "two", KVStore: other},
 			}})
 			f.reportAll(nil)
 			c := f.choose(t, call)
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 50 * 1000 / linkShare}, // 25 tokens in a millisecond a gate
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 50 * 1000 / linkShare}, // 25 tokens in a millisecond a gate
 	}})
 	f.SetGates(2)
 	f.reportAll(nil)
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 550000}, // 550 tokens in a millisecond
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 550000}, // 550 tokens in a millisecond
 	}})
 	f.SetGates(68)
 	f.reportAll(nil)
@@ -105,7 +105,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 100000}, // 100 tokens in a millisecond
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 100000}, // 100 tokens in a millisecond
 	}})
 	run := func(name string, shared int, first time.Duration) Choice {
 		call := newCall(name, shared, 100)
--- a/internal/request/beechplace/usable_test.go
+++ b/internal/request/beechplace/usable_test.go
@@ -85,7 +85,7 @@
 	phase(beechrollout.Serving, 0)
 	_, ok := f.Choose(newCall("s", 0, 10), []string{"e01"})
 	is.True(!ok)
-	f.servers[0].ID, f.servers[0].Since = "e00b", 9
+	f.servers[0].ID, f.servers[0].ListedAt = "e00b", 9
 	f.SetServers(f.servers)
 	phase(beechrollout.Serving, 0)
 	choice, ok := f.Choose(newCall("s", 0, 10), []string{"e01"})
@@ -156,10 +156,10 @@
 	f := newFleet(1)
 	old := f.servers[0]
 	reborn := old
-	reborn.ID, reborn.Since = "e00-reborn", 9
+	reborn.ID, reborn.ListedAt = "e00-reborn", 9
 	f.SetServers([]beechcall.Server{old, reborn})
 	is.Equal(f.choose(t, newCall("s", 0, 10)).Server.ID, "e00-reborn")
-	f.ObserveRejection("e00-reborn", beechcall.NotRun{Replaced: true}, "m")
+	f.ObserveRejection("e00-reborn", beechcall.NotExecuted{Replaced: true}, "m")
 	_, ok := f.Choose(newCall("s", 0, 10), nil)
 	is.True(!ok)
 }
@@ -190,11 +190,11 @@
 	f := newFleet(1)
 	own := f.servers[0]
 	foreign := own
-	foreign.ID, foreign.Since = "somebody", 9
+	foreign.ID, foreign.ListedAt = "somebody", 9
 	for range 2 {
 		f.SetServers([]beechcall.Server{own, foreign})
 		if c := f.choose(t, newCall("s", 0, 10)); c.Server.ID == foreign.ID {
-			f.ObserveRejection(foreign.ID, beechcall.NotRun{Replaced: true, There: own.ID}, "m")
+			f.ObserveRejection(foreign.ID, beechcall.NotExecuted{Replaced: true, ActualID: own.ID}, "m")
 		}
 		is.Equal(f.choose(t, newCall("s", 0, 10)).Server.ID, own.ID)
 	}
