--- a/internal/request/beechcall/call.go
+++ b/internal/request/beechcall/call.go
@@ -14,29 +14,29 @@
 )
 
 type (
-	// Part is a piece of a prompt that requests may share; a part is found in a
-	// cache only behind the same parts before it.
+	// Part is a piece of a prompt that requests may share. A cache hit on a part requires
+	// the same parts before it.
 	Part struct {
 		ID     string
 		Tokens int
 	}
 
-	// Call is one request of a caller. Header and Body are opaque: they are
-	// handed on as they came, without what concerns one connection only.
+	// Call is one request of a caller. Header and Body are opaque: they are forwarded
+	// unchanged, except for headers that concern a single connection.
 	Call struct {
 		ID             string
 		Workspace      Workspace
 		Route          *Route
 		Service        string
-		Version        uint64 // of the configuration it was admitted under
-		Model          string // empty for plain services
-		Parts          []Part // the last belongs to the request or its session
+		Version        uint64 // of the configuration under which it was admitted
+		Model          string // empty if the service is not an engine
+		Parts          []Part // the last one is particular to the request or its session
 		PromptTokens   int
-		OutputTokens   int  // at most
-		TokensDeclared bool // the caller named the tokens
-		LastEventID    string
+		OutputTokens   int    // the maximum
+		TokensDeclared bool   // the caller declared its token counts
+		LastEventID    string // of the last event the caller has, if it resumes a stream
 		Received       time.Time
-		Deadline       time.Time // the caller's own or the route's, the earlier
+		Deadline       time.Time // of the caller or the route, whichever is earlier
 		Method         string
 		Target         string // path and query
 		Host           string
@@ -48,26 +48,26 @@
 	Attempt struct {
 		Call        *Call
 		Server      Server
-		Weights     uint64 // version the server must have; 0 is any
-		Salt        string // what cached parts are kept under
-		Urgency     int    // 0 goes first
-		Fetch       netip.AddrPort
-		Save        netip.AddrPort
-		LastEventID string // go on after it
+		Weights     uint64         // version that the server must have; 0: any
+		Salt        string         // cache salt: separates the cached parts of workspaces
+		Urgency     int            // 0 is the most urgent
+		Fetch       netip.AddrPort // where to fetch cached parts from; invalid: nowhere
+		Save        netip.AddrPort // where to save cached parts; invalid: nowhere
+		LastEventID string         // resume the stream after this event
 	}
 
-	// Answer is a server's answer, its body not yet read. Close before the
-	// body's end cancels the run.
+	// Answer is a server's answer whose body has not been read. Closing the body before its
+	// end cancels the execution.
 	Answer struct {
 		Status  int
 		Header  http.Header
 		Body    io.ReadCloser
-		Weights uint64 // version that made it; 0 where not told
+		Weights uint64 // version that computed it; 0: not reported
 		Load    Load
-		Limit   beechthrottle.Said // nil is not known
+		Limit   beechthrottle.Said // nil: not known
 	}
 
-	// Load is what a server said of itself with an answer.
+	// Load is the load that a server reports with an answer.
 	Load struct {
 		Known   bool
 		Running int
@@ -75,40 +75,40 @@
 		Slots   int
 	}
 
-	// Backend sends attempts. Errors are NotSent, NotRun or Unknown.
+	// Backend sends attempts. Errors are of type NotSent, NotExecuted or OutcomeUnknown.
 	Backend interface {
 		Send(ctx context.Context, attempt Attempt) (*Answer, error)
 	}
 
-	// Failure is how an attempt ends without an answer.
+	// Failure is the error of an attempt without an answer.
 	Failure interface {
 		error
 		failure()
 	}
 
-	// NotSent says that nothing reached the server.
+	// NotSent means that nothing reached the server.
 	NotSent struct {
 		Peer netip.AddrPort
 		Step string
 		Err  error
 	}
 
-	// NotExecuted says that the server turned the request away, by its own word.
-	// Replaced tells that another server answered at its address, There which,
-	// Other that it was the right one with other weights.
+	// NotExecuted means that the server rejected the request and reported that it was not
+	// executed. Replaced means that another server, ActualID, answered at the address;
+	// WeightsDiffer, that the right server has other weights.
 	NotExecuted struct {
 		Peer          netip.AddrPort
 		Status        int
 		Replaced      bool
-		ActualID      string // ID
+		ActualID      string
 		WeightsDiffer bool
-		Weights       uint64 // that it has, where told
+		Weights       uint64 // version that it has, if reported
 		Load          Load
-		Limit         beechthrottle.Said // nil is not known
-		RetryAfter    time.Duration      // when it asks to be tried again; 0 is not told
+		Limit         beechthrottle.Said // nil: not known
+		RetryAfter    time.Duration      // when the server asks for a retry; 0: not reported
 	}
 
-	// OutcomeUnknown says that the request was sent and may have run.
+	// OutcomeUnknown means that the request was sent and may have been executed.
 	OutcomeUnknown struct {
 		Peer netip.AddrPort
 		Step string
@@ -120,29 +120,30 @@
 func (NotExecuted) failure()    {}
 func (OutcomeUnknown) failure() {}
 
-// Error gives the step, the peer and the cause.
+// Error implements error.
 func (e NotSent) Error() string { return fmt.Sprintf("%s at %s: not sent: %v", e.Step, e.Peer, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e NotSent) Unwrap() error { return e.Err }
 
-// Error gives the peer and its status.
+// Error implements error.
 func (e NotExecuted) Error() string {
-	return fmt.Sprintf("attempt at %s: not run, status %d", e.Peer, e.Status)
+	return fmt.Sprintf("attempt at %s: not executed, status %d", e.Peer, e.Status)
 }
 
-// Error gives the step, the peer and the cause.
+// Error implements error.
 func (e OutcomeUnknown) Error() string {
-	return fmt.Sprintf("%s at %s: it may have run: %v", e.Step, e.Peer, e.Err)
+	return fmt.Sprintf("%s at %s: outcome unknown: %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e OutcomeUnknown) Unwrap() error { return e.Err }
 
-// TimeLeft is the time until the call's deadline.
+// TimeLeft returns the time until the call's deadline.
 func (c *Call) TimeLeft(now time.Time) time.Duration { return c.Deadline.Sub(now) }
 
-// QuotaCost is what the call counts of its workspace's quota.
+// QuotaCost returns what the call takes from its workspace's quota, in requests or
+// tokens.
 func (c *Call) QuotaCost() float64 {
 	switch {
 	case !c.Workspace.Quota.CountsTokens:
@@ -153,7 +154,7 @@
 	return float64(c.Workspace.Quota.DefaultTokens)
 }
 
-// SharedTokens counts the tokens of the parts that other requests may share.
+// SharedTokens returns the number of tokens in the parts that other requests may share.
 func (c *Call) SharedTokens() int {
 	total := 0
 	for i := 0; i+1 < len(c.Parts); i++ {
@@ -162,8 +163,8 @@
 	return total
 }
 
-// SharedPrefix names the chain of shared parts, the same for all requests about one
-// thing; empty where nothing is shared.
+// SharedPrefix identifies the sequence of shared parts, which is the same for all requests
+// about one subject; it is empty if nothing is shared.
 func (c *Call) SharedPrefix() string {
 	name := ""
 	for i := 0; i+1 < len(c.Parts); i++ {
@@ -172,8 +173,8 @@
 	return name
 }
 
-// Fingerprint tells requests of the same workspace, path and body from others,
-// alike in all processes.
+// Fingerprint returns a hash of the workspace, method, target and body that is the same in
+// all processes.
 func (c *Call) Fingerprint() uint64 {
 	h := xxhash.New()
 	for _, text := range []string{c.Workspace.Name, c.Method, c.Target} {
--- a/internal/request/beechcall/configuration.go
+++ b/internal/request/beechcall/configuration.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// The rules of a route: what may be done with a request whose outcome is not
-// known.
+// The retry policies of a route: what may be done with a request whose outcome is
+// unknown.
 const (
-	AtMostOnce RetryPolicy = iota // runs at most once
-	Repeatable                    // may run again from its start
-	Resumable                     // a stream that may go on elsewhere after its last event
+	AtMostOnce RetryPolicy = iota // executed at most once
+	Repeatable                    // may be executed again from its start
+	Resumable                     // a stream that may be resumed on another server after its last event
 )
 
 type (
-	// RetryPolicy says what may be repeated.
+	// RetryPolicy tells which requests may be retried.
 	RetryPolicy int
 
-	// Configuration is one accepted state of what operators describe. It is
-	// not changed after it was made.
+	// Configuration is an accepted version of the operators' configuration. It is immutable
+	// once BuildIndex has been called.
 	Configuration struct {
-		Version    uint64 // the operators' own number
-		Revision   uint64 // of the store, orders configurations
+		Version    uint64 // number given by the operators
+		Revision   uint64 // of the store; orders configurations
 		Routes     []Route
 		Services   map[string]Service
-		Workspaces map[string]Workspace // by key; nil where requests carry none
+		Workspaces map[string]Workspace // by API key; nil if requests carry none
 		Limits     Limits
 
-		byHost map[string][]*Route // longest prefix first
+		routesByHost map[string][]*Route // longest prefix first
 	}
 
-	// Route says where requests of a host and path prefix go.
+	// Route tells where requests to a host and path prefix go.
 	Route struct {
 		Name        string
 		Host        string
@@ -40,93 +40,92 @@
 		Targets     []Target
 		RetryPolicy RetryPolicy
 		Stream      bool
-		Public      bool          // needs no key
-		Generation  bool          // carries a prompt for a model
-		Timeout     time.Duration // 0 is none
-		Objective   time.Duration // to the first byte of the answer
-		MaxPause    time.Duration // longest between events of a stream
-		MaxAttempts int           // servers that one request may run on
-		Priority    int           // 0 goes first
+		Public      bool          // needs no API key
+		Generation  bool          // requests carry a prompt for a model
+		Timeout     time.Duration // 0: none
+		Objective   time.Duration // target for the time to the first byte of the answer
+		MaxPause    time.Duration // longest time between two events of a stream
+		MaxAttempts int           // number of servers that may execute one request
+		Priority    int           // 0 is the highest
 	}
 
-	// Target is a service with its share of a route's requests.
+	// Target is a service and its share of a route's requests.
 	Target struct {
 		Service string
 		Weight  int
 	}
 
-	// Service is a set of backend servers, or a store of kept KV cache where
-	// Kept is valid.
+	// Service is a set of backend servers, or a KV cache store if KVStore is valid.
 	Service struct {
 		Name           string
-		MaxConnections int // of all callers to one server; 0 is not known
-		Slots          int // requests that an engine runs at once; 0 for plain services
-		TokenBytes     int // KV cache of one token
+		MaxConnections int // of all callers to one server; 0: not known
+		Slots          int // requests that an engine runs at once; 0: not an engine
+		TokenBytes     int // size of one token in the KV cache
 		Models         []string
 		KVStore        netip.AddrPort
-		KVStoreRate    float64 // of a kept store: bytes that it sends or takes in a millisecond; 0 is not known
+		KVStoreRate    float64 // bytes that the store sends or receives per millisecond; 0: not known
 	}
 
-	// Workspace is who a key belongs to.
+	// Workspace is the owner of an API key.
 	Workspace struct {
 		Name     string
 		Isolated bool // shares no cache with other workspaces
-		Priority int  // goes before the route's; negative is none
+		Priority int  // takes precedence over the route's; negative: none
 		Quota    Quota
 	}
 
-	// Quota is what a workspace may use over all gates together.
+	// Quota is what a workspace may use at all gates together.
 	Quota struct {
-		Rate          float64 // a second; 0 is no limit
+		Rate          float64 // per second; 0: no limit
 		Burst         float64
-		CountsTokens  bool // both are tokens, else requests
-		DefaultTokens int  // tokens that a request counts which names none
-		Invalid       bool // what operators wrote cannot be used: the last good one stays
+		CountsTokens  bool // Rate and Burst count tokens, not requests
+		DefaultTokens int  // cost of a request that declares no token counts
+		Invalid       bool // the configured quota cannot be used: the last valid one stays in force
 	}
 
-	// Limits bound what a caller may send. Zero is not known.
+	// Limits bound what a caller may send. Zero means not known.
 	Limits struct {
 		BodyBytes   int64
 		IdleTimeout time.Duration // of a connection between requests
 	}
 
-	// WeightsVersion is a version of a model's weights that operators want in use.
+	// WeightsVersion is a version of a model's weights that operators have announced.
 	WeightsVersion struct {
 		Model    string
 		Version  uint64
 		Revision uint64 // of the store; grows with the version
 	}
 
-	// Server is a backend server in one lifetime.
+	// Server is one lifetime of a backend server.
 	Server struct {
 		ID       string // of this lifetime
 		Service  string
 		Address  netip.AddrPort
 		Zone     string
-		ListedAt uint64 // revision at which it was listed first; orders lifetimes
-		Born     uint64 // Unix milliseconds at which this lifetime began, the same ID may have several; 0 is not told
+		ListedAt uint64 // revision at which it was first listed; orders lifetimes
+		Born     uint64 // start of the lifetime in Unix milliseconds; one ID may have several lifetimes; 0: not reported
 		Slots    int
 		Leaving  bool
-		Weights  map[string]uint64 // version by model, as the list says; late
+		Weights  map[string]uint64 // version by model, as listed; may be out of date
 	}
 )
 
-// BuildIndex prepares a configuration for Find. It is called once, before the
+// BuildIndex prepares the configuration for FindRoute. It must be called once, before the
 // configuration is shared.
 func (c *Configuration) BuildIndex() {
-	c.byHost = make(map[string][]*Route, len(c.Routes))
+	c.routesByHost = make(map[string][]*Route, len(c.Routes))
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		c.byHost[r.Host] = append(c.byHost[r.Host], r)
+		c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	}
-	for _, routes := range c.byHost {
+	for _, routes := range c.routesByHost {
 		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.PathPrefix) - len(x.PathPrefix) })
 	}
 }
 
-// FindRoute gives the route of a host with the longest prefix of the path.
+// FindRoute returns the host's route with the longest prefix of the path.
 func (c *Configuration) FindRoute(host, path string) (*Route, bool) {
-	for _, r := range c.byHost[host] {
+	for _, r := range c.routesByHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
@@ -134,7 +133,7 @@
 	return nil, false
 }
 
-// PickService draws a target's service by weight; draw is in [0, 1).
+// PickService returns a target's service, chosen by weight with a random number in [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -152,7 +151,7 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// KVStores gives the stores of kept KV cache, by address.
+// KVStores returns the KV cache stores, sorted by address.
 func (c *Configuration) KVStores() []Service {
 	var stores []Service
 	for _, s := range c.Services {
--- a/internal/request/beechcall/doc.go
+++ b/internal/request/beechcall/doc.go
@@ -1,17 +1,15 @@
-// Package beechcall holds what the core of the router carries: a request with
-// all that decisions may look at, the configuration that says where it may go,
-// the backend servers that it may go to, and what an attempt came to. The
-// types are neutral: no front door's and no backend's protocol shows in them.
-//
-//	front door -> Call -> admit -> choose -> attempt -> judge -> answer
+// Package beechcall defines the data types of the router's core: a request with
+// everything that decisions about it depend on, the configuration that tells where
+// it may go, the backend servers, and the result of an attempt. The types do not
+// depend on the protocol of a listener or a backend.
 //
 // # Usage
 //
-//	route, ok := configuration.Find(host, path)
-//	call := &beechcall.Call{ID: id, Route: route, Service: route.Pick(random), ...}
+//	route, ok := configuration.FindRoute(host, path)
+//	call := &beechcall.Call{ID: id, Route: route, Service: route.PickService(random), ...}
 //	answer, err := backend.Send(ctx, beechcall.Attempt{Call: call, Server: server})
-//	var notRun beechcall.NotRun
-//	if errors.As(err, &notRun) {
-//		// it may be sent to another server
+//	var notExecuted beechcall.NotExecuted
+//	if errors.As(err, &notExecuted) {
+//		// the call may be sent to another server
 //	}
 package beechcall
