--- a/internal/command/beechcommand/gate.go
+++ b/internal/command/beechcommand/gate.go
@@ -28,7 +28,7 @@
 	pool := beechpool.New(beechpool.Defaults, clock)
 	store := platform.NewStore(r.settings.Store)
 	gate, err := beechgate.New(r.settings, beechgate.Dependencies{
-		Clock: clock, Age: beechfresh.Boot{}, Log: r.log,
+		Clock: clock, Age: beechfresh.BootClock{}, Log: r.log,
 		Source: store, StoreUse: store.Use(), Backend: platform.NewEngines(pool, clock), Pool: pool,
 		OperatorPrefix: platform.OperatorPrefix, ServerPrefix: platform.ServerPrefix,
 		Operators: platform.Operators, Servers: platform.Servers,
--- a/internal/command/beechplay/play.go
+++ b/internal/command/beechplay/play.go
@@ -84,7 +84,7 @@
 // Play plays a day and reports what callers got. An error says that the day
 // could not be played, not that callers were served badly.
 func Play(ctx context.Context, day Day, log *zap.Logger) (*Report, error) {
-	world, err := NewWorld(Inside{Age: beechfresh.Boot{}, Log: log})
+	world, err := NewWorld(Inside{Age: beechfresh.BootClock{}, Log: log})
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
 	}
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -65,7 +65,7 @@
 
 		configuration atomic.Pointer[beechcall.Configuration]
 		leaving       atomic.Bool
-		belief        *beechfresh.Belief // in what operators wrote
+		belief        *beechfresh.Tracker // in what operators wrote
 		placer        *beechplace.Placer
 		health        *beechhealth.Tracker
 		suspects      *beechsuspect.Register
--- a/internal/request/beechfresh/fresh.go
+++ b/internal/request/beechfresh/tracker.go
@@ -30,12 +30,12 @@
 	// Clock gives the time since some start, suspensions included.
 	Clock interface{ Now() time.Duration }
 
-	// Boot is the system's clock since boot.
-	Boot struct{}
+	// BootClock is the system's clock since boot.
+	BootClock struct{}
 
-	// Belief is something that must be confirmed from time to time. It is safe
+	// Tracker is something that must be confirmed from time to time. It is safe
 	// for concurrent use.
-	Belief struct {
+	Tracker struct {
 		clock     Clock
 		confirmed atomic.Int64 // math.MinInt64 is never
 	}
@@ -45,7 +45,7 @@
 const Never = time.Duration(math.MaxInt64)
 
 // Now reads CLOCK_BOOTTIME, or where there is none the time of day.
-func (Boot) Now() time.Duration {
+func (BootClock) Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		return time.Duration(time.Now().UnixNano())
@@ -54,17 +54,17 @@
 }
 
 // New returns a belief that was never confirmed.
-func New(c Clock) *Belief {
-	b := &Belief{clock: c}
+func New(c Clock) *Tracker {
+	b := &Tracker{clock: c}
 	b.confirmed.Store(math.MinInt64)
 	return b
 }
 
 // Now is the time to give to Confirm; take it before asking.
-func (b *Belief) Now() time.Duration { return b.clock.Now() }
+func (b *Tracker) Now() time.Duration { return b.clock.Now() }
 
 // Confirm tells that the belief was true at some moment after asked.
-func (b *Belief) Confirm(asked time.Duration) {
+func (b *Tracker) Confirm(asked time.Duration) {
 	for {
 		old := b.confirmed.Load()
 		if old >= int64(asked) || b.confirmed.CompareAndSwap(old, int64(asked)) {
@@ -74,7 +74,7 @@
 }
 
 // Age is the time since the belief was last known to be true.
-func (b *Belief) Age() time.Duration {
+func (b *Tracker) Age() time.Duration {
 	at := b.confirmed.Load()
 	if at == math.MinInt64 {
 		return Never
--- a/internal/request/beechfresh/fresh_test.go
+++ b/internal/request/beechfresh/tracker_test.go
@@ -36,7 +36,7 @@
 
 func TestBootClockRuns(t *testing.T) {
 	is := is.New(t)
-	before := Boot{}.Now()
+	before := BootClock{}.Now()
 	time.Sleep(2 * time.Millisecond)
-	is.True(Boot{}.Now() > before)
+	is.True(BootClock{}.Now() > before)
 }
--- a/internal/request/beechplace/placer_test.go
+++ b/internal/request/beechplace/placer_test.go
@@ -30,7 +30,7 @@
 
 // throttle knows no limits yet, and is the only gate's.
 func newThrottle(clock clockwork.Clock) *beechthrottle.Throttle {
-	t := beechthrottle.New("gate", 1, beechfresh.Boot{}, clock, func(beechthrottle.Event) {}, func() {})
+	t := beechthrottle.New("gate", 1, beechfresh.BootClock{}, clock, func(beechthrottle.Event) {}, func() {})
 	t.SetGates(1)
 	return t
 }
