--- a/internal/request/beechfresh/tracker.go
+++ b/internal/request/beechfresh/tracker.go
@@ -1,21 +1,3 @@
-// Package beechfresh keeps the age of what a process believes.
-//
-// A gate that has lost the store does not notice by itself: a watch that says
-// nothing looks like a store without changes, a kept connection may have gone
-// silent, and a process that was suspended finds its steady clock where it
-// left it. A revoked key would then be served for as long as that lasts. So
-// each belief carries the time of the read that last confirmed it, by a clock
-// that counts suspensions, taken before the read was sent.
-//
-// # Usage
-//
-//	belief := beechfresh.New(clock)
-//	asked := belief.Now()
-//	// a linearizable read
-//	belief.Confirm(asked)
-//	if belief.Age() > bound {
-//		// refuse what depends on it
-//	}
 package beechfresh
 
 import (
@@ -27,24 +9,23 @@
 )
 
 type (
-	// Clock gives the time since some start, suspensions included.
+	// Clock returns the time since some fixed point, including suspensions.
 	Clock interface{ Now() time.Duration }
 
 	// BootClock is the system's clock since boot.
 	BootClock struct{}
 
-	// Tracker is something that must be confirmed from time to time. It is safe
-	// for concurrent use.
+	// Tracker tracks when data was last confirmed. It is safe for concurrent use.
 	Tracker struct {
 		clock     Clock
-		confirmed atomic.Int64 // math.MinInt64 is never
+		confirmed atomic.Int64 // math.MinInt64: never
 	}
 )
 
-// Never is the age of what was never confirmed.
+// Never is the age of data that was never confirmed.
 const Never = time.Duration(math.MaxInt64)
 
-// Now reads CLOCK_BOOTTIME, or where there is none the time of day.
+// Now reads CLOCK_BOOTTIME, or the wall clock where that is not available.
 func (BootClock) Now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -53,31 +34,31 @@
 	return time.Duration(t.Nano())
 }
 
-// New returns a belief that was never confirmed.
+// New returns a tracker of data that was never confirmed.
 func New(c Clock) *Tracker {
-	b := &Tracker{clock: c}
-	b.confirmed.Store(math.MinInt64)
-	return b
+	t := &Tracker{clock: c}
+	t.confirmed.Store(math.MinInt64)
+	return t
 }
 
-// Now is the time to give to Confirm; take it before asking.
-func (b *Tracker) Now() time.Duration { return b.clock.Now() }
+// Now returns the time to pass to Confirm; call it before the read is sent.
+func (t *Tracker) Now() time.Duration { return t.clock.Now() }
 
-// Confirm tells that the belief was true at some moment after asked.
-func (b *Tracker) Confirm(asked time.Duration) {
+// Confirm records that the data was valid at some moment after requestedAt.
+func (t *Tracker) Confirm(requestedAt time.Duration) {
 	for {
-		old := b.confirmed.Load()
-		if old >= int64(asked) || b.confirmed.CompareAndSwap(old, int64(asked)) {
+		previous := t.confirmed.Load()
+		if previous >= int64(requestedAt) || t.confirmed.CompareAndSwap(previous, int64(requestedAt)) {
 			return
 		}
 	}
 }
 
-// Age is the time since the belief was last known to be true.
-func (b *Tracker) Age() time.Duration {
-	at := b.confirmed.Load()
+// Age returns the time since the data was last known to be valid.
+func (t *Tracker) Age() time.Duration {
+	at := t.confirmed.Load()
 	if at == math.MinInt64 {
 		return Never
 	}
-	return b.clock.Now() - time.Duration(at)
+	return t.clock.Now() - time.Duration(at)
 }
--- a/internal/request/beechfresh/tracker_test.go
+++ b/internal/request/beechfresh/tracker_test.go
@@ -14,27 +14,27 @@
 func TestAge(t *testing.T) {
 	is := is.New(t)
 	c := &clock{now: time.Hour}
-	b := New(c)
-	is.Equal(b.Age(), Never)
-	asked := b.Now()
+	tracker := New(c)
+	is.Equal(tracker.Age(), Never)
+	requestedAt := tracker.Now()
 	c.now += 300 * time.Millisecond // the read takes this long
-	b.Confirm(asked)
-	is.Equal(b.Age(), 300*time.Millisecond) // it is as old as the question, not as the answer
-	c.now += 4 * time.Second                // the process was suspended
-	is.Equal(b.Age(), 4300*time.Millisecond)
+	tracker.Confirm(requestedAt)
+	is.Equal(tracker.Age(), 300*time.Millisecond) // counted from the request, not from the answer
+	c.now += 4 * time.Second                      // the process was suspended
+	is.Equal(tracker.Age(), 4300*time.Millisecond)
 }
 
-// An answer that was on its way for long comes after a later one.
-func TestLateConfirmationChangesNothing(t *testing.T) {
+// The answer to an earlier read arrives after that of a later one.
+func TestLateConfirmationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := &clock{now: time.Hour}
-	b := New(c)
-	b.Confirm(c.now)
-	b.Confirm(c.now - time.Minute)
-	is.Equal(b.Age(), time.Duration(0))
+	tracker := New(c)
+	tracker.Confirm(c.now)
+	tracker.Confirm(c.now - time.Minute)
+	is.Equal(tracker.Age(), time.Duration(0))
 }
 
-func TestBootClockRuns(t *testing.T) {
+func TestBootClockAdvances(t *testing.T) {
 	is := is.New(t)
 	before := BootClock{}.Now()
 	time.Sleep(2 * time.Millisecond)
