--- a/internal/process/beechkeeper/cache.go
+++ b/internal/process/beechkeeper/cache.go
@@ -110,7 +110,7 @@
 	}
 	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, cacheWait+cacheSlack)
 	defer cancel()
-	shrunk, err := k.needs.Engine.Shrunk(limited, w.since, cacheWait)
+	shrunk, err := k.needs.Engine.WaitForEvictions(limited, w.since, cacheWait)
 	switch {
 	case err != nil:
 		return cacheAgain
@@ -127,10 +127,10 @@
 
 // listCache takes in what the engine holds by its own word. Small parts are
 // passed over: reading them takes less than telling all gates of them is worth.
-func (k *Keeper) listCache(ctx context.Context) (Held, error) {
+func (k *Keeper) listCache(ctx context.Context) (CacheSnapshot, error) {
 	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, reportPatience)
 	defer cancel()
-	held, err := k.needs.Engine.Held(limited)
+	held, err := k.needs.Engine.CacheSnapshot(limited)
 	if err != nil {
 		k.needs.Log.Info("cache not listed", zap.Error(err))
 		return held, err
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -27,11 +27,11 @@
 		Report(ctx context.Context) (Report, error)
 		// Order sends an order. An error says why it was not taken.
 		Order(ctx context.Context, holder string, o beechrollout.Order) (beechrollout.Answer, error)
-		// Held lists what is in the engine's cache now. It holds the engine up for
+		// CacheSnapshot lists what is in the engine's cache now. It holds the engine up for
 		// a moment.
-		Held(ctx context.Context) (Held, error)
-		// Shrunk waits for parts that lost tokens after a number.
-		Shrunk(ctx context.Context, since uint64, wait time.Duration) (Shrunk, error)
+		CacheSnapshot(ctx context.Context) (CacheSnapshot, error)
+		// WaitForEvictions waits for parts that lost tokens after a number.
+		WaitForEvictions(ctx context.Context, since uint64, wait time.Duration) (CacheEvictions, error)
 	}
 
 	// Part is a part in an engine's cache, by its key.
@@ -40,15 +40,15 @@
 		Tokens int // in the cache
 	}
 
-	// Held is what an engine's cache holds.
-	Held struct {
+	// CacheSnapshot is what an engine's cache holds.
+	CacheSnapshot struct {
 		Epoch uint64 // another one: the engine has started anew, with nothing
 		Next  uint64 // for the first call of Shrunk
 		Parts []Part
 	}
 
-	// Shrunk is what left an engine's cache after a number.
-	Shrunk struct {
+	// CacheEvictions is what left an engine's cache after a number.
+	CacheEvictions struct {
 		Epoch uint64
 		Next  uint64
 		Lost  bool   // some are not told any more
--- a/internal/process/beechkeeper/keeper_test.go
+++ b/internal/process/beechkeeper/keeper_test.go
@@ -40,11 +40,13 @@
 	return beechrollout.Silent, errNoEngine
 }
 
-func (e engine) Held(context.Context) (Held, error) { return Held{Epoch: 7, Parts: e.held}, nil }
+func (e engine) CacheSnapshot(context.Context) (CacheSnapshot, error) {
+	return CacheSnapshot{Epoch: 7, Parts: e.held}, nil
+}
 
-func (engine) Shrunk(ctx context.Context, _ uint64, _ time.Duration) (Shrunk, error) {
+func (engine) WaitForEvictions(ctx context.Context, _ uint64, _ time.Duration) (CacheEvictions, error) {
 	<-ctx.Done()
-	return Shrunk{}, ctx.Err()
+	return CacheEvictions{}, ctx.Err()
 }
 
 // gate is a gate's socket with the words that have come to it.
