--- a/internal/process/beechkeeper/cache.go
+++ b/internal/process/beechkeeper/cache.go
@@ -9,190 +9,191 @@
 	"go.uber.org/zap"
 )
 
-// cacheWatch is how far a keeper has followed its engine's cache.
-type cacheWatch struct {
+// cachePosition is how far a keeper has followed the changes of its engine's cache.
+type cachePosition struct {
 	since  uint64 // number of the last change
 	epoch  uint64
-	listed bool // what was held then is known
+	listed bool // the cache was listed at the start of this epoch
 }
 
-// news is keys that gates are to be told, each some times, since a datagram may
-// be lost.
-type news struct {
-	keys  []uint64
-	times []int
+// keyQueue holds keys to be sent to a recipient. Each is sent several times, since a
+// datagram may be lost.
+type keyQueue struct {
+	keys       []uint64
+	sendCounts []int
 }
 
 const (
-	newsTimes = 2
-	newsMost  = 64 // in one datagram
-	cacheWait = 900 * time.Millisecond
-	// cachePace lets changes come together: each call costs the same however
-	// many it tells.
-	cachePace  = 100 * time.Millisecond
-	cacheAgain = 500 * time.Millisecond
-	cacheSlack = time.Second
-	// heldMost bounds what is remembered of an engine's cache: some changes are
-	// never told, so parts would stay for good. An engine's memory of 100
-	// thousand tokens holds a few hundred parts at most.
-	heldMost = 1024
-	// worthTelling is the tokens of a part in the engine's list that is worth a
-	// word: reading it takes ten milliseconds or more.
-	worthTelling = 512
-	// listAgain is the least time between the engine's lists, which hold it up.
-	listAgain = 2 * time.Second
+	keyRepeats        = 2
+	maxKeysPerMessage = 64 // per datagram
+	evictionWait      = 900 * time.Millisecond
+	// evictionInterval lets evictions accumulate: each call costs the same, however many
+	// it returns.
+	evictionInterval   = 100 * time.Millisecond
+	cacheRetryInterval = 500 * time.Millisecond
+	evictionWaitSlack  = time.Second
+	// maxCachedParts bounds the list of cached parts: some evictions are never reported,
+	// so parts would stay in it forever. An engine's memory of 100 thousand tokens
+	// holds a few hundred parts at most.
+	maxCachedParts = 1024
+	// minPartTokens is the size from which a part in the engine's list is reported:
+	// prefilling it takes ten milliseconds or more.
+	minPartTokens = 512
+	// relistInterval is the minimum time between lists of the cache, which block the
+	// engine.
+	relistInterval = 2 * time.Second
 )
 
-func (n *news) add(key uint64) {
-	if i := slices.Index(n.keys, key); i >= 0 {
-		n.times[i] = 0
+func (q *keyQueue) add(key uint64) {
+	if i := slices.Index(q.keys, key); i >= 0 {
+		q.sendCounts[i] = 0
 		return
 	}
-	n.keys = append(n.keys, key)
-	n.times = append(n.times, 0)
+	q.keys = append(q.keys, key)
+	q.sendCounts = append(q.sendCounts, 0)
 }
 
-func (n *news) remove(key uint64) {
-	if i := slices.Index(n.keys, key); i >= 0 {
-		n.keys = slices.Delete(n.keys, i, i+1)
-		n.times = slices.Delete(n.times, i, i+1)
+func (q *keyQueue) remove(key uint64) {
+	if i := slices.Index(q.keys, key); i >= 0 {
+		q.keys = slices.Delete(q.keys, i, i+1)
+		q.sendCounts = slices.Delete(q.sendCounts, i, i+1)
 	}
 }
 
-// take gives what is to be told now.
-func (n *news) take() []uint64 {
-	told := slices.Clone(n.keys[:min(len(n.keys), newsMost)])
-	if told == nil {
-		told = []uint64{}
+// take returns the keys to send now.
+func (q *keyQueue) take() []uint64 {
+	taken := slices.Clone(q.keys[:min(len(q.keys), maxKeysPerMessage)])
+	if taken == nil {
+		taken = []uint64{}
 	}
-	kept := 0
-	for i, key := range n.keys {
-		times := n.times[i]
-		if i < len(told) {
-			times++
+	remaining := 0
+	for i, key := range q.keys {
+		count := q.sendCounts[i]
+		if i < len(taken) {
+			count++
 		}
-		if times < newsTimes {
-			n.keys[kept], n.times[kept] = key, times
-			kept++
+		if count < keyRepeats {
+			q.keys[remaining], q.sendCounts[remaining] = key, count
+			remaining++
 		}
 	}
-	n.keys, n.times = n.keys[:kept], n.times[:kept]
-	return told
+	q.keys, q.sendCounts = q.keys[:remaining], q.sendCounts[:remaining]
+	return taken
 }
 
-// watchCache follows the engine's cache, and tells gates of the parts that it
-// drops and that they believe there. Without it they would have other engines
-// fetch from this one what it no longer has, and these would read it again.
+// watchCache follows the engine's cache and notifies gates of evicted parts that they
+// consider cached there. Otherwise they would direct other engines to fetch from this one
+// what it no longer has, and those would have to prefill it.
 //
-// What comes into the cache is known from gates' announcements. At the start and
-// after a gap the engine's own list stands in for them.
+// Additions to the cache are known from gates' announcements. At the start and after a gap,
+// the engine's own list replaces them.
 func (k *Keeper) watchCache(ctx context.Context) error {
-	var w cacheWatch
+	var position cachePosition
 	for ctx.Err() == nil {
-		pause := k.followCache(ctx, &w)
+		pause := k.followCacheOnce(ctx, &position)
 		select {
-		case <-k.needs.Clock.After(pause):
+		case <-k.deps.Clock.After(pause):
 		case <-ctx.Done():
 		}
 	}
 	return ctx.Err()
 }
 
-// followCache does one step, and gives the pause before the next.
-func (k *Keeper) followCache(ctx context.Context, w *cacheWatch) time.Duration {
-	if !w.listed {
-		held, err := k.listCache(ctx)
+// followCacheOnce does one step and returns the pause before the next.
+func (k *Keeper) followCacheOnce(ctx context.Context, position *cachePosition) time.Duration {
+	if !position.listed {
+		snapshot, err := k.listCache(ctx)
 		if err != nil {
-			return cacheAgain
+			return cacheRetryInterval
 		}
-		*w = cacheWatch{since: held.Next, epoch: held.Epoch, listed: true}
-		return cachePace
+		*position = cachePosition{since: snapshot.Next, epoch: snapshot.Epoch, listed: true}
+		return evictionInterval
 	}
-	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, cacheWait+cacheSlack)
+	limited, cancel := clockwork.WithTimeout(ctx, k.deps.Clock, evictionWait+evictionWaitSlack)
 	defer cancel()
-	shrunk, err := k.needs.Engine.WaitForEvictions(limited, w.since, cacheWait)
+	evictions, err := k.deps.Engine.WaitForEvictions(limited, position.since, evictionWait)
 	switch {
 	case err != nil:
-		return cacheAgain
-	case shrunk.Lost || shrunk.Epoch != w.epoch:
-		k.needs.Log.Info("cache not known any more", zap.Bool("lost", shrunk.Lost), zap.Uint64("epoch", shrunk.Epoch))
-		k.dropAll()
-		w.listed = false
-		return listAgain
+		return cacheRetryInterval
+	case evictions.Lost || evictions.Epoch != position.epoch:
+		k.deps.Log.Info("cache state lost", zap.Bool("lost", evictions.Lost), zap.Uint64("epoch", evictions.Epoch))
+		k.removeAllParts()
+		position.listed = false
+		return relistInterval
 	}
-	k.drop(shrunk.Parts)
-	w.since = shrunk.Next
-	return cachePace
+	k.removeParts(evictions.Parts)
+	position.since = evictions.Next
+	return evictionInterval
 }
 
-// listCache takes in what the engine holds by its own word. Small parts are
-// passed over: reading them takes less than telling all gates of them is worth.
+// listCache records what the engine lists as cached. Small parts are skipped: prefilling
+// them costs less than notifying all gates.
 func (k *Keeper) listCache(ctx context.Context) (CacheSnapshot, error) {
-	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, reportPatience)
+	limited, cancel := clockwork.WithTimeout(ctx, k.deps.Clock, reportTimeout)
 	defer cancel()
-	held, err := k.needs.Engine.CacheSnapshot(limited)
+	snapshot, err := k.deps.Engine.CacheSnapshot(limited)
 	if err != nil {
-		k.needs.Log.Info("cache not listed", zap.Error(err))
-		return held, err
+		k.deps.Log.Info("cache not listed", zap.Error(err))
+		return snapshot, err
 	}
-	k.needs.Log.Info("cache listed", zap.Int("parts", len(held.Parts)), zap.Uint64("epoch", held.Epoch))
+	k.deps.Log.Info("cache listed", zap.Int("parts", len(snapshot.Parts)), zap.Uint64("epoch", snapshot.Epoch))
 	k.mu.Lock()
-	for _, part := range held.Parts {
-		if part.Tokens >= worthTelling {
-			k.hold(part.Key, false)
+	for _, part := range snapshot.Parts {
+		if part.Tokens >= minPartTokens {
+			k.addPart(part.Key, false)
 		}
 	}
 	k.mu.Unlock()
-	k.tell(true)
-	return held, nil
+	k.notify(true)
+	return snapshot, nil
 }
 
-// hold notes a part that the engine has, or will have when it has read what is
-// on its way, and has gates told. The caller holds the lock.
-func (k *Keeper) hold(part uint64, kept bool) {
-	k.held.Add(part, struct{}{})
-	for a := range k.audiences() {
-		a.parts.add(part)
-		if kept {
-			a.kept.add(part)
+// addPart records a part that is in the engine's cache, or will be once announced prompts
+// are prefilled, and queues it for all recipients. The caller holds the lock.
+func (k *Keeper) addPart(part uint64, stored bool) {
+	k.cachedParts.Add(part, struct{}{})
+	for r := range k.recipients() {
+		r.added.add(part)
+		if stored {
+			r.stored.add(part)
 		}
 	}
 }
 
-// introduce has a gate that is new told of what the engine holds, the newest
-// parts. A gate that started knows nothing; it would send each history to
-// another engine and have it read or moved there, all of them in the first
-// second, and answers would be late for some. The caller holds the lock.
-func (k *Keeper) introduce(f *follower) {
-	held := k.held.Keys()
-	for _, part := range held[max(len(held)-newsMost, 0):] {
-		f.parts.add(part)
+// queueAllParts queues the most recent cached parts for a new gate. A gate that has just
+// started knows none; it would send each history to another engine, which would have to
+// prefill or fetch it. All of that would fall into the first second, and some answers would
+// be late. The caller holds the lock.
+func (k *Keeper) queueAllParts(gate *gateState) {
+	keys := k.cachedParts.Keys()
+	for _, part := range keys[max(len(keys)-maxKeysPerMessage, 0):] {
+		gate.added.add(part)
 	}
 }
 
-func (k *Keeper) drop(parts []Part) {
+func (k *Keeper) removeParts(parts []Part) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, part := range parts {
-		if k.held.Remove(part.Key) {
-			k.tellGone(part.Key)
+		if k.cachedParts.Remove(part.Key) {
+			k.queueRemoval(part.Key)
 		}
 	}
 }
 
-func (k *Keeper) dropAll() {
+func (k *Keeper) removeAllParts() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, part := range k.held.Keys() {
-		k.tellGone(part)
+	for _, part := range k.cachedParts.Keys() {
+		k.queueRemoval(part)
 	}
-	k.held.Purge()
+	k.cachedParts.Purge()
 }
 
-// tellGone has all gates told of a part. The caller holds the lock.
-func (k *Keeper) tellGone(part uint64) {
-	for a := range k.audiences() {
-		a.parts.remove(part)
-		a.gone.add(part)
+// queueRemoval queues a part's removal for all recipients. The caller holds the lock.
+func (k *Keeper) queueRemoval(part uint64) {
+	for r := range k.recipients() {
+		r.added.remove(part)
+		r.removed.add(part)
 	}
 }
--- a/internal/process/beechkeeper/doc.go
+++ b/internal/process/beechkeeper/doc.go
@@ -1,11 +1,11 @@
-// Package beechkeeper is the process beside an engine that gives the engine its
-// orders, and tells gates how it stands: its load as of now, its weights, and
-// that it is about to take new ones.
+// Package beechkeeper is the process on an engine's host that sends the engine
+// its orders and reports its state to the gates: its current load, its weights,
+// and that it is about to load new ones.
 //
-// Each engine has one keeper and no other holder, so orders need no lease and
-// no election, and a gate that is lost or cut off stops nobody's weights. A
-// keeper needs no store: gates tell it which version its engine is to have and
-// when its turn comes, each the same; the first word counts.
+// Each engine has exactly one keeper, so orders need neither a lease nor an
+// election, and the loss of a gate does not stop weight updates. A keeper does
+// not use the store: every gate tells it the version that its engine is to load
+// and when it may do so. All gates send the same, and the first message counts.
 //
 // # Usage
 //
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -22,45 +22,45 @@
 )
 
 type (
-	// Engine is the backend server beside the keeper.
+	// Engine is the backend server on the keeper's host.
 	Engine interface {
 		Report(ctx context.Context) (Report, error)
-		// Order sends an order. An error says why it was not taken.
+		// Order sends an order. The error explains why it was not accepted.
 		Order(ctx context.Context, holder string, o beechrollout.Order) (beechrollout.Answer, error)
-		// CacheSnapshot lists what is in the engine's cache now. It holds the engine up for
+		// CacheSnapshot lists the contents of the engine's cache. It blocks the engine for
 		// a moment.
 		CacheSnapshot(ctx context.Context) (CacheSnapshot, error)
-		// WaitForEvictions waits for parts that lost tokens after a number.
+		// WaitForEvictions waits for evictions after change number since.
 		WaitForEvictions(ctx context.Context, since uint64, wait time.Duration) (CacheEvictions, error)
 	}
 
-	// Part is a part in an engine's cache, by its key.
+	// Part is a part of a prompt in an engine's cache, identified by its key.
 	Part struct {
 		Key    uint64
 		Tokens int // in the cache
 	}
 
-	// CacheSnapshot is what an engine's cache holds.
+	// CacheSnapshot is the content of an engine's cache.
 	CacheSnapshot struct {
-		Epoch uint64 // another one: the engine has started anew, with nothing
-		Next  uint64 // for the first call of Shrunk
+		Epoch uint64 // changes when the engine restarts with an empty cache
+		Next  uint64 // change number for the first call of WaitForEvictions
 		Parts []Part
 	}
 
-	// CacheEvictions is what left an engine's cache after a number.
+	// CacheEvictions lists what an engine's cache has evicted after a change number.
 	CacheEvictions struct {
 		Epoch uint64
 		Next  uint64
-		Lost  bool   // some are not told any more
-		Parts []Part // with the tokens that are left
+		Lost  bool   // some evictions are no longer listed
+		Parts []Part // with the tokens that are still cached
 	}
 
-	// Report is what an engine says of itself.
+	// Report is the state that an engine reports.
 	Report struct {
 		beechrollout.Report
 		CacheUsed  int
 		CacheTotal int
-		Limit      beechthrottle.Said // nil is not known
+		Limit      beechthrottle.Said // nil: not known
 	}
 
 	// Dependencies of a keeper.
@@ -70,158 +70,159 @@
 		Engine Engine
 	}
 
-	// Keeper is the process.
+	// Keeper is the process that controls one engine.
 	Keeper struct {
 		settings   *beechsettings.Keeper
-		needs      Dependencies
+		deps       Dependencies
 		socket     *beechbeat.Socket
 		supervisor *suture.Supervisor
 		suspects   *beechsuspect.Register
 		metrics    *metrics
 		wake       chan struct{}
 
-		mu        sync.Mutex
-		turn      *beechrollout.Updater
-		followers map[netip.AddrPort]*follower
-		zones     map[string]*audience // that are told through relays
-		number    uint32               // of the last word
-		last      Report
-		reading   beechrollout.PrefillBacklog
-		held      *lru.Cache[uint64, struct{}] // announced or listed, and not seen to be dropped
-		phase     beechrollout.Phase
+		mu           sync.Mutex
+		updater      *beechrollout.Updater
+		gates        map[netip.AddrPort]*gateState
+		relayedZones map[string]*recipient // zones that receive messages through relays
+		lastNumber   uint32                // sequence number of the last state message
+		lastReport   Report
+		backlog      beechrollout.PrefillBacklog
+		cachedParts  *lru.Cache[uint64, struct{}] // announced or listed, and not known to be evicted
+		phase        beechrollout.Phase
 	}
 
-	// follower is a gate as this keeper knows it.
-	follower struct {
-		audience
-		zone  string
-		heard time.Time
-		named time.Time // when it was told last of the other gates of its zone
+	// gateState is a gate as this keeper knows it.
+	gateState struct {
+		recipient
+		zone        string
+		lastHeard   time.Time
+		peersSentAt time.Time // when it was last sent the list of gates
 	}
 
-	// state is what is told at once when it changes.
-	state struct {
+	// urgentState is the part of the state whose changes are sent at once.
+	urgentState struct {
 		phase   beechrollout.Phase
 		version uint64
 	}
 )
 
 const (
-	reportPatience  = 400 * time.Millisecond
-	orderPatience   = 800 * time.Millisecond
-	followerLasts   = 4500 * time.Millisecond // three words of a gate of another zone
-	trafficInterval = 15 * time.Second        // as in gates: four lines a minute and host
-	namesInterval   = time.Second             // between words to gates of this zone of one another
-	readingPoll     = 60 * time.Millisecond   // between reports while long prompts are read
-	onTheWay        = 15 * time.Millisecond   // an announced prompt may not have come in yet
-	longPrompt      = 1500                    // tokens; reading them takes longer than a word to all gates
+	reportTimeout       = 400 * time.Millisecond
+	orderTimeout        = 800 * time.Millisecond
+	gateTimeout         = 4500 * time.Millisecond // three messages of a gate in another zone
+	trafficInterval     = 15 * time.Second        // as in gates: four lines a minute per host
+	peersInterval       = time.Second             // between lists of gates sent to a gate of this zone
+	backlogPollInterval = 60 * time.Millisecond   // between reports while long prompts are prefilled
+	promptArrivalDelay  = 15 * time.Millisecond   // an announced prompt may arrive this much later
+	longPromptTokens    = 1500                    // prefilling more takes longer than a message to all gates
 )
 
-// New returns a keeper that is bound to its beat address.
-func New(s *beechsettings.Keeper, needs Dependencies) (*Keeper, error) {
+// New returns a keeper that listens on its address for heartbeats.
+func New(s *beechsettings.Keeper, deps Dependencies) (*Keeper, error) {
 	socket, err := beechbeat.Open(s.Beats)
 	if err != nil {
 		return nil, err
 	}
-	held, err := lru.New[uint64, struct{}](heldMost)
+	cachedParts, err := lru.New[uint64, struct{}](maxCachedParts)
 	if err != nil {
 		panic(err) // the size is a constant above zero
 	}
 	k := &Keeper{
-		settings: s, needs: needs, socket: socket,
-		suspects: beechsuspect.New(beechsuspect.Settings{}, needs.Clock),
-		turn:     beechrollout.NewUpdater(beechrollout.Settings{}), followers: make(map[netip.AddrPort]*follower), zones: make(map[string]*audience),
-		number: uint32(needs.Clock.Now().Unix()) << numberBits,
-		wake:   make(chan struct{}, 1), held: held,
+		settings: s, deps: deps, socket: socket,
+		suspects: beechsuspect.New(beechsuspect.Settings{}, deps.Clock),
+		updater:  beechrollout.NewUpdater(beechrollout.Settings{}), gates: make(map[netip.AddrPort]*gateState), relayedZones: make(map[string]*recipient),
+		lastNumber: uint32(deps.Clock.Now().Unix()) << sequenceBits,
+		wake:       make(chan struct{}, 1), cachedParts: cachedParts,
 	}
 	k.metrics = newMetrics(k)
-	k.supervisor = suture.New("keeper", suture.Spec{EventHook: beechlog.SupervisorHook(needs.Log)})
-	k.supervisor.Add(beechtask.Task{Name: "hear gates", Run: func(ctx context.Context) error { return socket.Receive(ctx, k.hear) }})
-	k.supervisor.Add(beechtask.Task{Name: "keep engine", Run: k.keep})
+	k.supervisor = suture.New("keeper", suture.Spec{EventHook: beechlog.SupervisorHook(deps.Log)})
+	k.supervisor.Add(beechtask.Task{Name: "receive from gates", Run: func(ctx context.Context) error { return socket.Receive(ctx, k.receive) }})
+	k.supervisor.Add(beechtask.Task{Name: "control engine", Run: k.controlEngine})
 	k.supervisor.Add(beechtask.Task{Name: "watch cache", Run: k.watchCache})
-	k.supervisor.Add(beechtask.Task{Name: "tell traffic", Run: func(ctx context.Context) error {
-		return beechtask.Every(ctx, needs.Clock, trafficInterval, func() {
-			needs.Log.Info("traffic", beechlog.Counts("datagrams", socket.Sent()))
+	k.supervisor.Add(beechtask.Task{Name: "log traffic", Run: func(ctx context.Context) error {
+		return beechtask.Every(ctx, deps.Clock, trafficInterval, func() {
+			deps.Log.Info("traffic", beechlog.Counts("datagrams", socket.Sent()))
 		})
 	}})
 	return k, nil
 }
 
-// Run keeps the engine until the context ends.
+// Run controls the engine until the context ends.
 func (k *Keeper) Run(ctx context.Context) error {
-	k.needs.Log.Info("keeper started", zap.Stringer("engine", k.settings.Engine))
+	k.deps.Log.Info("keeper started", zap.Stringer("engine", k.settings.Engine))
 	err := k.supervisor.Serve(ctx)
-	k.needs.Log.Info("keeper stopped")
+	k.deps.Log.Info("keeper stopped")
 	if ctx.Err() != nil {
 		return nil
 	}
 	return err
 }
 
-// hear takes in a gate's word.
-func (k *Keeper) hear(from netip.AddrPort, m beechbeat.Message) {
+// receive handles a message from a gate.
+func (k *Keeper) receive(from netip.AddrPort, m beechbeat.Message) {
 	switch v := m.(type) {
 	case beechbeat.Follow:
-		k.hearFollow(from, v)
+		k.receiveFollow(from, v)
 	case beechbeat.Announce:
-		k.hearAnnounce(v)
+		k.receiveAnnounce(v)
 	}
 }
 
-// hearAnnounce takes in a prompt. Of a long one all gates are told at once:
-// their next requests would otherwise wait behind it without their knowing.
-func (k *Keeper) hearAnnounce(a beechbeat.Announce) {
-	now := k.needs.Clock.Now()
+// receiveAnnounce records an announced prompt. Long prompts are reported to all gates at
+// once: without that, their next requests would be queued behind the prompt unknowingly.
+func (k *Keeper) receiveAnnounce(a beechbeat.Announce) {
+	now := k.deps.Clock.Now()
 	k.mu.Lock()
-	k.reading.Add(a.Read, now)
+	k.backlog.Add(a.Read, now)
 	for _, part := range a.Parts {
-		k.hold(part, a.Kept)
+		k.addPart(part, a.Kept)
 	}
 	k.mu.Unlock()
-	if a.Read >= longPrompt {
-		k.tell(true)
+	if a.Read >= longPromptTokens {
+		k.notify(true)
 	}
 }
 
-func (k *Keeper) hearFollow(from netip.AddrPort, follow beechbeat.Follow) {
-	now := k.needs.Clock.Now()
+// receiveFollow handles a gate's periodic message, which has the targets for the engine.
+func (k *Keeper) receiveFollow(from netip.AddrPort, follow beechbeat.Follow) {
+	now := k.deps.Clock.Now()
 	k.mu.Lock()
-	f, known := k.followers[from]
+	gate, known := k.gates[from]
 	if !known {
-		f = &follower{zone: follow.Zone}
-		k.followers[from] = f
-		k.introduce(f)
-		k.regroup()
+		gate = &gateState{zone: follow.Zone}
+		k.gates[from] = gate
+		k.queueAllParts(gate)
+		k.updateRelays()
 	}
-	f.heard = now
-	k.reading.ObserveRate(float64(follow.Rate), now)
+	gate.lastHeard = now
+	k.backlog.ObserveRate(float64(follow.Rate), now)
 	for _, t := range follow.Targets {
-		k.turn.SetTarget(beechrollout.Target{
+		k.updater.SetTarget(beechrollout.Target{
 			Model: t.Model, Version: t.Version, Fence: t.Fence, Granted: t.Granted, FallbackAt: now.Add(time.Duration(t.Alone) * time.Millisecond),
 		}, now)
 	}
 	if !known || follow.Ask {
-		f.named = time.Time{} // it may have just started, and know no other gate
-		k.tellGate(from, f, now)
+		gate.peersSentAt = time.Time{} // it may have just started and know no other gate
+		k.notifyGate(from, gate, now)
 	}
 	k.mu.Unlock()
 	k.suspects.Merge(beechshare.SuspectRecords(follow.Suspects))
 	if !known {
 		level := zap.DebugLevel
-		if k.way(f) == beechbeat.Near {
-			level = zap.InfoLevel // a line for each keeper and gate of a fleet would grow with its square
+		if k.wayTo(gate) == beechbeat.Near {
+			level = zap.InfoLevel // a line per keeper and gate would grow with the square of the fleet
 		}
-		k.needs.Log.Log(level, "gate follows", zap.String("gate", follow.Gate), zap.Stringer("peer", from))
+		k.deps.Log.Log(level, "gate follows", zap.String("gate", follow.Gate), zap.Stringer("peer", from))
 	}
 	beechtask.Wake(k.wake)
 }
 
-// keep looks at the engine, gives it what is due, and tells the gates.
-func (k *Keeper) keep(ctx context.Context) error {
+// controlEngine polls the engine, sends it orders that are due, and notifies the gates.
+func (k *Keeper) controlEngine(ctx context.Context) error {
 	for ctx.Err() == nil {
-		after := k.step(ctx)
+		after := k.pollEngine(ctx)
 		select {
-		case <-k.needs.Clock.After(after):
+		case <-k.deps.Clock.After(after):
 		case <-k.wake:
 		case <-ctx.Done():
 		}
@@ -229,79 +230,81 @@
 	return ctx.Err()
 }
 
-func (k *Keeper) step(ctx context.Context) time.Duration {
-	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, reportPatience)
-	asked := k.needs.Clock.Now()
-	report, err := k.needs.Engine.Report(limited)
+// pollEngine polls the engine once, acts on its report, and returns the time until the next
+// poll.
+func (k *Keeper) pollEngine(ctx context.Context) time.Duration {
+	limited, cancel := clockwork.WithTimeout(ctx, k.deps.Clock, reportTimeout)
+	polledAt := k.deps.Clock.Now()
+	report, err := k.deps.Engine.Report(limited)
 	cancel()
 	report.Known = err == nil
 	if !report.Known {
-		k.metrics.silent.Add(1)
+		k.metrics.missedReports.Add(1)
 	}
 	k.mu.Lock()
-	if report.Known && report.Limit != k.last.Limit && (names(report.Limit) || names(k.last.Limit)) {
-		k.needs.Log.Info("engine's limit in its report", zap.Any("said", report.Limit))
+	if report.Known && report.Limit != k.lastReport.Limit && (reportsLimit(report.Limit) || reportsLimit(k.lastReport.Limit)) {
+		k.deps.Log.Info("engine's limit in its report", zap.Any("said", report.Limit))
 	}
-	anew := report.Known && report.Restarted(k.last.Report)
-	next := k.turn.Next(k.needs.Clock.Now(), report.Report)
+	restarted := report.Known && report.Restarted(k.lastReport.Report)
+	step := k.updater.Next(k.deps.Clock.Now(), report.Report)
 	if report.Known {
-		k.last = report
+		k.lastReport = report
 	}
 	if report.Known && report.Waiting == 0 {
-		k.reading.Clear(asked.Add(-onTheWay))
+		k.backlog.Clear(polledAt.Add(-promptArrivalDelay))
 	}
-	reading := k.reading.Remaining(k.needs.Clock.Now()) > 0
+	prefilling := k.backlog.Remaining(k.deps.Clock.Now()) > 0
 	k.mu.Unlock()
-	if anew {
-		k.startedAnew(report)
+	if restarted {
+		k.engineRestarted(report)
 	}
-	switch v := next.(type) {
+	switch v := step.(type) {
 	case beechrollout.Wait:
 		k.setPhase(v.Phase, err)
-		k.tell(false)
-		if reading {
-			return min(v.After, readingPoll)
+		k.notify(false)
+		if prefilling {
+			return min(v.After, backlogPollInterval)
 		}
 		return v.After
 	case beechrollout.Order:
 		k.setPhase(beechrollout.Loading, nil)
-		k.tell(true)
-		k.order(ctx, v)
+		k.notify(true)
+		k.sendOrder(ctx, v)
 	}
 	return 0
 }
 
-// names tells whether an answer named a limit, be it one that cannot be used.
-func names(said beechthrottle.Said) bool {
-	switch said.(type) {
+// reportsLimit reports whether an answer named a limit, be it an invalid one.
+func reportsLimit(limit beechthrottle.Said) bool {
+	switch limit.(type) {
 	case beechthrottle.Names, beechthrottle.Faulty:
 		return true
 	}
 	return false
 }
 
-// startedAnew forgets what is believed of an engine that has begun another
-// lifetime under its ID: it holds nothing. Gates that go on believing would have
-// others fetch from it what it lost.
-func (k *Keeper) startedAnew(r Report) {
-	k.metrics.anew.Add(1)
-	k.needs.Log.Info("engine started anew", zap.Uint64("born", r.Born), zap.Uint64("sequence", r.Sequence))
+// engineRestarted discards the state of an engine that has restarted under the same ID,
+// whose cache is empty now. Otherwise gates would go on directing other engines to fetch
+// from it what it has lost.
+func (k *Keeper) engineRestarted(r Report) {
+	k.metrics.restarts.Add(1)
+	k.deps.Log.Info("engine restarted", zap.Uint64("born", r.Born), zap.Uint64("sequence", r.Sequence))
 	k.mu.Lock()
-	k.reading.Clear(k.needs.Clock.Now())
+	k.backlog.Clear(k.deps.Clock.Now())
 	k.mu.Unlock()
-	k.dropAll()
-	k.tell(true)
+	k.removeAllParts()
+	k.notify(true)
 }
 
-func (k *Keeper) order(ctx context.Context, o beechrollout.Order) {
-	limited, cancel := clockwork.WithTimeout(ctx, k.needs.Clock, orderPatience)
+func (k *Keeper) sendOrder(ctx context.Context, o beechrollout.Order) {
+	limited, cancel := clockwork.WithTimeout(ctx, k.deps.Clock, orderTimeout)
 	defer cancel()
-	answer, err := k.needs.Engine.Order(limited, k.settings.Name, o)
-	k.needs.Log.Info("order sent", zap.String("model", o.Target.Model), zap.Uint64("version", o.Target.Version),
+	answer, err := k.deps.Engine.Order(limited, k.settings.Name, o)
+	k.deps.Log.Info("order sent", zap.String("model", o.Target.Model), zap.Uint64("version", o.Target.Version),
 		zap.Uint64("fence", o.Target.Fence), zap.Uint64("sequence", o.Sequence), zap.Int("outcome", int(answer)), zap.Error(err))
 	k.metrics.orders.Add(answer.String(), 1)
 	k.mu.Lock()
-	k.turn.RecordAnswer(answer)
+	k.updater.RecordAnswer(answer)
 	k.mu.Unlock()
 }
 
@@ -309,11 +312,11 @@
 	k.mu.Lock()
 	old := k.phase
 	k.phase = p
-	last := k.last
+	last := k.lastReport
 	k.mu.Unlock()
 	if old != p {
-		k.metrics.entered(p, k.needs.Clock.Now())
-		k.needs.Log.Info("engine's phase", zap.Int("phase", int(p)), zap.Int("was", int(old)), zap.Any("weights", last.Versions),
+		k.metrics.recordPhase(p, k.deps.Clock.Now())
+		k.deps.Log.Info("engine's phase", zap.Int("phase", int(p)), zap.Int("was", int(old)), zap.Any("weights", last.Versions),
 			zap.Int("running", last.Running), zap.Int("waiting", last.Waiting), zap.Error(err))
 	}
 }
--- a/internal/process/beechkeeper/keeper_test.go
+++ b/internal/process/beechkeeper/keeper_test.go
@@ -18,14 +18,14 @@
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
 
-// engine is an engine that has something in its cache and does nothing. Without
-// reports it does not answer.
+// engine is an idle engine with a given cache content. Without queued reports it does not
+// answer polls.
 type engine struct {
 	held    []Part
 	reports chan Report
 }
 
-var errNoEngine = errors.New("there is no engine")
+var errNoEngine = errors.New("engine does not answer")
 
 func (e engine) Report(context.Context) (Report, error) {
 	select {
@@ -49,11 +49,11 @@
 	return CacheEvictions{}, ctx.Err()
 }
 
-// gate is a gate's socket with the words that have come to it.
+// gate is a gate's socket with the messages that it has received.
 type gate struct {
 	*beechbeat.Socket
-	told chan *beechwire.Tell
-	pass chan *beechwire.Tell // to be passed on
+	tells   chan *beechwire.Tell
+	relayed chan *beechwire.Tell // to be forwarded
 
 	rosters chan *beechwire.Roster
 }
@@ -70,9 +70,9 @@
 		_ = socket.Receive(ctx, func(_ netip.AddrPort, m beechbeat.Message) {
 			switch v := m.(type) {
 			case beechbeat.Tell:
-				g.told <- v.Tell
+				g.tells <- v.Tell
 			case beechbeat.Pass:
-				g.pass <- &v.Tell
+				g.relayed <- &v.Tell
 			case beechbeat.Roster:
 				g.rosters <- v.Roster
 			}
@@ -81,17 +81,17 @@
 	return g
 }
 
-// word gives the next word that came, or nil if none does.
-func (g *gate) word() *beechwire.Tell {
+// nextTell returns the next state message, or nil if none arrives.
+func (g *gate) nextTell() *beechwire.Tell {
 	select {
-	case tell := <-g.told:
+	case tell := <-g.tells:
 		return tell
 	case <-time.After(5 * time.Second):
 		return nil
 	}
 }
 
-// newKeeper gives a keeper whose clock stands still: nothing is told for its age.
+// newKeeper returns a keeper whose clock does not advance, so that no interval expires.
 func newKeeper(t *testing.T, e Engine) *Keeper {
 	settings := &beechsettings.Keeper{Zone: "mill", Beats: netip.MustParseAddrPort("127.0.0.1:0")}
 	k, err := New(settings, Dependencies{Clock: clockwork.NewFakeClock(), Log: zap.NewNop(), Engine: e})
@@ -102,125 +102,122 @@
 	return k
 }
 
-// A gate sends a long prompt to an engine. A gate in another zone does not hear
-// of it for a fifth of a second and sends its own callers' questions there,
-// which all wait behind the prompt: engines read prompts one after another.
-// Callers of that zone get their first word late.
-func TestLongPromptIsToldToEveryZone(t *testing.T) {
+// A gate sends a long prompt to an engine. If a gate in another zone learned of it a fifth of
+// a second later, it would send its own requests there meanwhile. They would all wait for the
+// prompt, since engines prefill one prompt after another, and get their first token late.
+func TestLongPromptIsReportedToAllZones(t *testing.T) {
 	is := is.New(t)
 	far := newGate(t)
 	k := newKeeper(t, engine{})
-	k.hear(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
-	is.True(far.word() != nil) // a gate that is new is told at once
+	k.receive(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	is.True(far.nextTell() != nil) // a new gate gets the state at once
 
-	k.hear(far.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: 6000}})
-	told := far.word()
-	is.True(told != nil)
-	is.Equal(told.Read, 6000)
+	k.receive(far.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: 6000}})
+	tell := far.nextTell()
+	is.True(tell != nil)
+	is.Equal(tell.Read, 6000)
 }
 
-// A gate is restarted, or all gates at once. If nobody tells it where histories
-// lie it sends them to other engines, which read them anew, all in the first
-// second; its callers wait for that.
-func TestNewGateIsToldWhatTheEngineHolds(t *testing.T) {
+// One gate or all gates restart. A gate that does not know where histories are cached sends
+// them to other engines, which prefill them again, all in the first second, while callers wait.
+func TestNewGateGetsCachedParts(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(t, engine{})
-	k.hear(netip.MustParseAddrPort("127.0.0.1:9"), beechbeat.Announce{Announce: &beechwire.Announce{Parts: []uint64{1, 2, 3}}})
-	k.drop([]Part{{Key: 2}})
-	late := newGate(t)
-	k.hear(late.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
-	told := late.word()
-	is.True(told != nil)
-	is.Equal(told.Parts, []uint64{1, 3})
+	k.receive(netip.MustParseAddrPort("127.0.0.1:9"), beechbeat.Announce{Announce: &beechwire.Announce{Parts: []uint64{1, 2, 3}}})
+	k.removeParts([]Part{{Key: 2}})
+	newcomer := newGate(t)
+	k.receive(newcomer.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	tell := newcomer.nextTell()
+	is.True(tell != nil)
+	is.Equal(tell.Parts, []uint64{1, 3})
 }
 
-// All processes are killed at once; the engines go on with full caches. A keeper
-// that knows only what gates announce to it would know nothing of them.
-func TestKeeperThatStartsLearnsWhatItsEngineHolds(t *testing.T) {
+// All processes are killed at once, but the engines keep running with full caches. A keeper that
+// relied on gates' announcements alone would know nothing of the cached parts.
+func TestStartingKeeperListsEngineCache(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(t, engine{held: []Part{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 40}, {Key: 3, Tokens: 2500}}})
 	g := newGate(t)
-	k.hear(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
-	is.Equal(len(g.word().Parts), 0)
+	k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
+	is.Equal(len(g.nextTell().Parts), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		_ = k.watchCache(ctx)
 		close(ended)
 	}()
-	told := g.word()
+	tell := g.nextTell()
 	cancel()
 	<-ended
-	is.True(told != nil)
-	is.Equal(told.Parts, []uint64{1, 3}) // the second is too small to be worth a word
+	is.True(tell != nil)
+	is.Equal(tell.Parts, []uint64{1, 3}) // the second is too small to be reported
 }
 
-// Five gates of another zone follow a keeper. Each word to each of them crosses the
-// border of the zone, and those bytes are paid for; so one of them is told, and what
-// must not be lost goes to two. A gate that has heard nothing for a while, since the
-// one that should pass words on is dead, is told directly.
-func TestZoneIsToldThroughItsRelays(t *testing.T) {
+// Five gates of another zone follow a keeper. Traffic between zones is paid for, so only one of
+// them is sent each message, and two where it must not be lost. A gate that has received nothing
+// for a while, because its relay is down, is sent messages directly.
+func TestZoneIsNotifiedThroughRelays(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(t, engine{})
 	var gates []*gate
 	for range 5 {
 		g := newGate(t)
 		gates = append(gates, g)
-		k.hear(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
-		is.True(g.word() != nil) // it is introduced directly
+		k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+		is.True(g.nextTell() != nil) // a new gate gets the state directly
 	}
-	passed := func() (n int) {
-		time.Sleep(50 * time.Millisecond) // datagrams on this host are there
+	relayedCount := func() (n int) {
+		time.Sleep(50 * time.Millisecond) // datagrams to this host have arrived by then
 		for _, g := range gates {
-			n += len(g.pass)
-			for len(g.pass) > 0 {
-				is.Equal((<-g.pass).Parts, []uint64{7})
+			n += len(g.relayed)
+			for len(g.relayed) > 0 {
+				is.Equal((<-g.relayed).Parts, []uint64{7})
 			}
 		}
 		return n
 	}
-	for _, g := range gates { // words of when the zone had come to four
-		for len(g.pass) > 0 {
-			<-g.pass
+	for _, g := range gates { // messages sent when the zone had four gates
+		for len(g.relayed) > 0 {
+			<-g.relayed
 		}
 	}
-	k.hear(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPrompt, Parts: []uint64{7}}})
-	first := passed()
+	k.receive(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
+	first := relayedCount()
 	is.True(first >= 1 && first <= 2)
-	k.hear(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPrompt, Parts: []uint64{7}}})
-	is.Equal(passed(), 1)
+	k.receive(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
+	is.Equal(relayedCount(), 1)
 	k.setPhase(beechrollout.Leaving, nil)
-	k.tell(false)
+	k.notify(false)
 	time.Sleep(50 * time.Millisecond)
 	relays := 0
 	for _, g := range gates {
-		is.Equal(len(g.told), 0)
-		relays += len(g.pass)
+		is.Equal(len(g.tells), 0)
+		relays += len(g.relayed)
 	}
 	is.Equal(relays, 2)
-	k.hear(gates[2].Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft", Ask: true}})
-	told := gates[2].word()
-	is.True(told != nil)
-	is.Equal(told.Phase, int(beechrollout.Leaving))
+	k.receive(gates[2].Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft", Ask: true}})
+	tell := gates[2].nextTell()
+	is.True(tell != nil)
+	is.Equal(tell.Phase, int(beechrollout.Leaving))
 }
 
-// A gate is killed and starts again at its address. It knows no other gate, and until it
-// does it keeps to a small share of each workspace's quota, so it is told of them as soon
-// as it asks.
-func TestGateThatStartsAgainIsToldOfTheOthers(t *testing.T) {
+// A gate is killed and restarts at its address. It knows no other gate, and until it does it
+// uses only a small share of each workspace's quota, so it gets the list of gates as soon as it
+// asks.
+func TestRestartedGateGetsListOfGates(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(t, engine{})
 	near, far := newGate(t), newGate(t)
-	k.hear(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone}})
-	k.hear(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	k.receive(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone}})
+	k.receive(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
 	rosters := func() int {
-		k.tell(false)
-		time.Sleep(50 * time.Millisecond) // datagrams on this host are there
+		k.notify(false)
+		time.Sleep(50 * time.Millisecond) // datagrams to this host have arrived by then
 		return len(near.rosters)
 	}
 	is.Equal(rosters(), 1)
-	is.Equal(rosters(), 1) // it knows
-	k.hear(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone, Ask: true}})
+	is.Equal(rosters(), 1) // the list is not repeated
+	k.receive(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone, Ask: true}})
 	is.Equal(rosters(), 2)
 	roster := <-near.rosters
 	is.Equal(len(roster.Zones), 1)
@@ -230,27 +227,27 @@
 	is.Equal(gate, far.Address())
 }
 
-// An engine starts again under the ID that it had, with nothing in its cache.
-// Gates go on having others fetch from it until they hear that it lost all.
-func TestEngineThatStartsAnewIsToldAsEmpty(t *testing.T) {
+// An engine restarts under the same ID with an empty cache. Gates direct other engines to fetch
+// from it until they hear that its parts are gone.
+func TestEngineRestartRemovesCachedParts(t *testing.T) {
 	is := is.New(t)
 	reports := make(chan Report, 2)
 	k := newKeeper(t, engine{reports: reports})
 	g := newGate(t)
-	k.hear(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
-	is.True(g.word() != nil)
-	k.hear(g.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPrompt, Parts: []uint64{1, 2}}})
-	is.Equal(g.word().Parts, []uint64{1, 2})
+	k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
+	is.True(g.nextTell() != nil)
+	k.receive(g.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{1, 2}}})
+	is.Equal(g.nextTell().Parts, []uint64{1, 2})
 	for _, born := range []uint64{100, 200} {
 		reports <- Report{Report: beechrollout.Report{Born: born}}
-		k.step(t.Context())
+		k.pollEngine(t.Context())
 	}
-	told := g.word()
-	for told != nil && len(told.Gone) == 0 {
-		told = g.word()
+	tell := g.nextTell()
+	for tell != nil && len(tell.Gone) == 0 {
+		tell = g.nextTell()
 	}
-	is.True(told != nil)
-	slices.Sort(told.Gone)
-	is.Equal(told.Gone, []uint64{1, 2})
-	is.Equal(told.Born, uint64(200))
+	is.True(tell != nil)
+	slices.Sort(tell.Gone)
+	is.Equal(tell.Gone, []uint64{1, 2})
+	is.Equal(tell.Born, uint64(200))
 }
--- a/internal/process/beechkeeper/notify.go
+++ b/internal/process/beechkeeper/notify.go
@@ -15,189 +15,190 @@
 	"github.com/beechring/beechring/internal/process/beechshare"
 )
 
-// audience is what a gate, or all gates of another zone, were told.
-type audience struct {
-	relays []netip.AddrPort // of a zone; none for a gate
-	words  uint32           // to a zone, so that its relays take turns
-	told   time.Time
-	is     state // that was told last
-	parts  news
-	gone   news
-	kept   news
+// recipient is a gate, or all gates of another zone, with what it has been sent.
+type recipient struct {
+	relays    []netip.AddrPort // of a zone; nil for a gate
+	messages  uint32           // sent to a zone, so that its relays alternate
+	sentAt    time.Time
+	sentState urgentState // the last one sent
+	added     keyQueue    // parts that came into the cache
+	removed   keyQueue    // parts that the cache has evicted
+	stored    keyQueue    // parts that were also sent to the KV cache store
 }
 
 const (
-	tellNear = 120 * time.Millisecond // between words of an engine that works, to gates of its zone
-	tellFar  = 200 * time.Millisecond // to gates of other zones
-	// tellZone is that to a zone through its relays: a word there costs no more
-	// than one to a single gate, and if one relay is dead the other's still come
-	// well within the time that gates believe a word for.
-	tellZone     = 300 * time.Millisecond
-	tellIdle     = 600 * time.Millisecond
-	tellMost     = 1200 * time.Millisecond // a gate believes a keeper's word for 1.5 s
-	followersFew = 16                      // gates that are told as often as each alone
-	// numberBits are for words of one second: the seconds at which a keeper starts
-	// are in the others, so that its numbers go on where those of the process
-	// before it ended.
-	numberBits = 12
+	nearInterval = 120 * time.Millisecond // between messages about a busy engine, to gates of its zone
+	farInterval  = 200 * time.Millisecond // to gates of other zones
+	// relayedInterval is the interval to a zone with relays: a message to it crosses zones
+	// as often as one to a single gate, and if one relay is down the other's messages still
+	// arrive well within the time that gates consider a message current.
+	relayedInterval     = 300 * time.Millisecond
+	idleInterval        = 600 * time.Millisecond
+	maxInterval         = 1200 * time.Millisecond // gates consider a keeper's message current for 1.5 s
+	gatesAtBaseInterval = 16                      // up to so many gates, the intervals do not grow
+	// sequenceBits is the number of bits for the messages of one second. The other bits hold
+	// the second in which the keeper started, so that its message numbers continue after
+	// those of the process before it.
+	sequenceBits = 12
 )
 
-// tell sends the engine's state to the gates: at once if its phase or weights
-// changed or the news is urgent, else at intervals.
-func (k *Keeper) tell(urgent bool) {
+// notify sends the engine's state to the gates: at once if its phase or weights changed or
+// the message is urgent, else at intervals.
+func (k *Keeper) notify(urgent bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	at := k.needs.Clock.Now()
-	is := k.state()
-	before := len(k.followers)
-	maps.DeleteFunc(k.followers, func(_ netip.AddrPort, f *follower) bool { return at.Sub(f.heard) > followerLasts })
-	if len(k.followers) != before {
-		k.regroup()
-	}
-	for gate, f := range k.followers {
-		if k.direct(f) && (is != f.is || urgent || at.Sub(f.told) >= k.interval(k.way(f))) {
-			k.tellGate(gate, f, at)
+	now := k.deps.Clock.Now()
+	state := k.currentState()
+	before := len(k.gates)
+	maps.DeleteFunc(k.gates, func(_ netip.AddrPort, gate *gateState) bool { return now.Sub(gate.lastHeard) > gateTimeout })
+	if len(k.gates) != before {
+		k.updateRelays()
+	}
+	for address, gate := range k.gates {
+		if k.isDirect(gate) && (state != gate.sentState || urgent || now.Sub(gate.sentAt) >= k.gateInterval(k.wayTo(gate))) {
+			k.notifyGate(address, gate, now)
 		}
-		if k.way(f) == beechbeat.Near && at.Sub(f.named) >= namesInterval {
-			f.named = at
-			k.name(gate)
+		if k.wayTo(gate) == beechbeat.Near && now.Sub(gate.peersSentAt) >= peersInterval {
+			gate.peersSentAt = now
+			k.sendPeers(address)
 		}
 	}
-	for zone, a := range k.zones {
-		if is != a.is || urgent || at.Sub(a.told) >= k.zoneInterval() {
-			k.tellZone(zone, a, at)
+	for zone, r := range k.relayedZones {
+		if state != r.sentState || urgent || now.Sub(r.sentAt) >= k.relayedZoneInterval() {
+			k.notifyZone(zone, r, now)
 		}
 	}
 }
 
-// state is what is told at once when it changes. The caller holds the lock.
-func (k *Keeper) state() state {
-	is := state{phase: k.phase}
-	for _, version := range k.last.Versions {
-		is.version += version
+// currentState returns the state whose changes are sent at once. The caller holds the
+// lock.
+func (k *Keeper) currentState() urgentState {
+	state := urgentState{phase: k.phase}
+	for _, version := range k.lastReport.Versions {
+		state.version += version
 	}
-	return is
+	return state
 }
 
-// regroup works out which zones are told through relays, after gates have come or
-// gone. The caller holds the lock.
-func (k *Keeper) regroup() {
+// updateRelays selects the relays of other zones after gates were added or removed. The
+// caller holds the lock.
+func (k *Keeper) updateRelays() {
 	gates := make(map[string][]netip.AddrPort)
-	for gate, f := range k.followers {
-		if k.way(f) == beechbeat.Far {
-			gates[f.zone] = append(gates[f.zone], gate)
+	for address, gate := range k.gates {
+		if k.wayTo(gate) == beechbeat.Far {
+			gates[gate.zone] = append(gates[gate.zone], address)
 		}
 	}
 	for zone, list := range gates {
 		relays := beechrelay.Of(k.settings.Beats, list)
 		if relays == nil {
-			delete(k.zones, zone)
+			delete(k.relayedZones, zone)
 			continue
 		}
-		if k.zones[zone] == nil {
-			k.zones[zone] = &audience{}
+		if k.relayedZones[zone] == nil {
+			k.relayedZones[zone] = &recipient{}
 		}
-		k.zones[zone].relays = relays
+		k.relayedZones[zone].relays = relays
 	}
-	maps.DeleteFunc(k.zones, func(zone string, _ *audience) bool { return gates[zone] == nil })
+	maps.DeleteFunc(k.relayedZones, func(zone string, _ *recipient) bool { return gates[zone] == nil })
 }
 
-// direct tells whether a gate is told directly. The caller holds the lock.
-func (k *Keeper) direct(f *follower) bool {
-	return k.way(f) == beechbeat.Near || k.zones[f.zone] == nil
+// isDirect reports whether a gate is sent messages directly. The caller holds the lock.
+func (k *Keeper) isDirect(gate *gateState) bool {
+	return k.wayTo(gate) == beechbeat.Near || k.relayedZones[gate.zone] == nil
 }
 
-// audiences gives all that are told of what the engine's cache holds. The caller
-// holds the lock.
-func (k *Keeper) audiences() iter.Seq[*audience] {
-	return func(yield func(*audience) bool) {
-		for _, f := range k.followers {
-			if k.direct(f) && !yield(&f.audience) {
+// recipients returns all recipients of changes to the engine's cache. The caller holds the
+// lock.
+func (k *Keeper) recipients() iter.Seq[*recipient] {
+	return func(yield func(*recipient) bool) {
+		for _, gate := range k.gates {
+			if k.isDirect(gate) && !yield(&gate.recipient) {
 				return
 			}
 		}
-		for _, a := range k.zones {
-			if !yield(a) {
+		for _, r := range k.relayedZones {
+			if !yield(r) {
 				return
 			}
 		}
 	}
 }
 
-// way tells whether words to a gate cross the border of this zone.
-func (k *Keeper) way(f *follower) beechbeat.Way { return f.zone != k.settings.Zone }
+// wayTo reports whether messages to a gate leave this zone.
+func (k *Keeper) wayTo(gate *gateState) beechbeat.Way { return gate.zone != k.settings.Zone }
 
-// interval is the time between words to a gate. It grows with the number of those
-// that are told directly, or words would grow with its square. Of a long prompt the
-// gates of all zones hear at once: those that hear an interval later have callers
-// wait behind it without knowing.
-func (k *Keeper) interval(way beechbeat.Way) time.Duration {
-	many := time.Duration(max(len(k.followers)/followersFew, 1))
+// gateInterval returns the time between messages to a gate. It grows with the number of
+// gates, since the total number of messages would otherwise grow with its square. Long
+// prompts are reported to the gates of all zones at once: gates that learned of one an
+// interval later would queue requests behind it unknowingly.
+func (k *Keeper) gateInterval(way beechbeat.Way) time.Duration {
+	factor := time.Duration(max(len(k.gates)/gatesAtBaseInterval, 1))
 	switch {
-	case k.works() && way == beechbeat.Near:
-		return tellNear
-	case k.works():
-		return min(tellFar*many, tellMost)
+	case k.engineBusy() && way == beechbeat.Near:
+		return nearInterval
+	case k.engineBusy():
+		return min(farInterval*factor, maxInterval)
 	}
-	return min(tellIdle*many, tellMost)
+	return min(idleInterval*factor, maxInterval)
 }
 
-func (k *Keeper) zoneInterval() time.Duration {
-	if k.works() {
-		return tellZone
+func (k *Keeper) relayedZoneInterval() time.Duration {
+	if k.engineBusy() {
+		return relayedInterval
 	}
-	return tellIdle
+	return idleInterval
 }
 
-// works tells whether the engine has something to do.
-func (k *Keeper) works() bool { return k.last.Running+k.last.Waiting > 0 }
+// engineBusy reports whether the engine has running or waiting requests.
+func (k *Keeper) engineBusy() bool { return k.lastReport.Running+k.lastReport.Waiting > 0 }
 
-// tellGate tells one gate. The caller holds the lock.
-func (k *Keeper) tellGate(gate netip.AddrPort, f *follower, at time.Time) {
-	k.send([]netip.AddrPort{gate}, k.way(f), beechbeat.Tell{Tell: k.word(&f.audience, at)})
+// notifyGate sends the state to one gate. The caller holds the lock.
+func (k *Keeper) notifyGate(address netip.AddrPort, gate *gateState, now time.Time) {
+	k.send([]netip.AddrPort{address}, k.wayTo(gate), beechbeat.Tell{Tell: k.stateMessage(&gate.recipient, now)})
 }
 
-// tellZone tells the gates of another zone through their relays. What changes the
-// engine's phase or weights goes through both: each choice that misses it is a
-// request that is turned away. The caller holds the lock.
-func (k *Keeper) tellZone(zone string, a *audience, at time.Time) {
-	certain := k.state() != a.is
-	a.words++
-	to := beechrelay.Take(a.relays, a.words, certain)
-	k.send(to, beechbeat.Far, beechbeat.Pass{Pass: &beechwire.Pass{Tell: *k.word(a, at)}})
-	k.needs.Log.Debug("zone told", zap.String("zone", zone), zap.Stringers("peers", to))
+// notifyZone sends the state to the gates of another zone through their relays. A change of
+// the engine's phase or weights goes through both relays, since every gate that misses it
+// may send a request that the engine rejects. The caller holds the lock.
+func (k *Keeper) notifyZone(zone string, r *recipient, now time.Time) {
+	changed := k.currentState() != r.sentState
+	r.messages++
+	to := beechrelay.Take(r.relays, r.messages, changed)
+	k.send(to, beechbeat.Far, beechbeat.Pass{Pass: &beechwire.Pass{Tell: *k.stateMessage(r, now)}})
+	k.deps.Log.Debug("state sent to zone", zap.String("zone", zone), zap.Stringers("peers", to))
 }
 
 func (k *Keeper) send(to []netip.AddrPort, way beechbeat.Way, m beechbeat.Message) {
 	if err := k.socket.SendAll(to, way, m); err != nil {
-		k.needs.Log.Debug("gate not told", zap.Error(err))
+		k.deps.Log.Debug("sending to gates failed", zap.Error(err))
 	}
 }
 
-// word gives the engine's state for an audience, which has been told it then. The
-// caller holds the lock.
-func (k *Keeper) word(a *audience, at time.Time) *beechwire.Tell {
-	a.told, a.is = at, k.state()
-	k.number++
-	word := &beechwire.Tell{
-		Number: k.number, Port: k.settings.Engine.Port(), Phase: int(k.phase), Run: k.last.Running, Wait: k.last.Waiting,
-		Used: k.last.CacheUsed, Room: k.last.CacheTotal, Read: k.reading.Remaining(at), Gates: len(k.followers),
-		Born: k.last.Born, Tries: k.turn.UnansweredOrders(), Old: k.turn.SupersededFor(at).Milliseconds(), Took: k.turn.LoadTime().Milliseconds(),
-		Parts: a.parts.take(), Gone: a.gone.take(), Kept: a.kept.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.News())),
-	}
-	for _, model := range slices.Sorted(maps.Keys(k.last.Versions)) {
-		word.Have = append(word.Have, beechwire.Weights{Model: model, Version: k.last.Versions[model]})
-	}
-	return word
+// stateMessage returns the engine's state as a message to a recipient, and records that it
+// was sent. The caller holds the lock.
+func (k *Keeper) stateMessage(r *recipient, now time.Time) *beechwire.Tell {
+	r.sentAt, r.sentState = now, k.currentState()
+	k.lastNumber++
+	message := &beechwire.Tell{
+		Number: k.lastNumber, Port: k.settings.Engine.Port(), Phase: int(k.phase), Run: k.lastReport.Running, Wait: k.lastReport.Waiting,
+		Used: k.lastReport.CacheUsed, Room: k.lastReport.CacheTotal, Read: k.backlog.Remaining(now), Gates: len(k.gates),
+		Born: k.lastReport.Born, Tries: k.updater.UnansweredOrders(), Old: k.updater.SupersededFor(now).Milliseconds(), Took: k.updater.LoadTime().Milliseconds(),
+		Parts: r.added.take(), Gone: r.removed.take(), Kept: r.stored.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.News())),
+	}
+	for _, model := range slices.Sorted(maps.Keys(k.lastReport.Versions)) {
+		message.Have = append(message.Have, beechwire.Weights{Model: model, Version: k.lastReport.Versions[model]})
+	}
+	return message
 }
 
-// roster gives the gates of the other zones. The caller holds the lock.
+// roster returns the gates of the other zones. The caller holds the lock.
 func (k *Keeper) roster() *beechwire.Roster {
 	zones := make(map[string][]string)
-	for peer, f := range k.followers {
-		if k.way(f) == beechbeat.Far {
-			text, _ := peer.MarshalBinary() // never fails
-			zones[f.zone] = append(zones[f.zone], string(text))
+	for address, gate := range k.gates {
+		if k.wayTo(gate) == beechbeat.Far {
+			text, _ := address.MarshalBinary() // never fails
+			zones[gate.zone] = append(zones[gate.zone], string(text))
 		}
 	}
 	roster := &beechwire.Roster{}
@@ -207,17 +208,18 @@
 	return roster
 }
 
-// name tells a gate of the gates of this zone, itself among them: they share their
-// reads of the store, and pass words on to one another. The caller holds the lock.
-func (k *Keeper) name(gate netip.AddrPort) {
+// sendPeers sends a gate the list of gates of this zone, itself included: they share their
+// reads of the store and forward messages to each other. It also sends the gates of other
+// zones. The caller holds the lock.
+func (k *Keeper) sendPeers(address netip.AddrPort) {
 	peers := &beechwire.Peers{}
-	for peer, f := range k.followers {
-		if k.way(f) == beechbeat.Near {
-			peers.Gates = append(peers.Gates, peer.String())
+	for address, gate := range k.gates {
+		if k.wayTo(gate) == beechbeat.Near {
+			peers.Gates = append(peers.Gates, address.String())
 		}
 	}
-	k.send([]netip.AddrPort{gate}, beechbeat.Near, beechbeat.Peers{Peers: peers})
+	k.send([]netip.AddrPort{address}, beechbeat.Near, beechbeat.Peers{Peers: peers})
 	if roster := k.roster(); len(roster.Zones) > 0 {
-		k.send([]netip.AddrPort{gate}, beechbeat.Near, beechbeat.Roster{Roster: roster})
+		k.send([]netip.AddrPort{address}, beechbeat.Near, beechbeat.Roster{Roster: roster})
 	}
 }
