--- a/internal/decision/beechthrottle/throttle.go
+++ b/internal/decision/beechthrottle/throttle.go
@@ -17,403 +17,404 @@
 )
 
 type (
-	// Clock gives the time since some start, suspensions included.
+	// Clock returns the time since an arbitrary start, including time spent suspended.
 	Clock interface{ Now() time.Duration }
 
-	// Event is something that a gate's log tells: Began, Changed, Ended or PassedOver.
+	// Event is a change to log: LimitStarted, LimitChanged, LimitEnded or LimitIgnored.
 	Event interface{ event() }
 
-	// Began says that a server is known to have a limit now.
-	Began struct{ Standing }
+	// LimitStarted means that a server without a limit has one now.
+	LimitStarted struct{ LimitStatus }
 
-	// Changed says that its limit is another one now.
-	Changed struct {
-		Standing
-		Was float64
+	// LimitChanged means that the rate of a server's limit has changed.
+	LimitChanged struct {
+		LimitStatus
+		Previous float64
 	}
 
-	// Ended says that it has none any more.
-	Ended struct{ Standing }
+	// LimitEnded means that a server no longer has a limit. Rate is the previous rate.
+	LimitEnded struct{ LimitStatus }
 
-	// PassedOver says that an answer named a limit that cannot be used.
-	PassedOver struct{ Server, Text string }
+	// LimitIgnored means that a server's response named an invalid limit.
+	LimitIgnored struct{ Server, Text string }
 
-	// Standing is how it stands with a server's limit.
-	Standing struct {
-		Server string  // ID, or its hash where no server is listed that has it
-		Rate   float64 // requests a second
-		From   string  // the gate that told it; empty where the server itself did
-		Field  string  // of the answer that named it
-		Age    time.Duration
-		Given  int // requests that this gate has sent there since the limit is known
-		Held   int // and those that it sent elsewhere, or refused, for the limit
+	// LimitStatus is the state of a server's limit.
+	LimitStatus struct {
+		Server   string        // ID, or the ID's hash if no such server is listed
+		Rate     float64       // requests per second
+		Source   string        `json:"From"`  // the gate that reported the limit; empty if the server's response did
+		Header   string        `json:"Field"` // header field of the response that named the limit
+		Age      time.Duration // time since the limit was last confirmed
+		Sent     int           `json:"Given"` // requests that this gate has sent since the limit is known
+		Withheld int           `json:"Held"`  // requests that this gate sent elsewhere, or refused, because of the limit
 	}
 
-	// State is what is believed, for metrics.
+	// State is a snapshot of a throttle for metrics.
 	State struct {
-		Limited    int // servers that name a limit
-		Given      int // requests to such servers
-		Held       int // those that went elsewhere, or were refused, for a limit
-		PassedOver int // answers with limits that could not be used
-		Counting   beechquota.State
-		Servers    []Standing
+		Limited  int              // number of servers with a limit
+		Sent     int              `json:"Given"`      // requests to such servers
+		Withheld int              `json:"Held"`       // requests sent elsewhere, or refused, because of a limit
+		Invalid  int              `json:"PassedOver"` // responses with invalid limits
+		Quota    beechquota.State `json:"Counting"`
+		Servers  []LimitStatus    // those with the most requests first
 	}
 
-	// Throttle is one gate's view of all servers' limits. It is safe for concurrent use.
+	// Throttle enforces the limits of all servers at one gate. It is safe for concurrent use.
 	Throttle struct {
-		clock   Clock
-		note    func(Event)
-		news    func()
-		ledger  *beechquota.Ledger
-		limited atomic.Int64 // servers that name a limit
-
-		mu          sync.Mutex
-		register    register
-		names       map[uint64]string // IDs of the listed servers, by hash
-		swept       time.Duration
-		refreshed   time.Duration
-		given, held int
-		faulty      int
+		clock          Clock
+		onEvent        func(Event)
+		onUrgent       func()
+		quotas         *beechquota.Limiter
+		limitedServers atomic.Int64 // number of servers with a limit
+
+		mu             sync.Mutex
+		table          limitTable
+		serverIDs      map[uint64]string // IDs of the listed servers, by hash
+		lastSweep      time.Duration
+		lastRefresh    time.Duration
+		sent, withheld int
+		invalid        int
 	}
 )
 
 const (
-	// serversMost are remembered: more than name a limit at once in any fleet.
-	serversMost = 16384
-	// standingMost are shown in metrics.
-	standingMost = 32
-	// burst is the requests that a server which was sent none for a while may be sent at
-	// once.
+	// maxServers bounds the table. It is more than the servers that name a limit at once in
+	// any fleet.
+	maxServers  = 16384
+	maxStatuses = 32 // in State
+	// burst is how many requests may be sent at once to a server that was sent none for a
+	// while.
 	burst = 1
-	// sureFor a limit is believed without being named again. Then a server that is asked
-	// seldom is asked again, lest nobody hears that its need is over: each gate in turn,
-	// within as long again.
-	sureFor = 2 * time.Second
-	// riseAfter a limit that is not named again rises, doubling in each riseTime to riseMost
-	// times its rate at the most, and by askRate a second: one of 0 would never be asked for
-	// otherwise.
-	riseAfter = 8 * time.Second
-	riseTime  = 4 * time.Second
-	riseMost  = 4
-	askRate   = 0.25
-	// leastRate stands for a limit of 0, which the counting does not know.
-	leastRate = 0.001
-	// lasts is how long a limit is remembered that is never named again, or one that has
-	// ended, so that late word of it is known to be old.
-	lasts = time.Minute
-	// sweepEvery limits that are not named again rise, and old ones are forgotten.
-	sweepEvery = 500 * time.Millisecond
+	// freshFor is how long a limit is relied on without being confirmed. After that, a server
+	// that gets few requests is probed, because otherwise no gate would learn that its limit
+	// has ended. Each gate probes at its own time, within as long again.
+	freshFor = 2 * time.Second
+	// A limit that is not confirmed for relaxAfter is relaxed: its rate doubles in each
+	// relaxDoubling, up to maxRelaxFactor times, and probeRate per second is added. Without
+	// probeRate, a limit of 0 would never be probed.
+	relaxAfter     = 8 * time.Second
+	relaxDoubling  = 4 * time.Second
+	maxRelaxFactor = 4
+	probeRate      = 0.25
+	// minRate replaces a limit of 0, because beechquota takes a rate of 0 for no limit.
+	minRate = 0.001
+	// retention is how long a limit is kept that is not confirmed, or that has ended. Late
+	// updates about an ended limit can be recognized as old during this time.
+	retention = time.Minute
+	// sweepInterval is the time between passes that relax and delete limits.
+	sweepInterval = 500 * time.Millisecond
 )
 
-// bounds are what is tolerated beyond a limit: half of it, for what was under way, and
-// some requests, one and a half of which are the burst's. What was counted is remembered
-// for longer than needs come and go: counted from nothing at some gates and not at others,
-// the totals that they tell would seem to fall and be passed over.
-var bounds = beechquota.Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, Lots: true, Remember: 10 * time.Minute}
-
-func (Began) event()      {}
-func (Changed) event()    {}
-func (Ended) event()      {}
-func (PassedOver) event() {}
-
-// New returns a throttle that knows no limit. Host names this gate, the same in all its
-// lifetimes; lifetime tells this one from the others. Note is told what has changed, and
-// news is called where the other gates must hear at once; neither may call the throttle.
-func New(host string, lifetime uint64, clock Clock, steady clockwork.Clock, note func(Event), news func()) *Throttle {
+// bounds allow half of a limit more, for requests in transit, and 5 requests, 1.5 of which are
+// the burst and its overage. Retention is longer than the usual time for which servers name
+// limits: if some gates had deleted the account and restarted counting from 0 and others had not,
+// the totals of the former would appear to decrease and be discarded.
+var bounds = beechquota.Bounds{Window: 4 * time.Second, Overage: 0.5, Slack: 3.5, RandomDraw: true, Retention: 10 * time.Minute}
+
+func (LimitStarted) event() {}
+func (LimitChanged) event() {}
+func (LimitEnded) event()   {}
+func (LimitIgnored) event() {}
+
+// New returns a throttle without limits. host identifies this gate and stays the same over
+// restarts; lifetime is unique to this run of it. quotaClock is used for counting. onEvent is
+// called for changes to log, and onUrgent when the other gates must be sent an update at once;
+// neither may call the throttle.
+func New(host string, lifetime uint64, clock Clock, quotaClock clockwork.Clock, onEvent func(Event), onUrgent func()) *Throttle {
 	return &Throttle{
-		clock: clock, note: note, news: news, ledger: beechquota.New(host, lifetime, bounds, steady),
-		register: register{make(map[uint64]*belief)},
+		clock: clock, onEvent: onEvent, onUrgent: onUrgent, quotas: beechquota.New(host, lifetime, bounds, quotaClock),
+		table: limitTable{make(map[uint64]*limitEntry)},
 	}
 }
 
-// SetGates tells how many gates there are, this one included.
-func (t *Throttle) SetGates(n int) { t.ledger.SetGates(n) }
+// SetGates sets the number of gates, including this one.
+func (t *Throttle) SetGates(n int) { t.quotas.SetGates(n) }
 
-// Now is the time by the throttle's clock.
+// Now returns the time of the throttle's clock.
 func (t *Throttle) Now() time.Duration { return t.clock.Now() }
 
-// SetServers tells which servers are listed, by ID.
+// SetServers sets the IDs of the listed servers.
 func (t *Throttle) SetServers(ids []string) {
 	names := make(map[uint64]string, len(ids))
 	for _, id := range ids {
 		names[xxhash.Sum64String(id)] = id
 	}
 	t.mu.Lock()
-	t.names = names
+	t.serverIDs = names
 	t.mu.Unlock()
 }
 
-// Any tells whether any server names a limit.
-func (t *Throttle) Any() bool { return t.limited.Load() > 0 }
-
-// Heard takes in what an answer of a server said, whose request was sent then.
-func (t *Throttle) Heard(server string, born uint64, said Said, sent time.Duration) {
-	notice := Notice{Born: born, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
-	field := ""
-	switch v := said.(type) {
-	case Names:
-		notice.Rate, field = v.Rate, v.Field
-	case Faulty:
+// HasLimits reports whether any server has a limit.
+func (t *Throttle) HasLimits() bool { return t.limitedServers.Load() > 0 }
+
+// Observe processes the limit named by a server's response; startTime is when the server's current
+// lifetime began, and sent is when the request was sent.
+func (t *Throttle) Observe(server string, startTime uint64, limit ServerLimit, sent time.Duration) {
+	observation := Observation{StartTime: startTime, Rate: unlimited, Sent: sent, Received: t.clock.Now()}
+	header := ""
+	switch v := limit.(type) {
+	case RateLimit:
+		observation.Rate, header = v.Rate, v.Header
+	case InvalidLimit:
 		t.mu.Lock()
-		t.faulty++
+		t.invalid++
 		t.mu.Unlock()
-		t.note(PassedOver{Server: server, Text: v.Text})
+		t.onEvent(LimitIgnored{Server: server, Text: v.Text})
 		return
-	case Silent:
-		if !t.Any() {
+	case NoLimit:
+		if !t.HasLimits() {
 			return
 		}
 	default:
-		return // not known
+		return // the response's headers are not known
 	}
 	t.mu.Lock()
-	event, sure := t.take(xxhash.Sum64String(server), notice, "")
+	event, confirmed := t.apply(xxhash.Sum64String(server), observation, "")
 	t.mu.Unlock()
-	if event != nil || sure {
-		t.news()
+	if event != nil || confirmed {
+		t.onUrgent()
 	}
-	t.tell(event, field)
+	t.emit(event, header)
 }
 
-// Anew tells that a server has begun another lifetime under its ID, or is gone: it has
-// no limit until it names one.
-func (t *Throttle) Anew(server string, born uint64) {
-	if !t.Any() {
+// ServerRestarted drops the limit of a server that has restarted under its ID, or is gone. It has
+// no limit until it names one again.
+func (t *Throttle) ServerRestarted(server string, startTime uint64) {
+	if !t.HasLimits() {
 		return
 	}
 	now := t.clock.Now()
 	t.mu.Lock()
 	key := xxhash.Sum64String(server)
 	var event Event
-	if b := t.register.beliefs[key]; b.limited() {
-		was := b.Rate
-		b.replace(Notice{Born: max(born, b.Born), Rate: unlimited, Sent: now, Received: now})
-		event = t.changed(key, b, was, now, "")
+	if entry := t.table.entries[key]; entry.limited() {
+		previous := entry.Rate
+		entry.replace(Observation{StartTime: max(startTime, entry.StartTime), Rate: unlimited, Sent: now, Received: now})
+		event = t.applyChange(key, entry, previous, now, "")
 	}
 	t.mu.Unlock()
-	t.tell(event, "")
+	t.emit(event, "")
 }
 
-// take takes in a notice on a server; from is the gate that told it, empty for the
-// server's own answer. It gives what the log tells of it, and whether a limit is sure
-// again that was not. The caller holds the lock.
-func (t *Throttle) take(key uint64, n Notice, from string) (e Event, sure bool) {
+// apply applies an observation of a server's limit. source is the gate that reported it, or empty
+// for the server's own response. It returns an event to log, if any, and whether a limit that was
+// no longer fresh has been confirmed. The caller holds the lock.
+func (t *Throttle) apply(key uint64, o Observation, source string) (e Event, confirmed bool) {
 	now := t.clock.Now()
-	was, unsure := unlimited, false
-	if old := t.register.beliefs[key]; old != nil {
-		was, unsure = old.Rate, old.limited() && now-old.named > sureFor
+	previous, stale := unlimited, false
+	if old := t.table.entries[key]; old != nil {
+		previous, stale = old.Rate, old.limited() && now-old.confirmedAt > freshFor
 	}
-	b, changed := t.register.take(key, n)
-	if b == nil {
+	entry, changed := t.table.observe(key, o)
+	if entry == nil {
 		return nil, false
 	}
-	if from == "" && b.Received == n.Received {
-		b.firsthand = true
+	if source == "" && entry.Received == o.Received {
+		entry.direct = true
 	}
 	if changed {
-		return t.changed(key, b, was, now, from), false
+		return t.applyChange(key, entry, previous, now, source), false
 	}
-	if sure = unsure && now-b.named <= sureFor; sure {
-		t.enforce(key, b, now)
+	if confirmed = stale && now-entry.confirmedAt <= freshFor; confirmed {
+		t.enforce(key, entry, now)
 	}
-	if sure && from == "" {
-		b.repeats = repeats
+	if confirmed && source == "" {
+		entry.sendsLeft = updateSends
 	}
-	return nil, sure
+	return nil, confirmed
 }
 
-// changed puts a belief in force, and gives what the log tells of it. The caller holds
-// the lock.
-func (t *Throttle) changed(key uint64, b *belief, was float64, now time.Duration, from string) Event {
-	s := t.standing(key, b, now)
-	s.From = from
-	b.repeats, b.firsthand = repeats, from == ""
-	t.enforce(key, b, now)
+// applyChange enforces a changed limit and returns the event to log. The caller holds the lock.
+func (t *Throttle) applyChange(key uint64, entry *limitEntry, previous float64, now time.Duration, source string) Event {
+	s := t.status(key, entry, now)
+	s.Source = source
+	entry.sendsLeft, entry.direct = updateSends, source == ""
+	t.enforce(key, entry, now)
 	switch {
-	case !b.limited() && math.IsInf(was, 1):
+	case !entry.limited() && math.IsInf(previous, 1):
 		return nil
-	case !b.limited():
-		t.limited.Add(-1)
-		b.given, b.held = 0, 0
-		s.Rate = was
-		return Ended{s}
-	case math.IsInf(was, 1):
-		t.limited.Add(1)
-		return Began{s}
-	}
-	return Changed{Standing: s, Was: was}
+	case !entry.limited():
+		t.limitedServers.Add(-1)
+		entry.sent, entry.withheld = 0, 0
+		s.Rate = previous
+		return LimitEnded{s}
+	case math.IsInf(previous, 1):
+		t.limitedServers.Add(1)
+		return LimitStarted{s}
+	}
+	return LimitChanged{LimitStatus: s, Previous: previous}
 }
 
-// enforce has the counting keep to a limit as far as it is believed now. The caller holds
-// the lock.
-func (t *Throttle) enforce(key uint64, b *belief, now time.Duration) {
-	if b.account == "" {
-		b.account = strconv.FormatUint(key, 16)
-		b.turn = rand.Float64()
+// enforce sets the quota of a server to its limit, relaxed if it was not confirmed for long. The
+// caller holds the lock.
+func (t *Throttle) enforce(key uint64, entry *limitEntry, now time.Duration) {
+	if entry.account == "" {
+		entry.account = strconv.FormatUint(key, 16)
+		entry.probeOffset = rand.Float64()
 	}
-	if !b.limited() {
-		t.ledger.SetLimit(b.account, beechquota.Limit{})
+	if !entry.limited() {
+		t.quotas.SetLimit(entry.account, beechquota.Limit{})
 		return
 	}
-	b.enforced = b.believed(now)
-	t.ledger.SetLimit(b.account, beechquota.Limit{Rate: max(b.enforced, leastRate), Burst: burst})
+	entry.enforced = entry.effectiveRate(now)
+	t.quotas.SetLimit(entry.account, beechquota.Limit{Rate: max(entry.enforced, minRate), Burst: burst})
 }
 
-// believed is the limit as far as it is believed still: what is not named again rises.
-func (b *belief) believed(now time.Duration) float64 {
-	unsure := now - b.named - riseAfter
-	if unsure <= 0 {
-		return b.Rate
+// effectiveRate returns the rate to enforce, which rises if the limit is not confirmed.
+func (e *limitEntry) effectiveRate(now time.Duration) float64 {
+	unconfirmed := now - e.confirmedAt - relaxAfter
+	if unconfirmed <= 0 {
+		return e.Rate
 	}
-	rise := min(math.Exp2(float64(unsure)/float64(riseTime)), riseMost)
-	return b.Rate*rise + askRate
+	factor := min(math.Exp2(float64(unconfirmed)/float64(relaxDoubling)), maxRelaxFactor)
+	return e.Rate*factor + probeRate
 }
 
-// tell logs an event, if there is one.
-func (t *Throttle) tell(e Event, field string) {
+// emit passes on an event, if there is one.
+func (t *Throttle) emit(e Event, header string) {
 	switch v := e.(type) {
-	case Began:
-		v.Field = field
-		t.note(v)
-	case Changed:
-		v.Field = field
-		t.note(v)
-	case Ended:
-		t.note(v)
+	case LimitStarted:
+		v.Header = header
+		t.onEvent(v)
+	case LimitChanged:
+		v.Header = header
+		t.onEvent(v)
+	case LimitEnded:
+		t.onEvent(v)
 	}
 }
 
-// Room tells whether a server may be sent a request now, and takes nothing.
-func (t *Throttle) Room(server string) beechquota.Decision {
-	b := t.belief(server)
-	if b == nil {
+// Check returns whether a server may be sent a request now, without consuming anything.
+func (t *Throttle) Check(server string) beechquota.Decision {
+	entry := t.lookup(server)
+	if entry == nil {
 		return beechquota.Admitted{}
 	}
-	return t.ledger.Ask(b.account, 1)
+	return t.quotas.Check(entry.account, 1)
 }
 
-// Take takes a request from what a server may be sent, if there is something left.
-func (t *Throttle) Take(server string) beechquota.Decision {
-	b := t.belief(server)
-	if b == nil {
+// Acquire consumes a request of a server's limit if it admits one.
+func (t *Throttle) Acquire(server string) beechquota.Decision {
+	entry := t.lookup(server)
+	if entry == nil {
 		return beechquota.Admitted{}
 	}
-	d := t.ledger.Admit(b.account, 1)
+	d := t.quotas.Admit(entry.account, 1)
 	if admitted, ok := d.(beechquota.Admitted); ok {
 		t.mu.Lock()
-		b.given++
-		t.given++
+		entry.sent++
+		t.sent++
 		t.mu.Unlock()
-		if admitted.Tell {
-			t.news()
+		if admitted.Urgent {
+			t.onUrgent()
 		}
 	}
 	return d
 }
 
-// GiveBack returns a request that was not sent.
-func (t *Throttle) GiveBack(server string) {
-	if b := t.belief(server); b != nil {
-		t.ledger.GiveBack(b.account, 1)
+// Refund returns a request that could not be sent.
+func (t *Throttle) Refund(server string) {
+	if entry := t.lookup(server); entry != nil {
+		t.quotas.Refund(entry.account, 1)
 	}
 }
 
-// Held counts a request that did not go to a server for its limit.
-func (t *Throttle) Held(server string) {
-	b := t.belief(server)
-	if b == nil {
+// CountWithheld counts a request that was not sent to a server because of its limit.
+func (t *Throttle) CountWithheld(server string) {
+	entry := t.lookup(server)
+	if entry == nil {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	b.held++
-	t.held++
+	entry.withheld++
+	t.withheld++
 }
 
-// Due tells whether this gate is to ask a server again, as its limit has not been named
-// for a while. If all gates asked at once, a server in need would be sent a burst.
-func (t *Throttle) Due(server string) bool {
-	b := t.belief(server)
-	if b == nil {
+// ProbeDue reports whether this gate should probe a server whose limit has not been confirmed for
+// a while. If all gates probed at once, an overloaded server would receive a burst.
+func (t *Throttle) ProbeDue(server string) bool {
+	entry := t.lookup(server)
+	if entry == nil {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clock.Now()-b.named > sureFor+time.Duration(b.turn*float64(sureFor))
+	return t.clock.Now()-entry.confirmedAt > freshFor+time.Duration(entry.probeOffset*float64(freshFor))
 }
 
-// Limited tells whether a server names a limit.
-func (t *Throttle) Limited(server string) bool { return t.belief(server) != nil }
+// Limited reports whether a server has a limit.
+func (t *Throttle) Limited(server string) bool { return t.lookup(server) != nil }
 
-// Rate is the requests a second that a server takes now, as far as that is believed.
+// Rate returns the requests per second that are currently allowed to a server.
 func (t *Throttle) Rate(server string) float64 {
-	b := t.belief(server)
-	if b == nil {
+	entry := t.lookup(server)
+	if entry == nil {
 		return unlimited
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(b.enforced, leastRate)
+	return max(entry.enforced, minRate)
 }
 
-// belief gives what is believed of a server that has a limit, nil of others.
-func (t *Throttle) belief(server string) *belief {
-	if !t.Any() {
+// lookup returns the entry of a server with a limit, or nil.
+func (t *Throttle) lookup(server string) *limitEntry {
+	if !t.HasLimits() {
 		return nil
 	}
 	key := xxhash.Sum64String(server)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.sweep()
-	if b := t.register.beliefs[key]; b.limited() {
-		return b
+	if entry := t.table.entries[key]; entry.limited() {
+		return entry
 	}
 	return nil
 }
 
-// sweep has limits rise that are not named again, and forgets old ones. The caller holds
-// the lock.
+// sweep relaxes limits that have not been confirmed, and deletes old ones. The caller holds the
+// lock.
 func (t *Throttle) sweep() {
 	now := t.clock.Now()
-	if now-t.swept < sweepEvery {
+	if now-t.lastSweep < sweepInterval {
 		return
 	}
-	t.swept = now
-	for key, b := range t.register.beliefs {
+	t.lastSweep = now
+	for key, entry := range t.table.entries {
 		switch {
-		case now-b.named > lasts:
-			if b.limited() {
-				t.limited.Add(-1)
-				t.ledger.SetLimit(b.account, beechquota.Limit{})
+		case now-entry.confirmedAt > retention:
+			if entry.limited() {
+				t.limitedServers.Add(-1)
+				t.quotas.SetLimit(entry.account, beechquota.Limit{})
 			}
-			delete(t.register.beliefs, key)
-		case b.limited() && b.believed(now) != b.enforced:
-			t.enforce(key, b, now)
+			delete(t.table.entries, key)
+		case entry.limited() && entry.effectiveRate(now) != entry.enforced:
+			t.enforce(key, entry, now)
 		}
 	}
 }
 
-func (t *Throttle) standing(key uint64, b *belief, now time.Duration) Standing {
-	name := cmp.Or(t.names[key], strconv.FormatUint(key, 16))
-	return Standing{Server: name, Rate: b.Rate, Age: max(now-b.named, 0), Given: b.given, Held: b.held}
+func (t *Throttle) status(key uint64, entry *limitEntry, now time.Duration) LimitStatus {
+	name := cmp.Or(t.serverIDs[key], strconv.FormatUint(key, 16))
+	return LimitStatus{Server: name, Rate: entry.Rate, Age: max(now-entry.confirmedAt, 0), Sent: entry.sent, Withheld: entry.withheld}
 }
 
-// State gives what is believed, those that were asked most first.
+// State returns a snapshot with the servers that had the most requests sent or withheld.
 func (t *Throttle) State() State {
-	counting := t.ledger.State()
+	counting := t.quotas.State()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
-	s := State{Given: t.given, Held: t.held, PassedOver: t.faulty, Counting: counting}
-	for key, b := range t.register.beliefs {
-		if b.limited() {
+	s := State{Sent: t.sent, Withheld: t.withheld, Invalid: t.invalid, Quota: counting}
+	for key, entry := range t.table.entries {
+		if entry.limited() {
 			s.Limited++
-			s.Servers = append(s.Servers, t.standing(key, b, now))
+			s.Servers = append(s.Servers, t.status(key, entry, now))
 		}
 	}
-	slices.SortFunc(s.Servers, func(x, y Standing) int {
-		return cmp.Or(cmp.Compare(y.Given+y.Held, x.Given+x.Held), cmp.Compare(x.Server, y.Server))
+	slices.SortFunc(s.Servers, func(x, y LimitStatus) int {
+		return cmp.Or(cmp.Compare(y.Sent+y.Withheld, x.Sent+x.Withheld), cmp.Compare(x.Server, y.Server))
 	})
-	s.Servers = s.Servers[:min(len(s.Servers), standingMost)]
+	s.Servers = s.Servers[:min(len(s.Servers), maxStatuses)]
 	return s
 }
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -56,7 +56,7 @@
 		limiter   *beechlimit.Limiter
 		budget    *beechretry.Budget
 		health    *beechhealth.Tracker
-		suspects  *beechsuspect.Register
+		suspects  *beechsuspect.Registry
 		burn      *beechburn.Burn
 		signer    *streamSigner
 		estimator beechprefix.Estimator
@@ -107,9 +107,9 @@
 		holder:      beechmanifest.NewHolder(),
 		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, GrowthDelay: limitSettle}, d.Clock),
 		budget: beechretry.New(beechretry.Settings{
-			Percent: retryPercent, Spare: spareRetries, MaxAttempts: maxAttempts, Backoff: firstBackoff, MaxBackoff: maxBackoff,
+			RetryPercent: retryPercent, Reserve: spareRetries, MaxAttempts: maxAttempts, BaseBackoff: firstBackoff, MaxBackoff: maxBackoff,
 		}, d.Clock, randv2.NewPCG(randv2.Uint64(), randv2.Uint64())),
-		health:   beechhealth.New(beechhealth.Settings{MaxEjected: maxEjected}, d.Clock),
+		health:   beechhealth.New(beechhealth.Settings{MaxEjectedPercent: maxEjected}, d.Clock),
 		suspects: beechsuspect.New(beechsuspect.Settings{}, d.Clock),
 		burn:     beechburn.New(beechburn.Settings{}, d.Clock),
 		signer:   newStreamSigner(settings.Secret),
--- a/internal/process/beechentry/learn.go
+++ b/internal/process/beechentry/learn.go
@@ -25,7 +25,7 @@
 }
 
 func (e *Entry) learn(j *job, server netip.AddrPort, end beechwire.End) {
-	e.suspects.Finished(j.request.Fingerprint)
+	e.suspects.RecordSuccess(j.request.Fingerprint)
 	firstToken := time.Duration(end.FirstTokenMicros) * time.Microsecond
 	queued := time.Duration(end.QueueMicros) * time.Microsecond
 	e.health.Observe(beechhealth.Sample{
@@ -35,7 +35,7 @@
 		return
 	}
 	e.estimator.Correct(j.request.PromptTokens, end.Usage.Prompt)
-	e.fleet.router.Learn(beechroute.Reply{
+	e.fleet.router.RecordReply(beechroute.Reply{
 		Server:       server,
 		Incarnation:  e.fleet.incarnation(server),
 		Model:        j.target(),
@@ -48,7 +48,7 @@
 
 func (e *Entry) refusedBy(server netip.AddrPort, r beechwire.Refused) attemptResult {
 	e.fleet.report(server, r.Load)
-	e.fleet.router.Refused(server, time.Duration(r.AfterMillis)*time.Millisecond)
+	e.fleet.router.RecordRefusal(server, time.Duration(r.AfterMillis)*time.Millisecond)
 	switch {
 	case r.Reason == beechwire.ReasonGone:
 		return expired{}
--- a/internal/process/beechgate/endings.go
+++ b/internal/process/beechgate/observer.go
@@ -11,14 +11,14 @@
 )
 
 // ObserveAttempt implements beechattempt.Observer.
-func (g *Gate) ObserveAttempt(server beechcall.Server, _ string, first time.Duration, unread int, failed bool) {
-	g.health.Observe(beechhealth.Sample{Server: server.Address, Model: server.Service, FirstToken: first, Tokens: unread, Failed: failed})
+func (g *Gate) ObserveAttempt(server beechcall.Server, _ string, firstToken time.Duration, prefillTokens int, failed bool) {
+	g.health.Observe(beechhealth.Sample{Server: server.Address, Model: server.Service, FirstToken: firstToken, Tokens: prefillTokens, Failed: failed})
 }
 
-// ObserveEnd implements beechattempt.Observer. Of requests that ended as they should
-// a line is written at level debug only, of all others always.
+// ObserveEnd implements beechattempt.Observer. Requests that were answered as expected are logged
+// at level debug only, all others at info.
 func (g *Gate) ObserveEnd(e beechattempt.Result) {
-	g.metrics.ended(e, g.way(e.Choice.Server))
+	g.metrics.recordEnding(e, g.wayTo(e.Choice.Server))
 	if e.Choice.LimitedServer != "" {
 		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.LimitedServer),
 			zap.Float64("rate", g.limits.Rate(e.Choice.LimitedServer)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.Outcome))
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -13,95 +13,96 @@
 	"github.com/beechring/beechring/internal/link/beechbeat"
 )
 
-// rosterLasts is how long a gate of another zone that no keeper names any more is still
-// told: keepers forget one after about as long.
-const rosterLasts = 4 * time.Second
+// rosterTTL is how long messages are sent to a gate of another zone after keepers last listed
+// it. Keepers forget a gate after about the same time.
+const rosterTTL = 4 * time.Second
 
-// roster is the gates of the other availability zones, as keepers name them. It is safe
-// for concurrent use.
+// roster holds the gates of the other availability zones as listed by keepers. It is safe for
+// concurrent use.
 type roster struct {
 	mu    sync.Mutex
-	gates map[netip.AddrPort]listed
+	gates map[netip.AddrPort]rosterEntry
 }
 
-type listed struct {
-	zone string
-	at   time.Time
+type rosterEntry struct {
+	zone     string
+	listedAt time.Time
 }
 
-func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]listed)} }
+func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]rosterEntry)} }
 
-// named takes in a keeper's word.
-func (r *roster) named(word beechbeat.Roster, now time.Time) {
+// update adds the gates listed by a keeper.
+func (r *roster) update(message beechbeat.Roster, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, zone := range word.Zones {
+	for _, zone := range message.Zones {
 		for _, text := range zone.Gates {
 			var gate netip.AddrPort
 			if err := gate.UnmarshalBinary([]byte(text)); err == nil && gate.IsValid() {
-				r.gates[gate] = listed{zone.Name, now}
+				r.gates[gate] = rosterEntry{zone.Name, now}
 			}
 		}
 	}
-	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, l listed) bool { return now.Sub(l.at) > rosterLasts })
+	maps.DeleteFunc(r.gates, func(_ netip.AddrPort, entry rosterEntry) bool { return now.Sub(entry.listedAt) > rosterTTL })
 }
 
-// hearRoster takes in a keeper's word on the gates of the other zones.
-func (g *Gate) hearRoster(word beechbeat.Roster) {
+// receiveRoster handles a keeper's list of the gates of other zones.
+func (g *Gate) receiveRoster(message beechbeat.Roster) {
 	now := g.clock.Now()
-	alone := len(g.others.zones(now)) == 0
-	g.others.named(word, now)
-	if alone {
-		g.met("other zones", len(g.others.zones(now)))
+	first := len(g.otherZones.zones(now)) == 0
+	g.otherZones.update(message, now)
+	if first {
+		g.gatesDiscovered("other zones", len(g.otherZones.zones(now)))
 	}
 }
 
-// zones gives the gates of each other zone.
+// zones returns the gates of each other zone.
 func (r *roster) zones(now time.Time) [][]netip.AddrPort {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	byZone := make(map[string][]netip.AddrPort)
-	for gate, l := range r.gates {
-		if now.Sub(l.at) <= rosterLasts {
-			byZone[l.zone] = append(byZone[l.zone], gate)
+	for gate, entry := range r.gates {
+		if now.Sub(entry.listedAt) <= rosterTTL {
+			byZone[entry.zone] = append(byZone[entry.zone], gate)
 		}
 	}
 	return slices.Collect(maps.Values(byZone))
 }
 
-// knows tells whether a gate is listed.
-func (r *roster) knows(gate netip.AddrPort) bool {
+// contains reports whether a gate is listed.
+func (r *roster) contains(gate netip.AddrPort) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.gates[gate]
 	return ok
 }
 
-// toZone tells all other gates of this zone.
-func (g *Gate) toZone(m beechbeat.Message) { g.toPeers(g.circle.Peers(g.clock.Now()), m) }
+// sendToZone sends a message to all other gates of this zone.
+func (g *Gate) sendToZone(m beechbeat.Message) { g.sendToPeers(g.peers.Peers(g.clock.Now()), m) }
 
-// toGates tells all other gates its n-th word: those of this zone directly, each other
-// zone through relays that pass it on there. One that must not be lost goes through all
-// relays.
-func (g *Gate) toGates(n uint32, certain bool, word func(pass bool) beechbeat.Message) {
-	g.toZone(word(false))
-	for _, zone := range g.others.zones(g.clock.Now()) {
-		to := zone
-		relays := beechrelay.Of(g.circle.Self(), zone)
+// sendToGates sends the message of the given round to all other gates: directly within this
+// zone, and through relays, which pass it on, in each other zone. An urgent message is sent to
+// all relays, so that it is not lost with one of them.
+func (g *Gate) sendToGates(round uint32, urgent bool, message func(pass bool) beechbeat.Message) {
+	g.sendToZone(message(false))
+	for _, zone := range g.otherZones.zones(g.clock.Now()) {
+		targets := zone
+		relays := beechrelay.Select(g.peers.Self(), zone)
 		if relays != nil {
-			to = beechrelay.Take(relays, n, certain)
+			targets = beechrelay.Recipients(relays, round, urgent)
 		}
-		if err := g.socket.SendAll(to, beechbeat.Far, word(relays != nil)); err != nil {
-			g.log.Debug("gate not told", zap.Error(err))
+		if err := g.socket.SendAll(targets, beechbeat.Far, message(relays != nil)); err != nil {
+			g.log.Debug("send to gate failed", zap.Error(err))
 		}
 	}
 }
 
-// knows tells whether a word is of a gate that keepers name. Others are counted.
-func (g *Gate) knows(from netip.AddrPort) bool {
-	if g.circle.Knows(from) || g.others.knows(from) {
+// isKnownGate reports whether the sender is a gate listed by keepers. Messages of others are
+// counted.
+func (g *Gate) isKnownGate(from netip.AddrPort) bool {
+	if g.peers.Knows(from) || g.otherZones.contains(from) {
 		return true
 	}
-	g.metrics.strangers.Add(1)
+	g.metrics.unknownSenders.Add(1)
 	return false
 }
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -60,7 +60,7 @@
 		beechrollout.Report
 		CacheUsed  int
 		CacheTotal int
-		Limit      beechthrottle.Said // nil: not known
+		Limit      beechthrottle.ServerLimit // nil: not known
 	}
 
 	// Dependencies of a keeper.
@@ -76,7 +76,7 @@
 		deps       Dependencies
 		socket     *beechbeat.Socket
 		supervisor *suture.Supervisor
-		suspects   *beechsuspect.Register
+		suspects   *beechsuspect.Registry
 		metrics    *metrics
 		wake       chan struct{}
 
@@ -275,9 +275,9 @@
 }
 
 // reportsLimit reports whether an answer named a limit, be it an invalid one.
-func reportsLimit(limit beechthrottle.Said) bool {
+func reportsLimit(limit beechthrottle.ServerLimit) bool {
 	switch limit.(type) {
-	case beechthrottle.Names, beechthrottle.Faulty:
+	case beechthrottle.RateLimit, beechthrottle.InvalidLimit:
 		return true
 	}
 	return false
--- a/internal/process/beechkeeper/notify.go
+++ b/internal/process/beechkeeper/notify.go
@@ -90,7 +90,7 @@
 		}
 	}
 	for zone, list := range gates {
-		relays := beechrelay.Of(k.settings.Beats, list)
+		relays := beechrelay.Select(k.settings.Beats, list)
 		if relays == nil {
 			delete(k.relayedZones, zone)
 			continue
@@ -164,7 +164,7 @@
 func (k *Keeper) notifyZone(zone string, r *recipient, now time.Time) {
 	changed := k.currentState() != r.sentState
 	r.messages++
-	to := beechrelay.Take(r.relays, r.messages, changed)
+	to := beechrelay.Recipients(r.relays, r.messages, changed)
 	k.send(to, beechbeat.Far, beechbeat.Pass{Pass: &beechwire.Pass{Tell: *k.stateMessage(r, now)}})
 	k.deps.Log.Debug("state sent to zone", zap.String("zone", zone), zap.Stringers("peers", to))
 }
@@ -184,7 +184,7 @@
 		Number: k.lastNumber, Port: k.settings.Engine.Port(), Phase: int(k.phase), Run: k.lastReport.Running, Wait: k.lastReport.Waiting,
 		Used: k.lastReport.CacheUsed, Room: k.lastReport.CacheTotal, Read: k.backlog.Remaining(now), Gates: len(k.gates),
 		Born: k.lastReport.Born, Tries: k.updater.UnansweredOrders(), Old: k.updater.SupersededFor(now).Milliseconds(), Took: k.updater.LoadTime().Milliseconds(),
-		Parts: r.added.take(), Gone: r.removed.take(), Kept: r.stored.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.News())),
+		Parts: r.added.take(), Gone: r.removed.take(), Kept: r.stored.take(), Suspects: beechshare.WireSuspects(beechshare.Worst(k.suspects.RecentChanges())),
 	}
 	for _, model := range slices.Sorted(maps.Keys(k.lastReport.Versions)) {
 		message.Have = append(message.Have, beechwire.Weights{Model: model, Version: k.lastReport.Versions[model]})
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/decision/beechretry"
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/request/beechcall"
@@ -115,7 +115,7 @@
 	clock      *clockwork.FakeClock
 	backend    *backend
 	budget     *budget
-	suspects   *beechsuspect.Register
+	suspects   *beechsuspect.Registry
 	reachable  reachable
 }
 
@@ -124,7 +124,7 @@
 func newFixture(servers, retries int, script ...step) *fixture {
 	f := &fixture{clock: clockwork.NewFakeClock(), backend: &backend{script: script}, budget: &budget{left: retries}, reachable: reachable{}}
 	f.suspects = beechsuspect.New(beechsuspect.Settings{}, f.clock)
-	placer := beechplace.New(beechplace.Settings{Zone: "a"}, f.clock, fullyUsable{}, beechthrottle.New("gate", 1, beechfresh.BootClock{}, f.clock, func(beechthrottle.Event) {}, func() {}), beechroom.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
+	placer := beechplace.New(beechplace.Settings{Zone: "a"}, f.clock, fullyUsable{}, beechthrottle.New("gate", 1, beechfresh.BootClock{}, f.clock, func(beechthrottle.Event) {}, func() {}), beechsaturation.New(f.clock, func() {}), func(beechcall.Server, int, []uint64, bool) {})
 	var list []beechcall.Server
 	for i := range servers {
 		list = append(list, beechcall.Server{
@@ -465,7 +465,7 @@
 	f.clock.Advance(time.Millisecond)
 	is.Equal(<-ended, tryAgain)
 	is.Equal(f.clock.Since(r.started), choice.FirstByteTimeout)
-	_, unsuspected := f.suspects.Check(r.call.Fingerprint()).(beechsuspect.Clear)
+	_, unsuspected := f.suspects.Check(r.call.Fingerprint()).(beechsuspect.Allow)
 	is.True(unsuspected)
 	choice, _ = f.dispatcher.placer.Choose(r.call, r.triedServers)
 	is.Equal(r.attempt(t.Context(), choice), finished)
--- a/internal/request/beechattempt/crash.go
+++ b/internal/request/beechattempt/crash.go
@@ -25,7 +25,7 @@
 	// callers rejected everywhere for minutes. It is safe for concurrent use.
 	crashDetector struct {
 		prober   Prober
-		suspects *beechsuspect.Register
+		suspects *beechsuspect.Registry
 		clock    clockwork.Clock
 		log      *zap.Logger
 
@@ -40,7 +40,7 @@
 // a crashed server restarts.
 const probeTimeout = 400 * time.Millisecond
 
-func newCrashDetector(prober Prober, suspects *beechsuspect.Register, clock clockwork.Clock, log *zap.Logger) *crashDetector {
+func newCrashDetector(prober Prober, suspects *beechsuspect.Registry, clock clockwork.Clock, log *zap.Logger) *crashDetector {
 	return &crashDetector{prober: prober, suspects: suspects, clock: clock, log: log, pending: make(map[netip.AddrPort][]uint64)}
 }
 
@@ -69,5 +69,5 @@
 		return
 	}
 	d.log.Info("server gone with requests under way", zap.Stringer("peer", server), zap.Int("requests", len(fingerprints)), zap.Error(err))
-	d.suspects.Crashed(fingerprints)
+	d.suspects.RecordCrash(fingerprints)
 }
--- a/internal/request/beechattempt/dispatcher.go
+++ b/internal/request/beechattempt/dispatcher.go
@@ -21,7 +21,7 @@
 		placer   *beechplace.Placer
 		backend  beechcall.Backend
 		budget   RetryBudget
-		suspects *beechsuspect.Register
+		suspects *beechsuspect.Registry
 		crashes  *crashDetector
 		observer Observer
 		clock    clockwork.Clock
@@ -95,7 +95,7 @@
 func (DeadlineExceeded) rejection() {}
 
 // New returns a dispatcher. The dependencies are used until the last call has ended.
-func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget RetryBudget, suspects *beechsuspect.Register,
+func New(placer *beechplace.Placer, backend beechcall.Backend, prober Prober, budget RetryBudget, suspects *beechsuspect.Registry,
 	observer Observer, clock clockwork.Clock, log *zap.Logger,
 ) *Dispatcher {
 	return &Dispatcher{
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -234,7 +234,7 @@
 		r.logAttempt("answered with another response", choice, zap.Int("status", answer.Status))
 		return noRetry // not a continuation of the events that the caller has
 	}
-	r.dispatcher.suspects.Finished(r.call.Fingerprint())
+	r.dispatcher.suspects.RecordSuccess(r.call.Fingerprint())
 	r.out.Respond(answer.Status, answer.Header, body)
 	return finished
 }
@@ -311,7 +311,7 @@
 func (r *execution) takeRetry(ran beechretry.Ran, choice beechplace.Choice, refused bool) bool {
 	d := r.dispatcher.budget.Decide(r.call.Service, beechretry.Outcome{
 		Attempt: 1, Ran: ran, Repeatable: r.repeatable(), Deadline: r.call.Deadline,
-		Server: choice.Server.Address, Refused: refused,
+		Server: choice.Server.Address, Rejected: refused,
 	})
 	_, ok := d.(beechretry.Retry)
 	return ok
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -154,7 +154,7 @@
 			watch.stop()
 			placement.Done(beechplace.Answered)
 			r.startStream(answer)
-			r.dispatcher.suspects.Finished(r.call.Fingerprint())
+			r.dispatcher.suspects.RecordSuccess(r.call.Fingerprint())
 			r.out.EndStream()
 			return finished
 		case err == io.EOF:
--- a/internal/request/beechcall/call.go
+++ b/internal/request/beechcall/call.go
@@ -64,7 +64,7 @@
 		Body    io.ReadCloser
 		Weights uint64 // version that computed it; 0: not reported
 		Load    Load
-		Limit   beechthrottle.Said // nil: not known
+		Limit   beechthrottle.ServerLimit // nil: not known
 	}
 
 	// Load is the load that a server reports with an answer.
@@ -104,8 +104,8 @@
 		WeightsDiffer bool
 		Weights       uint64 // version that it has, if reported
 		Load          Load
-		Limit         beechthrottle.Said // nil: not known
-		RetryAfter    time.Duration      // when the server asks for a retry; 0: not reported
+		Limit         beechthrottle.ServerLimit // nil: not known
+		RetryAfter    time.Duration             // when the server asks for a retry; 0: not reported
 	}
 
 	// OutcomeUnknown means that the request was sent and may have been executed.
--- a/internal/request/beechplace/overload_test.go
+++ b/internal/request/beechplace/overload_test.go
@@ -6,34 +6,34 @@
 
 	"github.com/matryer/is"
 
-	"github.com/beechring/beechring/internal/decision/beechroom"
+	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/request/beechcall"
 )
 
-// Another gate tells that the plain servers of this zone are full. Those of the other zone
-// are chosen, until all are full: then the nearest, as before.
+// Another gate reports the plain servers of this zone as overloaded. Those of the other zone
+// are chosen until they are overloaded too; then the nearest ones are chosen again.
 func TestOverloadedServersAreChosenLast(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	call := &beechcall.Call{Service: "app", Route: route}
-	other := beechroom.New(f.clock, func() {})
+	other := beechsaturation.New(f.clock, func() {})
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 	for _, s := range f.servers {
 		if s.Service == "app" && s.Zone == "a" {
-			other.TurnedAway(s.ID, 0)
+			other.Rejected(s.ID, 0)
 		}
 	}
-	f.Placer.overloaded.Hear(other.Word())
+	f.Placer.overloaded.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "b")
 	for _, s := range f.servers {
-		other.TurnedAway(s.ID, 0)
+		other.Rejected(s.ID, 0)
 	}
-	f.Placer.overloaded.Hear(other.Word())
+	f.Placer.overloaded.ApplyUpdate(other.NextUpdate())
 	is.Equal(f.choose(t, call).Server.Zone, "a")
 }
 
-// A server turns a request of this gate away and asks for a second. It is the last choice
-// for as long, until it answers a newer request.
+// A server rejects a request and asks for a retry after one second. It is the last choice for
+// that time, or until it completes a newer request.
 func TestServerRetryAfterIsHonored(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -51,7 +51,8 @@
 	is.Equal(f.choose(t, call).Server.ID, c.Server.ID)
 }
 
-// A keeper that speaks knows better than an answer that is a moment old.
+// While a keeper reports, a rejection must not mark its server as overloaded for other gates:
+// the report is more recent.
 func TestRejectionIsNotSharedWhileKeeperReports(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(2)
@@ -61,11 +62,11 @@
 	attempt := f.StartAttempt(call, c)
 	attempt.Done(Rejected)
 	f.ObserveRejection(c.Server.ID, beechcall.NotExecuted{Status: 503}, "m")
-	is.Equal(len(f.Placer.overloaded.Word()), 0)
+	is.Equal(len(f.Placer.overloaded.NextUpdate()), 0)
 }
 
-// A server says with its answers that it is busy with others' requests. The next request
-// goes to one that is not; after a while what it said counts no more.
+// A server reports in its response that it is busy with requests of other gates. The next
+// request goes to another server, until the reported load has expired.
 func TestLoadReportedInAnswers(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
