--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -48,7 +48,7 @@
 		body      string
 		ended     bool
 		broken    bool
-		slow      error
+		sendErr   error
 	}
 
 	fullyUsable struct{}
@@ -104,7 +104,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body += string(data)
-	return c.slow
+	return c.sendErr
 }
 
 func (c *caller) EndStream()   { c.ended = true }
@@ -136,10 +136,10 @@
 	return f
 }
 
-func (f *fixture) call(rule beechcall.RetryPolicy, stream bool) *beechcall.Call {
+func (f *fixture) call(policy beechcall.RetryPolicy, stream bool) *beechcall.Call {
 	return &beechcall.Call{
 		ID: "id", Service: "app", Method: http.MethodPost, Target: "/x", Deadline: f.clock.Now().Add(5 * time.Second),
-		Route: &beechcall.Route{Name: "r", RetryPolicy: rule, Stream: stream, Objective: 100 * time.Millisecond, MaxAttempts: 2},
+		Route: &beechcall.Route{Name: "r", RetryPolicy: policy, Stream: stream, Objective: 100 * time.Millisecond, MaxAttempts: 2},
 	}
 }
 
@@ -198,12 +198,12 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// For each rule and each way a first attempt can end: how many attempts are made, and what
+// For each retry policy and each way a first attempt can end: how many attempts are made, and what
 // the caller is told.
 func TestRetriesAndAnswers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		rule     beechcall.RetryPolicy
+		policy   beechcall.RetryPolicy
 		first    step
 		attempts int
 		want     any
@@ -224,7 +224,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFixture(3, 5, test.first, answers(http.StatusOK, "whole"))
-			c := f.serve(t.Context(), f.call(test.rule, false))
+			c := f.serve(t.Context(), f.call(test.policy, false))
 			is.Equal(len(f.backend.sent), test.attempts)
 			if status, ok := test.want.(int); ok {
 				is.Equal(c.rejection, nil)
@@ -267,7 +267,7 @@
 	is.Equal(len(f.backend.sent), 1)
 }
 
-// Without budget for a retry, an attempt on a slow server is not canceled: a late answer is
+// Without budget for a retry, an attempt on a slow server is not cancelled: a late answer is
 // better than none.
 func TestNoTimeoutWithoutBudget(t *testing.T) {
 	is := is.New(t)
@@ -449,8 +449,8 @@
 
 // A request waits in an engine whose weights have been superseded. If it started after they
 // expire, its caller would get an answer from weights that may not be used any more. It is
-// canceled in time, sent elsewhere, and not counted as a suspect.
-func TestRequestIsCanceledBeforeWeightsExpire(t *testing.T) {
+// cancelled in time, sent elsewhere, and not counted as a suspect.
+func TestRequestIsCancelledBeforeWeightsExpire(t *testing.T) {
 	is := is.New(t)
 	f := newFixture(2, 5, hangs, answers(http.StatusOK, "elsewhere"))
 	r := &execution{dispatcher: f.dispatcher, call: f.call(beechcall.Repeatable, false), out: &caller{}, callerCtx: t.Context(), started: f.clock.Now()}
--- a/internal/request/beechattempt/run.go
+++ b/internal/request/beechattempt/run.go
@@ -248,7 +248,7 @@
 	}
 	r.triedServers = append(r.triedServers, choice.Server.ID)
 	var notSent beechcall.NotSent
-	var notRun beechcall.NotExecuted
+	var notExecuted beechcall.NotExecuted
 	switch {
 	case errors.As(err, &notSent):
 		r.notExecuted++
@@ -258,15 +258,15 @@
 			return tryAgain
 		}
 		return noRetry
-	case errors.As(err, &notRun):
+	case errors.As(err, &notExecuted):
 		r.notExecuted++
-		if !notRun.Replaced {
-			placement.ObserveLimit(notRun.Limit)
-			placement.ObserveLoad(notRun.Load)
+		if !notExecuted.Replaced {
+			placement.ObserveLimit(notExecuted.Limit)
+			placement.ObserveLoad(notExecuted.Load)
 		}
 		placement.Done(beechplace.Rejected)
-		r.dispatcher.placer.ObserveRejection(choice.Server.ID, notRun, r.call.Model)
-		r.logAttempt("turned away", choice, zap.Int("status", notRun.Status), zap.Bool("replaced", notRun.Replaced), zap.Bool("other weights", notRun.WeightsDiffer))
+		r.dispatcher.placer.ObserveRejection(choice.Server.ID, notExecuted, r.call.Model)
+		r.logAttempt("turned away", choice, zap.Int("status", notExecuted.Status), zap.Bool("replaced", notExecuted.Replaced), zap.Bool("other weights", notExecuted.WeightsDiffer))
 		if r.attempts < maxAttempts && r.takeRetry(beechretry.RanNo, choice, true) {
 			return tryAgain
 		}
@@ -308,10 +308,10 @@
 }
 
 // takeRetry takes a retry from the budget, and reports whether one was left.
-func (r *execution) takeRetry(ran beechretry.Ran, choice beechplace.Choice, refused bool) bool {
+func (r *execution) takeRetry(ran beechretry.Ran, choice beechplace.Choice, rejected bool) bool {
 	d := r.dispatcher.budget.Decide(r.call.Service, beechretry.Outcome{
 		Attempt: 1, Ran: ran, Repeatable: r.repeatable(), Deadline: r.call.Deadline,
-		Server: choice.Server.Address, Rejected: refused,
+		Server: choice.Server.Address, Rejected: rejected,
 	})
 	_, ok := d.(beechretry.Retry)
 	return ok
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -25,7 +25,7 @@
 	// watchdog cancels an attempt that is silent for too long, if the call may be retried
 	// elsewhere and the budget allows it.
 	watchdog struct {
-		run        *execution
+		execution  *execution
 		choice     beechplace.Choice
 		cancel     context.CancelCauseFunc
 		timer      clockwork.Timer
@@ -33,7 +33,7 @@
 
 		mu           sync.Mutex
 		retryGranted bool
-		missedStart  bool // canceled by startTimer
+		missedStart  bool // cancelled by startTimer
 		started      bool
 		stopped      bool
 	}
@@ -45,7 +45,7 @@
 
 // newWatchdog starts the time-out for the first byte.
 func (r *execution) newWatchdog(cancel context.CancelCauseFunc, choice beechplace.Choice) *watchdog {
-	w := &watchdog{run: r, choice: choice, cancel: cancel}
+	w := &watchdog{execution: r, choice: choice, cancel: cancel}
 	if choice.FirstByteTimeout > 0 {
 		w.startTimer = r.dispatcher.clock.AfterFunc(choice.FirstByteTimeout, w.onStartDeadline)
 	}
@@ -64,7 +64,7 @@
 	if w.stopped || w.retryGranted {
 		return
 	}
-	if w.run.takeRetry(beechretry.RanUnknown, w.choice, false) {
+	if w.execution.takeRetry(beechretry.RanUnknown, w.choice, false) {
 		w.retryGranted = true
 		w.cancel(errFirstByteTimeout)
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// startMissed reports whether the attempt was canceled by onStartDeadline.
+// startMissed reports whether the attempt was cancelled by onStartDeadline.
 func (w *watchdog) startMissed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,6 +108,8 @@
 	return w.retryGranted
 }
 
+// dataReceived records that the answer has started, and restarts the time-out for the
+// next data.
 func (w *watchdog) dataReceived(pause time.Duration) {
 	if w.startTimer != nil {
 		w.mu.Lock()
--- a/internal/request/beechattempt/timeout.go
+++ b/internal/request/beechattempt/timeout.go
@@ -29,7 +29,8 @@
 	meanWeightShift      = 3 // each answer counts 1/8
 	deviationWeightShift = 2
 	deviationFactor      = 4
-	// The time-out is at least minTimeoutFactor times the route's objective.
+	// The time-out is at least minTimeoutFactor times the route's objective, and at least
+	// minTimeout.
 	minTimeoutFactor = 2
 	minTimeout       = 250 * time.Millisecond
 	// minExpected is the smallest expected time that slowdown is computed with: below it
--- a/internal/request/beechrollout/updater_test.go
+++ b/internal/request/beechrollout/updater_test.go
@@ -177,7 +177,7 @@
 	is.Equal(phaseOf(u.after(200*time.Millisecond).next(at(1))), Leaving)
 }
 
-// While gates are heard they fallbackAt grant updates, even past the fallback delay: otherwise
+// While gates are heard they alone grant updates, even past the fallback delay: otherwise
 // many engines would update at once.
 func TestNoFallbackWhileGatesAreHeard(t *testing.T) {
 	is := is.New(t)
