--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -51,7 +51,7 @@
 		ServerPrefix   string
 		// Operators decodes the operators' documents and Servers the servers' entries. Both
 		// return what can be decoded, and an error for the rest.
-		Operators func([]beechmirror.Item) (*beechcall.Configuration, []beechcall.Named, error)
+		Operators func([]beechmirror.Item) (*beechcall.Configuration, []beechcall.WeightsVersion, error)
 		Servers   func([]beechmirror.Item) ([]beechcall.Server, error)
 	}
 
@@ -65,7 +65,7 @@
 
 		configuration  atomic.Pointer[beechcall.Configuration]
 		draining       atomic.Bool
-		freshness      *beechfresh.Belief // age of the operators' documents
+		freshness      *beechfresh.Tracker // age of the operators' documents
 		placer         *beechplace.Placer
 		health         *beechhealth.Tracker
 		suspects       *beechsuspect.Registry
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -39,7 +39,7 @@
 	unknown := make(map[string]bool)
 	for _, w := range c.Workspaces {
 		switch {
-		case w.Quota.Unknown:
+		case w.Quota.Invalid:
 			unknown[w.Name] = true
 		case w.Quota.Rate > 0:
 			limits[w.Name] = beechquota.Limit{Rate: w.Quota.Rate, Burst: w.Quota.Burst}
@@ -54,7 +54,7 @@
 func (g *Gate) admitQuota(ctx context.Context, call *beechcall.Call) beechquota.Decision {
 	deadline := g.clock.Now().Add(min(startupWait, call.Route.Objective/startupWaitDivisor))
 	for {
-		decision := g.quotas.Admit(call.Workspace.Name, call.Size())
+		decision := g.quotas.Admit(call.Workspace.Name, call.QuotaCost())
 		refused, ok := decision.(beechquota.Refused)
 		if !ok || !refused.Starting || !g.clock.Now().Before(deadline) {
 			return decision
@@ -73,7 +73,7 @@
 	case beechquota.Refused:
 		g.metrics.denied.Add("over quota", 1)
 		g.log.Warn("request refused", zap.String("request", call.ID), zap.String("route", call.Route.Name), zap.String("reason", "over quota"),
-			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.Size()), zap.Duration("after", decision.After),
+			zap.String("workspace", call.Workspace.Name), zap.Float64("size", call.QuotaCost()), zap.Duration("after", decision.After),
 			zap.Float64("left", decision.Level), zap.Float64("unread", decision.Unreported), zap.Float64("rate", decision.Limit.Rate), zap.Float64("burst", decision.Limit.Burst),
 			zap.Bool("alone", decision.Isolated), zap.Duration("age", decision.UpdateAge))
 		out.Reject(beechattempt.QuotaExceeded{RetryAfter: decision.After})
@@ -90,9 +90,9 @@
 func (g *Gate) settleQuota(call *beechcall.Call, attempts int) {
 	switch {
 	case attempts == 0:
-		g.quotas.Refund(call.Workspace.Name, call.Size())
+		g.quotas.Refund(call.Workspace.Name, call.QuotaCost())
 	case attempts > 1:
-		g.quotas.Charge(call.Workspace.Name, call.Size()*float64(attempts-1))
+		g.quotas.Charge(call.Workspace.Name, call.QuotaCost()*float64(attempts-1))
 	}
 }
 
--- a/internal/request/beechattempt/stream.go
+++ b/internal/request/beechattempt/stream.go
@@ -25,7 +25,7 @@
 	// watchdog cancels an attempt that is silent for too long, if the call may be retried
 	// elsewhere and the budget allows it.
 	watchdog struct {
-		run        *execution
+		execution  *execution
 		choice     beechplace.Choice
 		cancel     context.CancelCauseFunc
 		timer      clockwork.Timer
@@ -33,7 +33,7 @@
 
 		mu           sync.Mutex
 		retryGranted bool
-		missedStart  bool // canceled by startTimer
+		missedStart  bool // cancelled by startTimer
 		started      bool
 		stopped      bool
 	}
@@ -45,11 +45,11 @@
 
 // newWatchdog starts the time-out for the first byte.
 func (r *execution) newWatchdog(cancel context.CancelCauseFunc, choice beechplace.Choice) *watchdog {
-	w := &watchdog{run: r, choice: choice, cancel: cancel}
+	w := &watchdog{execution: r, choice: choice, cancel: cancel}
 	if choice.FirstByteTimeout > 0 {
 		w.startTimer = r.dispatcher.clock.AfterFunc(choice.FirstByteTimeout, w.onStartDeadline)
 	}
-	if r.call.Route.Rule == beechcall.RuleOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
+	if r.call.Route.RetryPolicy == beechcall.AtMostOnce || r.maybeExecuted+1 >= r.call.Route.MaxAttempts {
 		return w
 	}
 	w.timer = r.dispatcher.clock.AfterFunc(r.dispatcher.timeouts.firstByte(r.call.Route.Name, r.call.Route.Objective), w.onTimeout)
@@ -64,7 +64,7 @@
 	if w.stopped || w.retryGranted {
 		return
 	}
-	if w.run.takeRetry(beechretry.RanUnknown, w.choice, false) {
+	if w.execution.takeRetry(beechretry.RanUnknown, w.choice, false) {
 		w.retryGranted = true
 		w.cancel(errFirstByteTimeout)
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// startMissed reports whether the attempt was canceled by onStartDeadline.
+// startMissed reports whether the attempt was cancelled by onStartDeadline.
 func (w *watchdog) startMissed() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,6 +108,8 @@
 	return w.retryGranted
 }
 
+// dataReceived records that the answer has started, and restarts the time-out for the
+// next data.
 func (w *watchdog) dataReceived(pause time.Duration) {
 	if w.startTimer != nil {
 		w.mu.Lock()
@@ -129,7 +131,7 @@
 		n, err := answer.Body.Read(buffer[len(buffer):cap(buffer)])
 		buffer = buffer[:len(buffer)+n]
 		if n > 0 {
-			watch.dataReceived(r.call.Route.Pause)
+			watch.dataReceived(r.call.Route.MaxPause)
 			if end := wholeEvents(buffer); end > 0 {
 				if !r.startStream(answer) {
 					r.dispatcher.timeouts.observe(r.call.Route.Name, r.dispatcher.clock.Since(sent), milliseconds(choice.Expected), r.dispatcher.clock.Now())
@@ -160,7 +162,7 @@
 		case err == io.EOF:
 			err = errIncompleteEvent
 		}
-		return r.handleFailure(choice, placement, watch, beechcall.Unknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
+		return r.handleFailure(choice, placement, watch, beechcall.OutcomeUnknown{Peer: choice.Server.Address, Step: "read the stream", Err: err})
 	}
 }
 
--- a/internal/request/beechcall/call.go
+++ b/internal/request/beechcall/call.go
@@ -14,60 +14,60 @@
 )
 
 type (
-	// Part is a piece of a prompt that requests may share; a part is found in a
-	// cache only behind the same parts before it.
+	// Part is a piece of a prompt that requests may share. A cache hit on a part requires
+	// the same parts before it.
 	Part struct {
 		ID     string
 		Tokens int
 	}
 
-	// Call is one request of a caller. Header and Body are opaque: they are
-	// handed on as they came, without what concerns one connection only.
+	// Call is one request of a caller. Header and Body are opaque: they are forwarded
+	// unchanged, except for headers that concern a single connection.
 	Call struct {
-		ID           string
-		Workspace    Workspace
-		Route        *Route
-		Service      string
-		Version      uint64 // of the configuration it was admitted under
-		Model        string // empty for plain services
-		Parts        []Part // the last belongs to the request or its session
-		PromptTokens int
-		OutputTokens int  // at most
-		UsageTold    bool // the caller named the tokens
-		LastEvent    string
-		Received     time.Time
-		Deadline     time.Time // the caller's own or the route's, the earlier
-		Method       string
-		Target       string // path and query
-		Host         string
-		Header       http.Header
-		Body         []byte
+		ID             string
+		Workspace      Workspace
+		Route          *Route
+		Service        string
+		Version        uint64 // of the configuration under which it was admitted
+		Model          string // empty if the service is not an engine
+		Parts          []Part // the last one is particular to the request or its session
+		PromptTokens   int
+		OutputTokens   int    // the maximum
+		TokensDeclared bool   // the caller declared its token counts
+		LastEventID    string // of the last event the caller has, if it resumes a stream
+		Received       time.Time
+		Deadline       time.Time // of the caller or the route, whichever is earlier
+		Method         string
+		Target         string // path and query
+		Host           string
+		Header         http.Header
+		Body           []byte
 	}
 
 	// Attempt is a call on its way to one server.
 	Attempt struct {
-		Call      *Call
-		Server    Server
-		Weights   uint64 // version the server must have; 0 is any
-		Salt      string // what cached parts are kept under
-		Urgency   int    // 0 goes first
-		Fetch     netip.AddrPort
-		Save      netip.AddrPort
-		LastEvent string // go on after it
+		Call        *Call
+		Server      Server
+		Weights     uint64         // version that the server must have; 0: any
+		Salt        string         // cache salt: separates the cached parts of workspaces
+		Urgency     int            // 0 is the most urgent
+		Fetch       netip.AddrPort // where to fetch cached parts from; invalid: nowhere
+		Save        netip.AddrPort // where to save cached parts; invalid: nowhere
+		LastEventID string         // resume the stream after this event
 	}
 
-	// Answer is a server's answer, its body not yet read. Close before the
-	// body's end cancels the run.
+	// Answer is a server's answer whose body has not been read. Closing the body before its
+	// end cancels the execution.
 	Answer struct {
 		Status  int
 		Header  http.Header
 		Body    io.ReadCloser
-		Weights uint64 // version that made it; 0 where not told
+		Weights uint64 // version that computed it; 0: not reported
 		Load    Load
-		Limit   beechthrottle.ServerLimit // nil is not known
+		Limit   beechthrottle.ServerLimit // nil: not known
 	}
 
-	// Load is what a server said of itself with an answer.
+	// Load is the load that a server reports with an answer.
 	Load struct {
 		Known   bool
 		Running int
@@ -75,85 +75,86 @@
 		Slots   int
 	}
 
-	// Backend sends attempts. Errors are NotSent, NotRun or Unknown.
+	// Backend sends attempts. Errors are of type NotSent, NotExecuted or OutcomeUnknown.
 	Backend interface {
 		Send(ctx context.Context, attempt Attempt) (*Answer, error)
 	}
 
-	// Failure is how an attempt ends without an answer.
+	// Failure is the error of an attempt without an answer.
 	Failure interface {
 		error
 		failure()
 	}
 
-	// NotSent says that nothing reached the server.
+	// NotSent means that nothing reached the server.
 	NotSent struct {
 		Peer netip.AddrPort
 		Step string
 		Err  error
 	}
 
-	// NotRun says that the server turned the request away, by its own word.
-	// Replaced tells that another server answered at its address, There which,
-	// Other that it was the right one with other weights.
-	NotRun struct {
-		Peer     netip.AddrPort
-		Status   int
-		Replaced bool
-		There    string // ID
-		Other    bool
-		Weights  uint64 // that it has, where told
-		Load     Load
-		Limit    beechthrottle.ServerLimit // nil is not known
-		After    time.Duration             // when it asks to be tried again; 0 is not told
+	// NotExecuted means that the server rejected the request and reported that it was not
+	// executed. Replaced means that another server, ActualID, answered at the address;
+	// WeightsDiffer, that the right server has other weights.
+	NotExecuted struct {
+		Peer          netip.AddrPort
+		Status        int
+		Replaced      bool
+		ActualID      string
+		WeightsDiffer bool
+		Weights       uint64 // version that it has, if reported
+		Load          Load
+		Limit         beechthrottle.ServerLimit // nil: not known
+		RetryAfter    time.Duration             // when the server asks for a retry; 0: not reported
 	}
 
-	// Unknown says that the request was sent and may have run.
-	Unknown struct {
+	// OutcomeUnknown means that the request was sent and may have been executed.
+	OutcomeUnknown struct {
 		Peer netip.AddrPort
 		Step string
 		Err  error
 	}
 )
 
-func (NotSent) failure() {}
-func (NotRun) failure()  {}
-func (Unknown) failure() {}
+func (NotSent) failure()        {}
+func (NotExecuted) failure()    {}
+func (OutcomeUnknown) failure() {}
 
-// Error gives the step, the peer and the cause.
+// Error implements error.
 func (e NotSent) Error() string { return fmt.Sprintf("%s at %s: not sent: %v", e.Step, e.Peer, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e NotSent) Unwrap() error { return e.Err }
 
-// Error gives the peer and its status.
-func (e NotRun) Error() string {
-	return fmt.Sprintf("attempt at %s: not run, status %d", e.Peer, e.Status)
+// Error implements error.
+func (e NotExecuted) Error() string {
+	return fmt.Sprintf("attempt at %s: not executed, status %d", e.Peer, e.Status)
 }
 
-// Error gives the step, the peer and the cause.
-func (e Unknown) Error() string {
-	return fmt.Sprintf("%s at %s: it may have run: %v", e.Step, e.Peer, e.Err)
+// Error implements error.
+func (e OutcomeUnknown) Error() string {
+	return fmt.Sprintf("%s at %s: outcome unknown: %v", e.Step, e.Peer, e.Err)
 }
 
-// Unwrap gives the cause.
-func (e Unknown) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (e OutcomeUnknown) Unwrap() error { return e.Err }
 
-// Left is the time until the call's deadline.
-func (c *Call) Left(now time.Time) time.Duration { return c.Deadline.Sub(now) }
+// TimeLeft returns the time until the call's deadline.
+func (c *Call) TimeLeft(now time.Time) time.Duration { return c.Deadline.Sub(now) }
 
-// Size is what the call counts of its workspace's quota.
-func (c *Call) Size() float64 {
+// QuotaCost returns what the call takes from its workspace's quota, in requests or
+// tokens.
+func (c *Call) QuotaCost() float64 {
 	switch {
-	case !c.Workspace.Quota.Tokens:
+	case !c.Workspace.Quota.CountsTokens:
 		return 1
-	case c.UsageTold:
+	case c.TokensDeclared:
 		return float64(c.PromptTokens + c.OutputTokens)
 	}
-	return float64(c.Workspace.Quota.Plain)
+	return float64(c.Workspace.Quota.DefaultTokens)
 }
 
-// SharedTokens counts the tokens of the parts that other requests may share.
+// SharedTokens returns the number of tokens in the parts that other requests may share.
 func (c *Call) SharedTokens() int {
 	total := 0
 	for i := 0; i+1 < len(c.Parts); i++ {
@@ -162,9 +163,9 @@
 	return total
 }
 
-// Subject names the chain of shared parts, the same for all requests about one
-// thing; empty where nothing is shared.
-func (c *Call) Subject() string {
+// SharedPrefix identifies the sequence of shared parts, which is the same for all requests
+// about one subject; it is empty if nothing is shared.
+func (c *Call) SharedPrefix() string {
 	name := ""
 	for i := 0; i+1 < len(c.Parts); i++ {
 		name += c.Parts[i].ID + ","
@@ -172,8 +173,8 @@
 	return name
 }
 
-// Fingerprint tells requests of the same workspace, path and body from others,
-// alike in all processes.
+// Fingerprint returns a hash of the workspace, method, target and body that is the same in
+// all processes.
 func (c *Call) Fingerprint() uint64 {
 	h := xxhash.New()
 	for _, text := range []string{c.Workspace.Name, c.Method, c.Target} {
--- a/internal/request/beechplace/storelink_test.go
+++ b/internal/request/beechplace/storelink_test.go
@@ -23,7 +23,7 @@
 		for range 5 { // gates
 			f := newFleet(2)
 			f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-				"llm": {Name: "llm"}, "one": {Name: "one", Kept: kvStoreAddress}, "two": {Name: "two", Kept: other},
+				"llm": {Name: "llm"}, "one": {Name: "one", KVStore: kvStoreAddress}, "two": {Name: "two", KVStore: other},
 			}})
 			f.reportAll(nil)
 			c := f.choose(t, call)
@@ -46,7 +46,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 50 * 1000 / linkShare}, // 25 tokens per millisecond for each gate
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 50 * 1000 / linkShare}, // 25 tokens per millisecond for each gate
 	}})
 	f.SetGates(2)
 	f.reportAll(nil)
@@ -72,7 +72,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 550000}, // 550 tokens per millisecond
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 550000}, // 550 tokens per millisecond
 	}})
 	f.SetGates(68)
 	f.reportAll(nil)
@@ -103,7 +103,7 @@
 	is := is.New(t)
 	f := newFleet(4)
 	f.SetConfiguration(&beechcall.Configuration{Services: map[string]beechcall.Service{
-		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", Kept: kvStoreAddress, Link: 100000}, // 100 tokens per millisecond
+		"llm": {Name: "llm", TokenBytes: 1000}, "kept": {Name: "kept", KVStore: kvStoreAddress, KVStoreRate: 100000}, // 100 tokens per millisecond
 	}})
 	run := func(name string, shared int, first time.Duration) Choice {
 		call := newCall(name, shared, 100)
