--- a/internal/process/beechagent/admin.go
+++ b/internal/process/beechagent/admin.go
@@ -15,7 +15,8 @@
 )
 
 type (
-	// counters are the agent's, published by expvar.
+	// counters count events since the start of the process. They are part of
+	// Status and published by expvar.
 	counters struct {
 		Begun     atomic.Int64
 		Joined    atomic.Int64
@@ -26,7 +27,7 @@
 		Crashes   atomic.Int64
 	}
 
-	// Status is what an agent tells operators.
+	// Status is the state of the agent as published on the admin listener.
 	Status struct {
 		Name        string             `json:"name"`
 		Zone        string             `json:"zone"`
@@ -49,7 +50,7 @@
 	}
 )
 
-// Status tells what the agent is doing now.
+// Status returns the current state of the agent.
 func (a *Agent) Status() Status {
 	return Status{
 		Name:        a.settings.Name,
@@ -67,9 +68,9 @@
 		Cache:       a.index.Counts(),
 		Version:     a.index.Version(),
 		Links:       a.server.Counters(),
-		Shared:      a.fleet.sharedMembers(),
-		Kept:        a.library.size(),
-		Counts:      a.numbers.values(),
+		Shared:      a.entryHosts.sharedMembers(),
+		Kept:        a.generations.size(),
+		Counts:      a.counters.values(),
 	}
 }
 
@@ -85,7 +86,7 @@
 	}
 }
 
-// newAdmin opens the admin listener and returns what serves it.
+// newAdmin opens the admin listener and returns the function that serves it.
 func (a *Agent) newAdmin() (func(ctx context.Context) error, error) {
 	vars := new(expvar.Map).Init()
 	vars.Set("agent", expvar.Func(func() any { return a.Status() }))
--- a/internal/process/beechagent/admission.go
+++ b/internal/process/beechagent/admission.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	engineKind  = beechmanifest.KindEngine
-	retrySoon   = time.Second
-	pullTimeout = time.Second
+	engineKind      = beechmanifest.KindEngine
+	shortRetryDelay = time.Second
+	pullTimeout     = time.Second
 )
 
-// refusal makes a reply for a request that was not run.
+// refusal builds the reply for a request that was not run and counts it.
 func (a *Agent) refusal(reason string, after time.Duration, format string, arguments ...any) beechlink.RefusedReply {
-	a.numbers.Refused.Add(1)
+	a.counters.Refused.Add(1)
 	return beechlink.RefusedReply{Refused: beechwire.Refused{
 		Reason:      reason,
 		Message:     fmt.Sprintf(format, arguments...),
@@ -31,32 +31,34 @@
 	}}
 }
 
-// admit checks a request against what is so at this server. It returns nil for
-// a request that may be offered to the queue.
+// admit checks a request against the current configuration and the state of the
+// server. It returns nil if the request may be offered to the queue, and the
+// reply to send otherwise.
 func (a *Agent) admit(ctx context.Context, peer beechlink.Peer, r *beechwire.Request, body []byte) beechlink.Reply {
 	if a.leaving.Load() {
-		return a.refusal(beechwire.ReasonLeaving, retrySoon, "backend server is leaving")
+		return a.refusal(beechwire.ReasonLeaving, shortRetryDelay, "backend server is leaving")
 	}
 	if len(body) != r.BodyBytes {
-		return a.refusal(beechwire.ReasonMalformed, 0, "body has %d bytes, %d were announced", len(body), r.BodyBytes)
+		return a.refusal(beechwire.ReasonMalformed, 0, "body has %d bytes, expected %d", len(body), r.BodyBytes)
 	}
 	if sum := sha256.Sum256(body); len(r.BodyHash) > 0 && string(sum[:]) != string(r.BodyHash) {
-		return a.refusal(beechwire.ReasonMalformed, 0, "body does not match its hash")
+		return a.refusal(beechwire.ReasonMalformed, 0, "body does not match its SHA-256 hash")
 	}
 	if reply := a.admitGeneration(ctx, peer, r); reply != nil {
 		return reply
 	}
-	if reply := a.admitTarget(r); reply != nil {
+	if reply := a.admitModel(r); reply != nil {
 		return reply
 	}
 	return a.admitSuspect(r)
 }
 
-// admitGeneration refuses work admitted under an older configuration than is
-// in force here; the refusal carries the newer generation, which the entry
-// host then pulls. A newer one is pulled from the entry host first. A stream
-// that is resumed keeps the generation it began under, as long as the weights
-// it began with are still loaded.
+// admitGeneration compares the configuration generation under which the entry
+// host admitted the request with the agent's own. If the entry host's is newer,
+// the agent pulls it first. If it is older, the request is refused, and the
+// refusal carries the newer generation, which the entry host then pulls. A
+// resumed stream may keep the generation it started with, as long as the weights
+// it started with are still loaded.
 func (a *Agent) admitGeneration(ctx context.Context, peer beechlink.Peer, r *beechwire.Request) beechlink.Reply {
 	if r.Generation > a.holder.Generation() {
 		pulling, cancel := context.WithTimeout(ctx, pullTimeout)
@@ -65,24 +67,24 @@
 	}
 	have := a.holder.Generation()
 	if r.Generation > have {
-		return a.refusal(beechwire.ReasonGeneration, retrySoon, "agent has only generation %d", have)
+		return a.refusal(beechwire.ReasonGeneration, shortRetryDelay, "agent only has configuration generation %d", have)
 	}
 	if r.Generation < have && r.ResumeSequence == 0 {
-		return a.refusal(beechwire.ReasonGeneration, 0, "generation %d is in force", have)
+		return a.refusal(beechwire.ReasonGeneration, 0, "configuration generation %d is in force", have)
 	}
 	return nil
 }
 
-func (a *Agent) admitTarget(r *beechwire.Request) beechlink.Reply {
+func (a *Agent) admitModel(r *beechwire.Request) beechlink.Reply {
 	pool := a.pool()
 	if pool == nil {
-		return a.refusal(beechwire.ReasonModel, retrySoon, "pool %s is not in the configuration", a.settings.Pool)
+		return a.refusal(beechwire.ReasonModel, shortRetryDelay, "pool %s is not in the configuration", a.settings.Pool)
 	}
 	if r.Service != "" {
 		return a.admitService(pool, r)
 	}
-	if model := modelKey(r.Model, r.Weights); !a.view.serves(model) {
-		return a.refusal(beechwire.ReasonModel, retrySoon, "%s is not loaded", model)
+	if model := modelKey(r.Model, r.Weights); !a.backend.serves(model) {
+		return a.refusal(beechwire.ReasonModel, shortRetryDelay, "%s is not loaded", model)
 	}
 	return nil
 }
@@ -91,16 +93,17 @@
 	if pool.Service != r.Service {
 		return a.refusal(beechwire.ReasonModel, 0, "service %s is not served here", r.Service)
 	}
-	if _, alive := a.view.last(); !alive {
-		return a.refusal(beechwire.ReasonBusy, retrySoon, "service %s does not answer", r.Service)
+	if _, alive := a.backend.last(); !alive {
+		return a.refusal(beechwire.ReasonBusy, shortRetryDelay, "service %s does not answer", r.Service)
 	}
 	if !r.Repeatable && r.Claim == "" {
-		return a.refusal(beechwire.ReasonClaim, 0, "no token to run")
+		return a.refusal(beechwire.ReasonClaim, 0, "claim token is missing")
 	}
 	return nil
 }
 
-// admitSuspect keeps apart requests that were running when an engine crashed.
+// admitSuspect refuses or isolates requests that were running when an engine
+// crashed, since they may have caused the crash.
 func (a *Agent) admitSuspect(r *beechwire.Request) beechlink.Reply {
 	if r.Crashes > 0 {
 		a.suspects.RecordAttempt(r.Fingerprint, r.Crashes)
@@ -114,11 +117,11 @@
 	return nil
 }
 
-// workOf turns a request into the queue's terms.
-func (a *Agent) workOf(r *beechwire.Request, id uint64, deadline time.Time) beechqueue.Request {
+// queueRequest converts a request to the type used by the queue.
+func (a *Agent) queueRequest(r *beechwire.Request, id uint64, deadline time.Time) beechqueue.Request {
 	levels := make([]beechqueue.Level, 0, len(r.Levels))
 	for _, l := range r.Levels {
-		levels = append(levels, beechqueue.Level{Key: keyOf(l), Tokens: l.Tokens})
+		levels = append(levels, beechqueue.Level{Key: levelKey(l), Tokens: l.Tokens})
 	}
 	cached, _ := a.index.CachedTokens(r.Salt, indexLevels(r.Levels))
 	return beechqueue.Request{
--- a/internal/process/beechagent/agent.go
+++ b/internal/process/beechagent/agent.go
@@ -28,7 +28,7 @@
 )
 
 type (
-	// Dependencies are what an agent needs from outside.
+	// Dependencies are the external components that an agent uses.
 	Dependencies struct {
 		Clock   clockwork.Clock
 		Log     *zap.Logger
@@ -38,7 +38,7 @@
 		LinkTLS *tls.Config // nil without TLS on links
 	}
 
-	// Agent is the process beside one backend server. Make one with New.
+	// Agent controls one backend server. Use New to create one.
 	Agent struct {
 		settings    *beechsettings.Agent
 		clock       clockwork.Clock
@@ -48,85 +48,86 @@
 		service     beechbackend.Service
 		incarnation uint64
 
-		holder     *beechmanifest.Holder
-		server     *beechlink.Server
-		listener   net.Listener
-		records    *beechrecord.Records
-		index      *beechindex.Index
-		suspects   *beechsuspect.Registry
-		scheduler  *scheduler
-		library    *library
-		view       *backendView
-		fleet      *fleet
-		running    *runningSet
-		used       *usedClaims
-		placements *placements
-		unsettled  *unsettled
-		numbers    counters
-
-		leaving    atomic.Bool
-		supervisor *suture.Supervisor
-		life       context.Context // of generations; ends after the drain
-		endLife    context.CancelFunc
-		runs       sync.WaitGroup
-		work       atomic.Uint64
+		holder          *beechmanifest.Holder
+		server          *beechlink.Server
+		listener        net.Listener
+		records         *beechrecord.Records
+		index           *beechindex.Index
+		suspects        *beechsuspect.Registry
+		scheduler       *scheduler
+		generations     *generationRegistry
+		backend         *backendState
+		entryHosts      *entryHosts
+		running         *activeRuns
+		usedClaims      *usedClaims
+		placements      *placements
+		pendingOutcomes *pendingOutcomes
+		counters        counters
+
+		leaving           atomic.Bool
+		supervisor        *suture.Supervisor
+		generationContext context.Context // parent context of all generations; cancelled after the drain
+		cancelGenerations context.CancelFunc
+		runs              sync.WaitGroup
+		lastRequestID     atomic.Uint64
 	}
 )
 
 const (
-	drainLimit      = 10 * time.Minute
-	leavingNotice   = 300 * time.Millisecond
-	longPrefill     = 8192 // tokens; a few seconds on the engines of today
-	maxLongPrefills = 2
-	prefillWait     = 2 * time.Second
-	maxWait         = 30 * time.Second // callers without a deadline
-	shutdownTimeout = 2 * time.Second
-	recordsPause    = 20 * time.Millisecond
+	drainTimeout       = 10 * time.Minute
+	drainNotice        = 300 * time.Millisecond
+	longPrefillTokens  = 8192 // takes a few seconds on current engines
+	maxLongPrefills    = 2
+	maxPrefixWait      = 2 * time.Second
+	maxQueueWait       = 30 * time.Second // for requests without a deadline
+	shutdownTimeout    = 2 * time.Second
+	recordPollInterval = 20 * time.Millisecond
 )
 
-// New makes an agent and opens its listeners, so that an address that is
-// taken is an error here. Its goroutines run from Serve on.
+// New creates an agent and opens its listeners, so that an address already in
+// use is reported here. No goroutines run before Serve is called.
 func New(settings *beechsettings.Agent, d Dependencies) (*Agent, error) {
 	listener, err := beechlink.Listen(settings.Listen)
 	if err != nil {
 		return nil, err
 	}
-	life, endLife := context.WithCancel(context.Background())
+	generationContext, cancelGenerations := context.WithCancel(context.Background())
 	a := &Agent{
-		settings:    settings,
-		clock:       d.Clock,
-		log:         d.Log.Named("agent"),
-		store:       d.Store,
-		engine:      d.Engine,
-		service:     d.Service,
-		incarnation: uint64(d.Clock.Now().UnixNano()),
-		holder:      beechmanifest.NewHolder(),
-		listener:    listener,
-		records:     beechrecord.New(d.Store, d.Clock, beechrecord.Settings{Shards: beechwire.RecordShards}),
-		index:       beechindex.New(beechindex.Settings{}),
-		suspects:    beechsuspect.New(beechsuspect.Settings{}, d.Clock),
-		library:     newLibrary(settings.Limits, d.Clock),
-		fleet:       newFleet(),
-		running:     newRunningSet(),
-		used:        newUsedClaims(),
-		placements:  newPlacements(d.Clock),
-		unsettled:   newUnsettled(d.Clock),
-		life:        life,
-		endLife:     endLife,
+		settings:          settings,
+		clock:             d.Clock,
+		log:               d.Log.Named("agent"),
+		store:             d.Store,
+		engine:            d.Engine,
+		service:           d.Service,
+		incarnation:       uint64(d.Clock.Now().UnixNano()),
+		holder:            beechmanifest.NewHolder(),
+		listener:          listener,
+		records:           beechrecord.New(d.Store, d.Clock, beechrecord.Settings{Shards: beechwire.RecordShards}),
+		index:             beechindex.New(beechindex.Settings{}),
+		suspects:          beechsuspect.New(beechsuspect.Settings{}, d.Clock),
+		generations:       newGenerationRegistry(settings.Limits, d.Clock),
+		entryHosts:        newEntryHosts(),
+		running:           newActiveRuns(),
+		usedClaims:        newUsedClaims(),
+		placements:        newPlacements(d.Clock),
+		pendingOutcomes:   newPendingOutcomes(d.Clock),
+		generationContext: generationContext,
+		cancelGenerations: cancelGenerations,
 	}
-	a.view = newBackendView()
-	a.scheduler = newScheduler(a.queueSettings(nil), d.Clock, a.view.queueLoad)
+	a.backend = newBackendState()
+	a.scheduler = newScheduler(a.queueSettings(nil), d.Clock, a.backend.queueLoad)
 	a.server = beechlink.New(
 		beechlink.Settings{Key: settings.Secret}, a.hello, a, a, a, a, d.LinkTLS, d.Clock)
 	if err := a.supervise(); err != nil {
 		listener.Close()
 		return nil, err
 	}
-	a.warnOpen(d.LinkTLS)
+	a.warnWithoutTLS(d.LinkTLS)
 	return a, nil
 }
 
-// supervise lists every goroutine that lives as long as the agent.
+// supervise registers every goroutine that runs for the lifetime of the agent.
+// The task names appear in the supervisor's log lines.
 func (a *Agent) supervise() error {
 	admin, err := a.newAdmin()
 	if err != nil {
@@ -137,23 +138,23 @@
 	a.supervisor.Add(beechmemory.New(a.clock))
 	a.supervisor.Add(beechtask.Task{Name: "scheduler", Run: a.scheduler.serve})
 	a.supervisor.Add(beechtask.Task{Name: "library", Run: a.sweep})
-	a.supervisor.Add(beechtask.Task{Name: "report", Run: a.watchReport})
-	a.supervisor.Add(beechtask.Task{Name: "cache events", Run: a.watchCache})
+	a.supervisor.Add(beechtask.Task{Name: "report", Run: a.pollBackend})
+	a.supervisor.Add(beechtask.Task{Name: "cache events", Run: a.pollCacheEvents})
 	a.supervisor.Add(beechtask.Task{Name: "configuration", Run: a.watchConfiguration})
 	a.supervisor.Add(beechtask.Task{Name: "apply configuration", Run: a.applyConfigurations})
-	a.supervisor.Add(beechtask.Task{Name: "loads", Run: a.keepModels})
+	a.supervisor.Add(beechtask.Task{Name: "loads", Run: a.reconcileModels})
 	return nil
 }
 
-// Serve runs the agent until ctx ends. Then it says that it is leaving, takes
-// no new work, finishes every request and returns nil.
+// Serve runs the agent until ctx ends. It then announces that the agent is
+// leaving, refuses new requests, waits for the accepted ones and returns nil.
 func (a *Agent) Serve(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	supervised := a.supervisor.ServeBackground(inner)
 	served := make(chan error, 1)
 	go func() { served <- a.server.Serve(inner, a.listener) }()
-	a.log.Info("agent serves", zap.Stringer("listen", a.listener.Addr()), zap.Uint64("incarnation", a.incarnation))
+	a.log.Info("agent started", zap.Stringer("listen", a.listener.Addr()), zap.Uint64("incarnation", a.incarnation))
 
 	var err error
 	select {
@@ -161,44 +162,47 @@
 		err = a.drain()
 	case err = <-served:
 	}
-	a.endLife()
+	a.cancelGenerations()
 	a.runs.Wait()
 	stop()
 	<-supervised
-	a.log.Info("agent ended", zap.Error(err))
+	a.log.Info("agent stopped", zap.Error(err))
 	return err
 }
 
-// drain lets everything that was accepted end. Entry hosts are told first and
-// given a moment to stop choosing this server; what still comes is refused,
-// not run, and goes elsewhere.
+// drain waits until all accepted requests have ended. Entry hosts are notified
+// first and have drainNotice to stop choosing this server. Requests that still
+// arrive are refused without being run, so that entry hosts can send them to
+// another server.
 func (a *Agent) drain() error {
 	a.leaving.Store(true)
 	a.server.Push()
 	a.log.Info("agent leaves", beechlog.Step("drain"))
-	a.clock.Sleep(leavingNotice)
-	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+	a.clock.Sleep(drainNotice)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := a.server.Drain(ctx); err != nil {
 		return fmt.Errorf("drain: %w", err)
 	}
-	a.awaitRuns(ctx)
-	return a.finishRecords(ctx)
+	a.waitForRuns(ctx)
+	return a.flushOutcomes(ctx)
 }
 
-// awaitRuns lets what may not be repeated end. Generations whose callers are
-// gone are cancelled: nobody can come back to them any more.
-func (a *Agent) awaitRuns(ctx context.Context) {
-	a.library.cancelRepeatable()
+// waitForRuns waits for the runs of requests that may not be repeated. Runs of
+// repeatable requests are cancelled: all streams have ended by now, and no caller
+// can reattach any more.
+func (a *Agent) waitForRuns(ctx context.Context) {
+	a.generations.cancelRepeatable()
 	beechtask.Wait(ctx, &a.runs)
 }
 
-// finishRecords waits until the outcomes known here are in the platform's
-// service. One that is lost with this process would be told as unknown.
-func (a *Agent) finishRecords(ctx context.Context) error {
+// flushOutcomes waits until all outcomes known here are stored in the platform's
+// service. An outcome that is lost with this process would be reported as unknown
+// to repeated requests.
+func (a *Agent) flushOutcomes(ctx context.Context) error {
 	closing, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	_ = beechtask.Every(closing, a.clock, recordsPause, func() {
+	_ = beechtask.Every(closing, a.clock, recordPollInterval, func() {
 		if a.records.Unrecorded() == 0 {
 			cancel()
 		}
@@ -222,9 +226,10 @@
 	}
 }
 
-// warnOpen says when links beyond loopback are not under TLS.
-func (a *Agent) warnOpen(config *tls.Config) {
+// warnWithoutTLS logs a warning if links accept connections from other hosts
+// without TLS.
+func (a *Agent) warnWithoutTLS(config *tls.Config) {
 	if config == nil && !a.settings.Listen.Addr().IsLoopback() {
-		a.log.Warn("links listen beyond loopback without TLS", zap.Stringer("listen", a.settings.Listen))
+		a.log.Warn("link listener accepts connections from other hosts without TLS", zap.Stringer("listen", a.settings.Listen))
 	}
 }
--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -21,48 +21,49 @@
 )
 
 type (
-	// attempt is one generation at the backend server.
+	// attempt is one call to the backend server on behalf of a generation.
 	attempt struct {
-		agent       *Agent
-		generation  *generation
-		id          uint64
-		incarnation uint64
-		began       time.Time // at the server
-		firstToken  time.Duration
-		usage       beechbackend.Usage
-		usageKnown  bool
-		headSent    bool
-		moved       atomic.Int64 // when the server gave something last, in ns since 1970
-		abort       context.CancelCauseFunc
+		agent        *Agent
+		generation   *generation
+		id           uint64
+		incarnation  uint64
+		startedAt    time.Time // when the queue let it start
+		firstToken   time.Duration
+		usage        beechbackend.Usage
+		usageKnown   bool
+		headSent     bool
+		lastProgress atomic.Int64 // when the server last sent data, in ns since 1970
+		abort        context.CancelCauseFunc
 	}
 )
 
 const (
-	pieceBytes    = 16 << 10
+	pieceSize     = 16 << 10
 	cancelTimeout = time.Second
 )
 
 var (
-	errAnswerTooLong = errors.New("the answer is longer than the agent keeps")
-	errServerFailed  = errors.New("the server ended its answer with an error")
+	errAnswerTooLong = errors.New("answer exceeds the size limit of the agent")
+	errServerFailed  = errors.New("backend server ended its answer with an error")
 	usageField       = []byte(`"usage"`)
 	errorField       = []byte(`"error"`)
 
-	errStalled = errors.New("the server gives nothing and does not answer its reports")
+	errStalled = errors.New("backend server sends no data and does not answer load reports")
 )
 
 // execute calls the backend server and returns the last reply.
 func (t *attempt) execute(ctx context.Context, body []byte) beechlink.Reply {
-	answer, err := t.call(ctx, body)
+	answer, err := t.sendToBackend(ctx, body)
 	if err != nil {
-		return t.failure(ctx, err)
+		return t.failureReply(ctx, err)
 	}
 	defer answer.Body.Close()
 	if t.generation.request.Service == "" && answer.Status >= http.StatusInternalServerError {
-		// The engine's own failure, not an answer: another may do better.
-		return t.ended(beechwire.ReasonServer, false)
+		// A 5xx of an engine is a failure of that engine, not an answer to the
+		// request; another engine may succeed.
+		return t.failedReply(beechwire.ReasonServer, false)
 	}
-	t.generation.begin(t.head(answer))
+	t.generation.setHead(t.head(answer))
 	t.headSent = true
 	if answer.Streamed {
 		err = t.copyEvents(answer.Body)
@@ -70,13 +71,14 @@
 		err = t.copyBody(answer)
 	}
 	if err != nil {
-		return t.failure(ctx, err)
+		return t.failureReply(ctx, err)
 	}
-	t.learn()
-	return t.end()
+	t.recordSuccess()
+	return t.endReply()
 }
 
-// head is what the caller is told first. An engine's own headers stay here.
+// head returns the start of the answer as sent to the caller. Headers of a plain
+// service are passed on, headers of an engine are not.
 func (t *attempt) head(answer *beechbackend.Answer) beechwire.Head {
 	head := beechwire.Head{Status: answer.Status, ContentType: answer.ContentType, Incarnation: t.agent.incarnation}
 	if t.generation.request.Service != "" {
@@ -85,7 +87,7 @@
 	return head
 }
 
-func (t *attempt) call(ctx context.Context, body []byte) (*beechbackend.Answer, error) {
+func (t *attempt) sendToBackend(ctx context.Context, body []byte) (*beechbackend.Answer, error) {
 	r := &t.generation.request
 	if r.Service != "" {
 		return t.agent.service.Relay(ctx, beechbackend.Relay{
@@ -105,8 +107,8 @@
 	})
 }
 
-// copyEvents takes a stream's events into the generation. Only the stream's own
-// last event makes it whole; anything else that ends it is an error.
+// copyEvents appends the events of a stream to the generation. The stream is
+// complete only if its final event arrived; any other end is an error.
 func (t *attempt) copyEvents(body io.Reader) error {
 	events := beechbackend.Events(body, beechbackend.DefaultEventLimit)
 	for {
@@ -117,14 +119,14 @@
 		if event.Done() {
 			return nil
 		}
-		if err := t.takeEvent(event.Data); err != nil {
+		if err := t.handleEvent(event.Data); err != nil {
 			return err
 		}
 	}
 }
 
-func (t *attempt) takeEvent(data []byte) error {
-	t.noteFirst()
+func (t *attempt) handleEvent(data []byte) error {
+	t.recordFirstOutput()
 	if bytes.Contains(data, usageField) || bytes.Contains(data, errorField) {
 		chunk, err := beechbackend.ReadChunk(data)
 		if err != nil {
@@ -133,16 +135,16 @@
 		if chunk.Failure != "" {
 			return fmt.Errorf("%w: %s", errServerFailed, chunk.Failure)
 		}
-		t.noteUsage(chunk.Usage)
+		t.recordUsage(chunk.Usage)
 		if chunk.Choices == 0 && chunk.Usage != nil && !t.generation.request.WantsUsage {
 			return nil
 		}
 	}
-	return t.keep(bytes.Clone(data))
+	return t.appendPiece(bytes.Clone(data))
 }
 
-// copyBody takes a plain answer into the generation. The usage is read from it
-// where it is an engine's.
+// copyBody appends an answer that is not streamed to the generation. For answers
+// of engines it also reads the token usage.
 func (t *attempt) copyBody(answer *beechbackend.Answer) error {
 	limit := int64(t.agent.settings.Limits.AnswerBytes)
 	data, err := io.ReadAll(io.LimitReader(answer.Body, limit+1))
@@ -152,41 +154,41 @@
 	if int64(len(data)) > limit {
 		return errAnswerTooLong
 	}
-	t.noteFirst()
+	t.recordFirstOutput()
 	if t.generation.request.Service == "" && answer.Status == http.StatusOK {
 		if chunk, err := beechbackend.ReadChunk(data); err == nil {
-			t.noteUsage(chunk.Usage)
+			t.recordUsage(chunk.Usage)
 		}
 	}
-	for start := 0; start < len(data); start += pieceBytes {
-		if err := t.keep(data[start:min(start+pieceBytes, len(data))]); err != nil {
+	for start := 0; start < len(data); start += pieceSize {
+		if err := t.appendPiece(data[start:min(start+pieceSize, len(data))]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (t *attempt) keep(piece []byte) error {
-	t.move()
-	if t.generation.add(piece) > t.agent.settings.Limits.AnswerBytes {
+func (t *attempt) appendPiece(piece []byte) error {
+	t.markProgress()
+	if t.generation.appendPiece(piece) > t.agent.settings.Limits.AnswerBytes {
 		return errAnswerTooLong
 	}
 	return nil
 }
 
-func (t *attempt) move() { t.moved.Store(t.agent.clock.Now().UnixNano()) }
+func (t *attempt) markProgress() { t.lastProgress.Store(t.agent.clock.Now().UnixNano()) }
 
-func (t *attempt) movedAt() time.Time { return time.Unix(0, t.moved.Load()) }
+func (t *attempt) lastProgressAt() time.Time { return time.Unix(0, t.lastProgress.Load()) }
 
-func (t *attempt) noteFirst() {
+func (t *attempt) recordFirstOutput() {
 	if t.firstToken > 0 {
 		return
 	}
 	t.firstToken = max(1, t.agent.clock.Since(t.generation.started))
-	t.agent.scheduler.prefilled(t.id)
+	t.agent.scheduler.finishPrefill(t.id)
 }
 
-func (t *attempt) noteUsage(usage *beechbackend.Usage) {
+func (t *attempt) recordUsage(usage *beechbackend.Usage) {
 	if usage == nil {
 		return
 	}
@@ -194,8 +196,9 @@
 	t.usageKnown = true
 }
 
-// learn takes in what a whole answer showed.
-func (t *attempt) learn() {
+// recordSuccess clears the request of suspicion and updates the cache index with
+// the engine's token usage, after a complete answer.
+func (t *attempt) recordSuccess() {
 	r := &t.generation.request
 	t.agent.suspects.RecordSuccess(r.Fingerprint)
 	if !t.usageKnown {
@@ -211,44 +214,44 @@
 	})
 }
 
-func (t *attempt) end() beechlink.Reply {
+func (t *attempt) endReply() beechlink.Reply {
 	g := t.generation
 	return beechlink.EndReply{End: beechwire.End{
 		Last:             g.lastSequence(),
 		Usage:            beechwire.Usage{Known: t.usageKnown, Prompt: t.usage.Prompt, Cached: t.usage.Cached, Output: t.usage.Output},
-		QueueMicros:      t.began.Sub(g.started).Microseconds(),
+		QueueMicros:      t.startedAt.Sub(g.started).Microseconds(),
 		FirstTokenMicros: t.firstToken.Microseconds(),
 		Load:             t.agent.wireLoad(),
 	}}
 }
 
-// failure turns an error into the last reply, saying no more about whether the
-// request ran than is known.
-func (t *attempt) failure(ctx context.Context, err error) beechlink.Reply {
+// failureReply converts an error into the last reply. The reply claims that the
+// request was or was not run only where that is certain.
+func (t *attempt) failureReply(ctx context.Context, err error) beechlink.Reply {
 	a := t.agent
-	a.numbers.Failed.Add(1)
+	a.counters.Failed.Add(1)
 	r := &t.generation.request
 	a.log.Warn("attempt failed", beechlog.RequestID(r.ID), beechlog.Attempt(r.Attempt), beechlog.Step("run"),
 		beechlog.Peer(a.settings.Backend), beechlog.Workspace(r.Workspace), zap.Error(err))
 	var refused *beechbackend.Refused
 	switch {
 	case errors.As(err, &refused):
-		return a.refusal(beechwire.ReasonBusy, max(refused.After, retrySoon), "the backend server refused it")
+		return a.refusal(beechwire.ReasonBusy, max(refused.After, shortRetryDelay), "the backend server refused the request")
 	case beechbackend.NotRun(err):
 		if a.isEngine() {
-			a.brokenByCrash(ctx, t.incarnation)
+			a.confirmCrash(ctx, t.incarnation)
 		}
-		return a.refusal(beechwire.ReasonServer, retrySoon, "the backend server could not be reached")
+		return a.refusal(beechwire.ReasonServer, shortRetryDelay, "the backend server could not be reached")
 	case errors.Is(context.Cause(ctx), errStalled):
-		return t.ended(beechwire.ReasonServer, false)
+		return t.failedReply(beechwire.ReasonServer, false)
 	case ctx.Err() != nil:
 		t.cancelAtServer()
-		return t.ended(cancelReason(ctx), false)
+		return t.failedReply(cancelReason(ctx), false)
 	case errors.Is(err, errAnswerTooLong), errors.Is(err, errServerFailed):
 		t.cancelAtServer()
-		return t.ended(beechwire.ReasonServer, false)
+		return t.failedReply(beechwire.ReasonServer, false)
 	default:
-		return t.ended(beechwire.ReasonCrash, a.isEngine() && a.brokenByCrash(ctx, t.incarnation))
+		return t.failedReply(beechwire.ReasonCrash, a.isEngine() && a.confirmCrash(ctx, t.incarnation))
 	}
 }
 
@@ -259,12 +262,12 @@
 	return beechwire.ReasonCancelled
 }
 
-func (t *attempt) ended(reason string, crashed bool) beechlink.Reply {
+func (t *attempt) failedReply(reason string, crashed bool) beechlink.Reply {
 	ran := beechwire.RanUnknown
 	if t.headSent {
 		ran = beechwire.RanYes
 	}
-	reply := failed(reason, ran, "the backend server did not finish its answer")
+	reply := failedReply(reason, ran, "the backend server did not finish its answer")
 	reply.Crashed = crashed
 	reply.Last = t.generation.lastSequence()
 	return reply
--- /dev/null
+++ b/internal/process/beechagent/backend.go
@@ -0,0 +1,262 @@
+package beechagent
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/beechring/beechring/internal/decision/beechqueue"
+	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechbackend"
+	"github.com/beechring/beechring/internal/process/beechlog"
+	"github.com/beechring/beechring/internal/process/beechtask"
+	"github.com/beechring/beechring/internal/prompt/beechindex"
+)
+
+type (
+	// backendState is the last known state of the backend server. Its load reports
+	// are delayed, so the queue counts the running requests itself; only the speed,
+	// the number of slots and the models are taken from the reports.
+	backendState struct {
+		mu       sync.Mutex
+		alive    bool
+		report   beechbackend.Report
+		slots    int      // of the pool, from the manifest; 0 if not set
+		retiring []string // model@weights about to be unloaded
+	}
+)
+
+const (
+	reportPollInterval = 200 * time.Millisecond
+	reportTimeout      = time.Second
+	stallTimeout       = 2 * time.Second // many times the interval between two tokens
+	cachePollInterval  = 50 * time.Millisecond
+	defaultSlots       = 64
+	defaultPrefillRate = 10000 // tokens per second, before the first report
+	defaultTokenTime   = 20 * time.Millisecond
+)
+
+func newBackendState() *backendState { return &backendState{} }
+
+// setReport stores a load report. If the server has restarted since the previous
+// report, it returns the previous incarnation, and otherwise 0.
+func (v *backendState) setReport(r beechbackend.Report) (ended uint64) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.report.Incarnation != r.Incarnation {
+		ended = v.report.Incarnation
+	}
+	v.report = r
+	v.alive = true
+	return ended
+}
+
+func (v *backendState) setAlive(alive bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.alive = alive
+}
+
+func (v *backendState) setSlots(slots int) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.slots = slots
+}
+
+func (v *backendState) setRetiring(models []string) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.retiring = models
+}
+
+func (v *backendState) last() (beechbackend.Report, bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	return v.report, v.alive
+}
+
+// models returns the models available to new requests: those that are loaded and
+// not about to be unloaded.
+func (v *backendState) models() []string {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if !v.alive {
+		return nil
+	}
+	var models []string
+	for _, m := range v.report.Models {
+		if !slices.Contains(v.retiring, m) {
+			models = append(models, m)
+		}
+	}
+	return models
+}
+
+func (v *backendState) serves(model string) bool {
+	return slices.Contains(v.models(), model)
+}
+
+func (v *backendState) queueLoad() beechqueue.Load {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	load := beechqueue.Load{Slots: v.slots, PrefillRate: v.report.PrefillRate, TokenTime: v.report.TokenTime}
+	if v.report.Slots > 0 && (load.Slots == 0 || v.report.Slots < load.Slots) {
+		load.Slots = v.report.Slots
+	}
+	if load.Slots == 0 {
+		load.Slots = defaultSlots
+	}
+	if load.PrefillRate == 0 {
+		load.PrefillRate = defaultPrefillRate
+	}
+	if load.TokenTime == 0 {
+		load.TokenTime = defaultTokenTime
+	}
+	return load
+}
+
+// wireLoad returns the load of the server, for heartbeats and replies.
+func (a *Agent) wireLoad() beechwire.Load {
+	load := a.backend.queueLoad()
+	state := a.scheduler.queue.State()
+	return beechwire.Load{
+		Running:       state.Running,
+		Waiting:       state.Waiting,
+		WaitingTokens: state.WaitingTokens,
+		Slots:         load.Slots,
+		PrefillRate:   load.PrefillRate,
+		DecodeMicros:  int(load.TokenTime / time.Microsecond),
+		Cache:         a.index.Version(),
+	}
+}
+
+// isEngine reports whether the servers of the pool are model engines. It returns
+// false before the first configuration.
+func (a *Agent) isEngine() bool {
+	pool := a.pool()
+	return pool != nil && pool.Kind == engineKind
+}
+
+// pollBackend keeps the state of the backend server up to date until ctx ends.
+func (a *Agent) pollBackend(ctx context.Context) error {
+	return beechtask.Every(ctx, a.clock, reportPollInterval, func() {
+		switch {
+		case a.pool() == nil:
+		case a.isEngine():
+			a.refreshReport(ctx)
+			a.abortStalled()
+		default:
+			a.checkReady(ctx)
+		}
+	})
+}
+
+func (a *Agent) refreshReport(ctx context.Context) {
+	calling, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	report, err := a.engine.Report(calling)
+	if err != nil {
+		a.updateAlive(false, err)
+		return
+	}
+	a.updateAlive(true, nil)
+	if ended := a.backend.setReport(report); ended != 0 {
+		a.recordCrash(ended)
+	}
+	a.index.StartIncarnation(report.Incarnation)
+	a.scheduler.wake()
+}
+
+// abortStalled aborts the attempts at an engine that has stopped without closing its
+// connections, as on a machine that hangs. Their callers would otherwise wait
+// indefinitely; after the abort, their answers are continued by another engine. An
+// engine counts as stopped only if it does not answer load reports either, since an
+// engine that processes a long prompt sends no data for a while.
+func (a *Agent) abortStalled() {
+	if _, alive := a.backend.last(); alive {
+		return
+	}
+	for _, t := range a.running.stalledSince(a.clock.Now().Add(-stallTimeout)) {
+		t.abort(errStalled)
+	}
+}
+
+func (a *Agent) checkReady(ctx context.Context) {
+	calling, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	err := a.service.Ready(calling)
+	a.updateAlive(err == nil, err)
+}
+
+func (a *Agent) updateAlive(alive bool, cause error) {
+	if _, was := a.backend.last(); was != alive {
+		a.log.Info("backend server changed", beechlog.Step("report"),
+			beechlog.Peer(a.settings.Backend), zap.Bool("alive", alive), zap.Error(cause))
+	}
+	a.backend.setAlive(alive)
+}
+
+// pollCacheEvents applies the engine's cache events to the cache index until ctx
+// ends.
+func (a *Agent) pollCacheEvents(ctx context.Context) error {
+	var incarnation, after uint64
+	return beechtask.Every(ctx, a.clock, cachePollInterval, func() {
+		if !a.isEngine() {
+			return
+		}
+		calling, cancel := context.WithTimeout(ctx, reportTimeout)
+		defer cancel()
+		now, events, err := a.engine.CacheEvents(calling, after)
+		if err != nil {
+			return
+		}
+		if now != incarnation {
+			incarnation, after = now, 0
+			a.index.StartIncarnation(now)
+			return
+		}
+		if len(events) > 0 {
+			after = events[len(events)-1].Sequence
+			a.index.Apply(now, indexEvents(events))
+		}
+	})
+}
+
+func indexEvents(events []beechbackend.CacheEvent) []beechindex.Event {
+	out := make([]beechindex.Event, len(events))
+	for i, e := range events {
+		out[i] = beechindex.Event(e)
+	}
+	return out
+}
+
+// recordCrash reports the requests that were running at the ended incarnation to the
+// registry of suspects, once per incarnation.
+func (a *Agent) recordCrash(ended uint64) {
+	fingerprints, first := a.running.endIncarnation(ended)
+	if !first {
+		return
+	}
+	a.counters.Crashes.Add(1)
+	a.suspects.RecordCrash(fingerprints)
+	a.scheduler.queue.CacheLost()
+	a.server.Push()
+	a.log.Warn("engine crashed", beechlog.Step("report"), beechlog.Peer(a.settings.Backend), zap.Int("running", len(fingerprints)))
+}
+
+// confirmCrash reports whether an answer was interrupted because the engine crashed.
+// It asks the engine, so that the loss of a single connection does not make all
+// running requests suspect. It also updates the state of the backend, so that no
+// further requests are sent to an engine that has crashed.
+func (a *Agent) confirmCrash(ctx context.Context, incarnation uint64) bool {
+	a.refreshReport(context.WithoutCancel(ctx))
+	report, alive := a.backend.last()
+	if alive && report.Incarnation == incarnation {
+		return false
+	}
+	a.recordCrash(incarnation)
+	return true
+}
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -18,53 +18,54 @@
 )
 
 const (
-	// claimWait is how long a repeat waits for the first run's outcome. It is
-	// less than entry hosts wait for the answer: a caller that is told too late
-	// that the outcome is unknown would be told that nobody could be asked.
-	claimWait = 3 * time.Second
-
-	// budgetWait is how long a claim waits for the budget of calls. Beyond it
-	// the process is overloaded, and the caller is refused and told when to
-	// come back.
-	budgetWait = 500 * time.Millisecond
+	// claimTimeout is how long a repeated request waits for the outcome of the
+	// first one. It is shorter than the entry host's timeout for the call, since
+	// the entry host would otherwise report that no agent could be reached rather
+	// than that the outcome is unknown.
+	claimTimeout = 3 * time.Second
+
+	// budgetTimeout is how long a claim waits for the rate limit of calls to the
+	// platform's service. If that is not enough, the process is overloaded, and
+	// the caller is refused and told when to retry.
+	budgetTimeout = 500 * time.Millisecond
 )
 
-var errMethod = errors.New("no such method")
+var errUnknownMethod = errors.New("unknown method")
 
-// Answer implements beechlink.Caller: the questions of entry hosts.
+// Answer implements beechlink.Caller. It handles calls from entry hosts.
 func (a *Agent) Answer(ctx context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
 	switch method {
 	case beechwire.MethodConfiguration:
 		var ask beechwire.ConfigurationAsk
-		return answer(payload, &ask, func() (msgp.Marshaler, error) { return a.configurationFor(ask), nil })
+		return handleCall(payload, &ask, func() (msgp.Marshaler, error) { return a.configurationFor(ask), nil })
 	case beechwire.MethodChanges:
 		var ask beechwire.ChangesAsk
-		return answer(payload, &ask, func() (msgp.Marshaler, error) { return a.changesSince(ask.After), nil })
+		return handleCall(payload, &ask, func() (msgp.Marshaler, error) { return a.cacheChanges(ask.After), nil })
 	case beechwire.MethodSnapshot:
-		snapshot := a.fleet.snapshot(a.entryCount(), a.wireSuspects())
+		snapshot := a.entryHosts.snapshot(a.entryCount(), a.wireSuspects())
 		return snapshot.MarshalMsg(nil)
 	case beechwire.MethodShare:
 		var shared beechwire.Snapshot
 		if _, err := shared.UnmarshalMsg(payload); err != nil {
-			return nil, fmt.Errorf("read share from %s: %w", p.Address, err)
+			return nil, fmt.Errorf("decode shared snapshot from %s: %w", p.Address, err)
 		}
-		a.fleet.take(shared)
+		a.entryHosts.storeShared(shared)
 		return nil, nil
 	case beechwire.MethodClaim:
 		var ask beechwire.ClaimAsk
-		return answer(payload, &ask, func() (msgp.Marshaler, error) { return a.claim(ctx, ask) })
+		return handleCall(payload, &ask, func() (msgp.Marshaler, error) { return a.claim(ctx, ask) })
 	case beechwire.MethodFinish:
 		var ask beechwire.FinishAsk
-		return answer(payload, &ask, func() (msgp.Marshaler, error) { return a.finish(ctx, ask) })
+		return handleCall(payload, &ask, func() (msgp.Marshaler, error) { return a.finish(ctx, ask) })
 	default:
-		return nil, fmt.Errorf("%w: %s", errMethod, method)
+		return nil, fmt.Errorf("%w: %s", errUnknownMethod, method)
 	}
 }
 
-// answer decodes a question, asks respond and encodes what it says.
-func answer(payload []byte, ask msgp.Unmarshaler, respond func() (msgp.Marshaler, error)) ([]byte, error) {
+// handleCall decodes the payload into ask, calls respond and encodes its result.
+func handleCall(payload []byte, ask msgp.Unmarshaler, respond func() (msgp.Marshaler, error)) ([]byte, error) {
 	if _, err := ask.UnmarshalMsg(payload); err != nil {
-		return nil, fmt.Errorf("read question: %w", err)
+		return nil, fmt.Errorf("decode call: %w", err)
 	}
 	message, err := respond()
 	if err != nil {
@@ -81,9 +82,9 @@
 	return &beechwire.Configuration{Generation: generation, Manifest: data}
 }
 
-// changesSince tells an entry host what has come into the engine's cache, and
-// gone, since the version it knows.
-func (a *Agent) changesSince(after uint64) *beechwire.Changes {
+// cacheChanges returns the entries added to and removed from the engine's cache
+// since the given version.
+func (a *Agent) cacheChanges(after uint64) *beechwire.Changes {
 	changes, next := a.index.Changes(after)
 	reply := &beechwire.Changes{Incarnation: a.incarnation, Next: next, All: changes.Snapshot, List: make([]beechwire.Change, 0, len(changes.List))}
 	for _, c := range changes.List {
@@ -101,7 +102,7 @@
 		return nil, fmt.Errorf("claim: body hash of %d bytes", len(ask.BodyHash))
 	}
 	key := beechrecord.Key{Name: ask.RecordKey}
-	ctx, cancel := context.WithTimeout(ctx, claimWait)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	got := a.claimWithinBudget(ctx, key, beechrecord.BodySum(ask.BodyHash), ask.RequestID)
 	if refused, ok := got.(beechrecord.Refused); ok {
@@ -112,39 +113,39 @@
 	return &reply, nil
 }
 
-// claimWithinBudget claims again after a moment where only this process's
-// budget of calls to the platform's service was spent. Claims that come
-// meanwhile share the next write, so that a burst is carried by a few writes
-// instead of being refused.
+// claimWithinBudget claims a record, and retries if the claim failed only because
+// this process reached its rate limit of calls to the platform's service. Claims
+// that arrive during the wait are combined into one write, so that a burst needs
+// only a few writes instead of being refused.
 func (a *Agent) claimWithinBudget(ctx context.Context, key beechrecord.Key, body beechrecord.BodySum, requestID string) beechrecord.Answer {
-	limit := a.clock.Now().Add(budgetWait)
+	deadline := a.clock.Now().Add(budgetTimeout)
 	for {
 		answer := a.records.Claim(ctx, key, body, requestID)
 		refused, isRefused := answer.(beechrecord.Refused)
-		if !isRefused || !a.awaitBudget(ctx, refused.Err, limit) {
+		if !isRefused || !a.waitForBudget(ctx, refused.Err, deadline) {
 			return answer
 		}
 	}
 }
 
-// finishWithinBudget records an outcome likewise. An outcome that is lost for
-// want of a few milliseconds would leave every repeat with "unknown" for as
-// long as records are kept.
+// finishWithinBudget records an outcome, and retries as claimWithinBudget does. If
+// the outcome were dropped because of a wait of a few milliseconds, all repeated
+// requests would get "unknown" for as long as records are kept.
 func (a *Agent) finishWithinBudget(ctx context.Context, key beechrecord.Key, token string, outcome beechrecord.Outcome) error {
-	limit := a.clock.Now().Add(recordTimeout)
+	deadline := a.clock.Now().Add(recordTimeout)
 	for {
 		err := a.records.Finish(ctx, key, token, outcome)
-		if err == nil || !a.awaitBudget(ctx, err, limit) {
+		if err == nil || !a.waitForBudget(ctx, err, deadline) {
 			return err
 		}
 	}
 }
 
-// awaitBudget waits until the budget allows another call; false is an error of
-// another kind or too long a wait.
-func (a *Agent) awaitBudget(ctx context.Context, err error, limit time.Time) bool {
+// waitForBudget waits until the rate limit allows another call. It returns false
+// if err is of another kind, if the wait would go past deadline or if ctx ends.
+func (a *Agent) waitForBudget(ctx context.Context, err error, deadline time.Time) bool {
 	var over beechstore.OverBudget
-	if !errors.As(err, &over) || !a.clock.Now().Add(over.After).Before(limit) {
+	if !errors.As(err, &over) || !a.clock.Now().Add(over.After).Before(deadline) {
 		return false
 	}
 	select {
@@ -184,7 +185,7 @@
 		a.log.Info("claim withdrawn", beechlog.RequestID(ask.RequestID), beechlog.Step("claim"))
 		return &beechwire.ClaimAnswer{State: beechwire.StateDone}, nil
 	}
-	if ask.Agent != "" || ask.NotRun && a.placements.holds(ask) {
+	if ask.Agent != "" || ask.NotRun && a.placements.contains(ask) {
 		a.placements.finish(ask)
 		return &beechwire.ClaimAnswer{State: beechwire.StateDone}, nil
 	}
--- a/internal/process/beechagent/configuration.go
+++ b/internal/process/beechagent/configuration.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// aloneRecheck paces an agent that has no entry host to learn from. With
-	// one linked it never asks the platform's service: 12,000 agents that all
-	// watched it would take its whole rate.
-	aloneRecheck = 2 * time.Second
+	// unlinkedRecheckInterval is how often an agent without a linked entry host
+	// asks the platform's service for the configuration. An agent with a linked
+	// entry host never does: 12,000 agents watching the service would use up its
+	// whole rate limit.
+	unlinkedRecheckInterval = 2 * time.Second
 )
 
 func (a *Agent) pool() *beechmanifest.Pool {
@@ -29,14 +30,14 @@
 	return pool
 }
 
-// pullIfNewer fetches a configuration that an entry host has and this agent
-// has not. It must not block: it is called from link events.
+// pullIfNewer fetches the configuration from an entry host that has a newer one.
+// It must not block, since it is called from link event handlers.
 func (a *Agent) pullIfNewer(p beechlink.Peer, generation uint64) {
 	if p.Role != beechwire.RoleEntry || generation <= a.holder.Generation() {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(a.life, pullTimeout)
+		ctx, cancel := context.WithTimeout(a.generationContext, pullTimeout)
 		defer cancel()
 		a.pullFrom(ctx, p)
 	}()
@@ -55,14 +56,14 @@
 	}
 	var got beechwire.Configuration
 	if _, err := got.UnmarshalMsg(data); err != nil {
-		a.log.Warn("configuration not read", beechlog.Step("pull configuration"), beechlog.Peer(p.Address), zap.Error(err))
+		a.log.Warn("configuration not decoded", beechlog.Step("pull configuration"), beechlog.Peer(p.Address), zap.Error(err))
 		return
 	}
 	a.offer(got.Generation, got.Manifest, p)
 }
 
-// offer puts a configuration in force if it is newer. A bad one is refused and
-// what is in force goes on.
+// offer applies a configuration if it is newer than the current one. An invalid
+// configuration is refused, and the current one stays in force.
 func (a *Agent) offer(generation uint64, data []byte, p beechlink.Peer) {
 	if len(data) == 0 {
 		return
@@ -78,12 +79,12 @@
 	}
 }
 
-// watchConfiguration asks the platform's service only while no entry host is
-// linked, until ctx ends.
+// watchConfiguration follows the configuration in the platform's service until
+// ctx ends, but only while no entry host is linked.
 func (a *Agent) watchConfiguration(ctx context.Context) error {
 	watcher := beechmanifest.NewWatcher(a.store, a.holder, a.clock, beechmanifest.WatcherSettings{
 		Watching: func() bool { return a.entryCount() == 0 },
-		Recheck:  aloneRecheck,
+		Recheck:  unlinkedRecheckInterval,
 		Report: func(err error) {
 			a.log.Warn("configuration not followed", beechlog.Step("watch configuration"), zap.Error(err))
 		},
@@ -91,15 +92,15 @@
 	return watcher.Serve(ctx)
 }
 
-// applyConfigurations puts what a new configuration says into the queue, until
-// ctx ends.
+// applyConfigurations updates the queue and the number of slots for each new
+// configuration, until ctx ends.
 func (a *Agent) applyConfigurations(ctx context.Context) error {
 	for {
 		changed := a.holder.Changed()
 		if configuration := a.holder.Current(); configuration != nil {
 			a.scheduler.queue.Configure(a.queueSettings(configuration))
 			if pool, known := configuration.Pool(a.settings.Pool); known {
-				a.view.setSlots(pool.Slots)
+				a.backend.setSlots(pool.Slots)
 			}
 		}
 		select {
@@ -110,14 +111,15 @@
 	}
 }
 
-// queueSettings are the queue's bounds with the configuration's shares.
+// queueSettings returns the limits of the queue and, if c is not nil, the weights
+// of the workspaces.
 func (a *Agent) queueSettings(c *beechmanifest.Configuration) beechqueue.Settings {
 	s := beechqueue.Settings{
 		MaxWaiting:      a.settings.Limits.Waiting,
-		MaxWait:         maxWait,
+		MaxWait:         maxQueueWait,
 		MaxLongPrefills: maxLongPrefills,
-		LongPrefill:     longPrefill,
-		MaxPrefixWait:   prefillWait,
+		LongPrefill:     longPrefillTokens,
+		MaxPrefixWait:   maxPrefixWait,
 		PrefillAhead:    time.Duration(a.settings.Limits.PrefillAhead),
 	}
 	if c == nil {
--- a/internal/process/beechagent/generation.go
+++ b/internal/process/beechagent/generation.go
@@ -11,11 +11,10 @@
 )
 
 type (
-	// generation is one run of a request at the backend server and its answer
-	// so far. It outlives the stream that asked for it: a caller on a weak
-	// link that reconnects follows the same generation from the next piece, so
-	// that nothing is computed twice. Without it a lost link would lose the
-	// answer or run the request again.
+	// generation is one run of a request at the backend server, together with the
+	// answer received so far. It outlives the stream that started it, so that after
+	// a lost link a new stream can continue the answer from the next piece. Without
+	// this, a lost link would lose the answer or make the request run twice.
 	generation struct {
 		request beechwire.Request
 		started time.Time
@@ -24,22 +23,23 @@
 		mu       sync.Mutex
 		head     *beechwire.Head
 		pieces   [][]byte
-		base     uint64 // sequence before pieces[0]
+		base     uint64 // sequence number before pieces[0]
 		size     int
-		last     beechlink.Reply // End, Refused or Failed; nil while it runs
+		last     beechlink.Reply // EndReply, RefusedReply or FailedReply; nil while running
 		ended    time.Time
-		changed  chan struct{} // closed at each change, then replaced
+		changed  chan struct{} // closed and replaced at each change
 		attached int
-		detached time.Time // since when nobody is attached
+		detached time.Time // when the last stream detached
 	}
 )
 
 const (
-	// keptBytes and pieceOverhead are what a kept answer takes beside its bytes:
-	// its request and its places in the library, and a piece's slice and the
-	// rounding of its memory.
-	keptBytes     = 1600
-	pieceOverhead = 40
+	// generationOverhead and pieceOverhead estimate the memory of a retained answer
+	// beyond its own bytes: per generation for its request and its entries in the
+	// registry, and per piece for the slice header and the rounding of its
+	// allocation.
+	generationOverhead = 1600
+	pieceOverhead      = 40
 )
 
 func newGeneration(request beechwire.Request, now time.Time, cancel context.CancelFunc) *generation {
@@ -53,25 +53,25 @@
 	}
 }
 
-func (g *generation) begin(head beechwire.Head) {
+func (g *generation) setHead(head beechwire.Head) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.head = &head
-	g.signal()
+	g.notify()
 }
 
-// add appends a piece and returns the bytes held so far.
-func (g *generation) add(piece []byte) int {
+// appendPiece adds a piece and returns the size of the answer so far, in bytes.
+func (g *generation) appendPiece(piece []byte) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pieces = append(g.pieces, piece)
 	g.size += len(piece)
-	g.signal()
+	g.notify()
 	return g.size
 }
 
-// finish sets the last reply; only the first call counts, so that a late
-// answer cannot overwrite the outcome a caller was given.
+// finish sets the last reply. Only the first call has an effect, so that a late
+// answer cannot overwrite the outcome that a caller has already received.
 func (g *generation) finish(last beechlink.Reply, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,16 +81,16 @@
 	g.last = last
 	g.ended = now
 	g.pieces = slices.Clip(g.pieces)
-	g.request.Levels, g.request.Headers, g.request.Resume = nil, nil, "" // only the run needed them
-	g.signal()
+	g.request.Levels, g.request.Headers, g.request.Resume = nil, nil, "" // needed only during the run
+	g.notify()
 }
 
-func (g *generation) signal() {
+func (g *generation) notify() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-// lastSequence is the sequence of the newest piece.
+// lastSequence returns the sequence number of the newest piece.
 func (g *generation) lastSequence() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,25 +110,25 @@
 	g.detached = now
 }
 
-// abandoned tells whether nobody has been attached for the grace time while
-// the generation still runs.
+// abandoned reports whether the generation is still running and no stream has been
+// attached for the grace period.
 func (g *generation) abandoned(now time.Time, grace time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.last == nil && g.attached == 0 && now.Sub(g.detached) >= grace
 }
 
-// endedSince tells whether the generation is over, since when, and the memory
-// that it takes.
-func (g *generation) endedSince() (ended bool, at time.Time, bytes int) {
+// endState returns whether the generation has ended, when it ended, and an estimate
+// of the memory it uses.
+func (g *generation) endState() (ended bool, at time.Time, bytes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.last != nil, g.ended, keptBytes + g.size + pieceOverhead*len(g.pieces)
+	return g.last != nil, g.ended, generationOverhead + g.size + pieceOverhead*len(g.pieces)
 }
 
-// next returns what follows the state a follower has: whether it has sent the
-// head, and the last sequence sent. With nothing to send it returns a channel
-// that closes at the next change.
+// next returns the reply to send after the given state of a stream: whether the
+// head was sent, and the sequence number of the last piece sent. If there is
+// nothing to send yet, it returns a channel that is closed at the next change.
 func (g *generation) next(headSent bool, after uint64) (beechlink.Reply, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,9 +147,9 @@
 	return nil, g.changed
 }
 
-// follow sends the answer after the given sequence to one stream, until the
-// last reply or until the stream is over. The stream's own pace rules: a slow
-// caller blocks here and nowhere else.
+// follow sends the answer after the given sequence number to one stream, until the
+// last reply is sent or the stream ends. A slow caller blocks only its own call of
+// follow, not the run or other streams.
 func (g *generation) follow(ctx context.Context, stream beechlink.ServerStream, after uint64) error {
 	headSent := false
 	for {
@@ -176,8 +176,8 @@
 	}
 }
 
-// joinable tells whether a request sent again should follow this generation:
-// it runs, or it gave a whole answer. A refused or failed one is run anew.
+// joinable reports whether a repeated request should follow this generation: it is
+// running or its answer is complete. A refused or failed request is run again.
 func (g *generation) joinable() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -188,23 +188,24 @@
 	return whole
 }
 
-func sortByEnd(generations []*generation) {
+func sortByEndTime(generations []*generation) {
 	slices.SortFunc(generations, func(x, y *generation) int {
-		_, xEnd, _ := x.endedSince()
-		_, yEnd, _ := y.endedSince()
+		_, xEnd, _ := x.endState()
+		_, yEnd, _ := y.endState()
 		return xEnd.Compare(yEnd)
 	})
 }
 
-// alone tells whether no stream follows the generation.
-func (g *generation) alone() bool {
+// unattached reports whether no stream is attached to the generation.
+func (g *generation) unattached() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.attached == 0
 }
 
-// whole returns the answer of a plain service in one piece, if it is whole.
-func (g *generation) whole() (status int, contentType string, body []byte, ended bool) {
+// completeAnswer returns the answer of a plain service with its pieces joined.
+// ended is false if the answer is not complete.
+func (g *generation) completeAnswer() (status int, contentType string, body []byte, ended bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if _, ended = g.last.(beechlink.EndReply); !ended || g.head == nil {
--- a/internal/process/beechagent/models.go
+++ b/internal/process/beechagent/models.go
@@ -18,70 +18,73 @@
 )
 
 const (
-	loadInterval = 200 * time.Millisecond
-	loadTimeout  = 2 * time.Minute
-	slotMargin   = 2 * time.Second
+	reconcileInterval = 200 * time.Millisecond
+	loadTimeout       = 2 * time.Minute
+	slotRenewMargin   = 2 * time.Second
 
-	// slotPause and up to as much again lies between two requests for a load
-	// slot. Each costs the platform's service a lease and a write for each slot:
-	// asked for at every step, 17 engines that wait for three others would take
-	// 340 writes a second, and claims would be refused.
-	slotPause = 500 * time.Millisecond
+	// slotRetryDelay is the minimum delay before a load slot is requested again; a
+	// random delay of up to the same length is added. Each request costs the
+	// platform's service a lease and a write per slot. If 17 engines that wait for
+	// three others requested slots at every step, they would cause 340 writes a
+	// second, and claims would be refused.
+	slotRetryDelay = 500 * time.Millisecond
 )
 
-// keepModels brings the engine to what the configuration asks for, until ctx
-// ends: new versions are loaded beside old ones, and old ones are dropped once
-// nothing uses them, so that the model keeps serving.
-func (a *Agent) keepModels(ctx context.Context) error {
-	// The lease is on the backend server, not on this agent: two agents beside
-	// one server, an old one that was paused and its successor, must not each
-	// hold a lease of their own.
+// reconcileModels loads and unloads models until the engine has those that the
+// configuration requires, and repeats this until ctx ends. A new version is loaded
+// before the old one is unloaded, and the old one is unloaded only when no request
+// uses it, so that the model remains available.
+func (a *Agent) reconcileModels(ctx context.Context) error {
+	// The lease is for the backend server, not for this agent: if two agents run
+	// next to one server, such as one that was paused and its successor, only one
+	// of them may hold the lease.
 	guard := beechfence.New(a.store, a.clock, a.settings.Backend, beechfence.Settings{})
-	defer a.closeGuard(guard)
+	defer a.releaseGuard(guard)
 	slots := beechfence.NewSlots(a.store, a.clock, beechfence.Settings{})
 	var next time.Time
-	return beechtask.Every(ctx, a.clock, loadInterval, func() {
+	return beechtask.Every(ctx, a.clock, reconcileInterval, func() {
 		if a.clock.Now().Before(next) {
 			return
 		}
-		err := a.stepModels(ctx, guard, slots)
-		next = a.clock.Now().Add(pauseAfter(err))
+		err := a.reconcileStep(ctx, guard, slots)
+		next = a.clock.Now().Add(loadRetryDelay(err))
 	})
 }
 
-// closeGuard gives the right to order back, so that the next agent of this
-// server need not wait for the lease to end.
-func (a *Agent) closeGuard(guard *beechfence.Guard) {
+// releaseGuard releases the lease for orders to the server, so that its next agent
+// need not wait until the lease expires.
+func (a *Agent) releaseGuard(guard *beechfence.Guard) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := guard.Close(ctx); err != nil {
-		a.log.Warn("lease not given back", beechlog.Step("close guard"), zap.Error(err))
+		a.log.Warn("lease not released", beechlog.Step("close guard"), zap.Error(err))
 	}
 }
 
-// pauseAfter is how long nothing is asked for after a step.
-func pauseAfter(err error) time.Duration {
+// loadRetryDelay returns the delay before the next step, after a step that returned
+// err.
+func loadRetryDelay(err error) time.Duration {
 	var busy beechfence.Busy
 	if !errors.As(err, &busy) {
 		return 0
 	}
-	return slotPause + rand.N(slotPause)
+	return slotRetryDelay + rand.N(slotRetryDelay)
 }
 
-func (a *Agent) stepModels(ctx context.Context, guard *beechfence.Guard, slots *beechfence.Slots) error {
+func (a *Agent) reconcileStep(ctx context.Context, guard *beechfence.Guard, slots *beechfence.Slots) error {
 	configuration := a.holder.Current()
 	pool := a.pool()
-	report, alive := a.view.last()
+	report, alive := a.backend.last()
 	if pool == nil || pool.Kind != engineKind || !alive || a.leaving.Load() {
 		return nil
 	}
 	plan := beechload.Plan(
-		[]beechload.Pool{{Name: pool.Name, Models: wantedModels(configuration, pool)}},
-		[]beechload.Member{{Server: a.settings.Listen, Pool: pool.Name, Loaded: report.Models, Loading: first(report.Loading)}},
+		[]beechload.Pool{{Name: pool.Name, Models: desiredModels(configuration, pool)}},
+		[]beechload.Member{{Server: a.settings.Listen, Pool: pool.Name, Loaded: report.Models, Loading: firstOrEmpty(report.Loading)}},
 		max(1, configuration.Manifest.Targets.MaxLoads))
 	step, found := beechload.NextStep(plan, a.settings.Listen)
 	if !found {
-		a.view.retire(nil)
+		a.backend.setRetiring(nil)
 		return nil
 	}
 	switch step := step.(type) {
@@ -95,7 +98,7 @@
 	return nil
 }
 
-func wantedModels(configuration *beechmanifest.Configuration, pool *beechmanifest.Pool) []string {
+func desiredModels(configuration *beechmanifest.Configuration, pool *beechmanifest.Pool) []string {
 	var wanted []string
 	for _, name := range pool.Models {
 		if model, ok := configuration.Model(name); ok {
@@ -105,15 +108,16 @@
 	return wanted
 }
 
-func first(names []string) string {
+func firstOrEmpty(names []string) string {
 	if len(names) == 0 {
 		return ""
 	}
 	return names[0]
 }
 
-// load takes one of the deployment's load slots, orders the load and waits for
-// it, so that no more engines load at once than the weight store bears.
+// load acquires one of the deployment's load slots, orders the load and waits until
+// it is done. The slots limit how many engines load at the same time to what the
+// weight store can serve.
 func (a *Agent) load(ctx context.Context, guard *beechfence.Guard, slots *beechfence.Slots, model string, maxLoads int) error {
 	loading, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -128,21 +132,22 @@
 	if err != nil {
 		return err
 	}
-	return a.awaitModel(loading, slot, model)
+	return a.waitForModel(loading, slot, model)
 }
 
-// unload stops new work for the model, waits until none runs, and drops it. A
-// request in the middle of its answer would be cut by an unload.
+// unload stops offering the model, and orders the unload once no request uses it.
+// While requests use it, unload returns, and a later step tries again: an unload
+// would interrupt their answers.
 func (a *Agent) unload(ctx context.Context, guard *beechfence.Guard, model string) {
-	a.view.retire([]string{model})
-	if a.running.uses(model) || a.library.waits(model) {
+	a.backend.setRetiring([]string{model})
+	if a.running.uses(model) || a.generations.needsModel(model) {
 		return
 	}
 	err := guard.Order(ctx, func(ctx context.Context, fence uint64) error {
 		return a.engine.Order(ctx, beechbackend.Order{Fence: fence, Unload: model})
 	})
 	a.logOrder("unload", model, err)
-	a.readReport(ctx)
+	a.refreshReport(ctx)
 }
 
 func (a *Agent) logOrder(kind, model string, err error) {
@@ -153,10 +158,10 @@
 	a.log.Info("order given", beechlog.Step(kind), beechlog.Peer(a.settings.Backend), zap.String("model", model))
 }
 
-// awaitModel returns once the engine reports the model loaded, keeping the load
-// slot meanwhile.
-func (a *Agent) awaitModel(ctx context.Context, slot *beechfence.Slot, model string) error {
-	ticker := a.clock.NewTicker(cacheInterval)
+// waitForModel waits until the engine reports the model as loaded, and renews the
+// lease of the load slot in the meantime.
+func (a *Agent) waitForModel(ctx context.Context, slot *beechfence.Slot, model string) error {
+	ticker := a.clock.NewTicker(cachePollInterval)
 	defer ticker.Stop()
 	for {
 		report, err := a.engine.Report(ctx)
@@ -164,10 +169,10 @@
 			return err
 		}
 		if slices.Contains(report.Models, model) {
-			a.readReport(ctx)
+			a.refreshReport(ctx)
 			return nil
 		}
-		if slot.Left() < slotMargin {
+		if slot.Left() < slotRenewMargin {
 			if err := slot.Renew(ctx); err != nil {
 				return err
 			}
--- a/internal/process/beechagent/placement.go
+++ b/internal/process/beechagent/placement.go
@@ -12,10 +12,10 @@
 )
 
 type (
-	// placements tells a repeat of a repeatable request with an idempotency
-	// key where the first one runs, so that it joins it. They are in this
-	// process's memory only: if the agent is lost a repeat may run again, which
-	// such a request allows.
+	// placements records, by idempotency key, which agent runs a repeatable
+	// request, so that a repetition of the request joins the first run. The records
+	// are only in the memory of this process: if the agent is lost, a repetition
+	// may run again, which is allowed for repeatable requests.
 	placements struct {
 		clock  clockwork.Clock
 		mu     sync.Mutex
@@ -25,48 +25,48 @@
 	placement struct {
 		requestID string
 		bodyHash  []byte
-		agent     string // empty until the first request is placed
-		since     time.Time
+		agent     string // that runs the request; empty until the entry host reports it
+		claimedAt time.Time
 	}
 )
 
 const (
-	placementMemory = 10 * time.Minute
-	maxPlacements   = 1 << 16
+	placementRetention = 10 * time.Minute
+	maxPlacements      = 1 << 16
 
-	// placingTime is longer than an entry host takes from its claim to its word
-	// where the request runs. After it a repeat takes the place of a first whose
-	// entry host was lost in between.
-	placingTime = 2 * time.Second
+	// placementTimeout is longer than an entry host takes from its claim to its
+	// report of where the request runs. After it, a repetition replaces a first
+	// request whose entry host was lost in between.
+	placementTimeout = 2 * time.Second
 )
 
 func newPlacements(clock clockwork.Clock) *placements {
-	return &placements{clock: clock, byName: expirable.NewLRU[string, placement](maxPlacements, nil, placementMemory)}
+	return &placements{clock: clock, byName: expirable.NewLRU[string, placement](maxPlacements, nil, placementRetention)}
 }
 
-// claim returns where the first request under the key runs, or makes this one
-// the first.
+// claim registers the request as the first under its key, or returns where the
+// first one runs.
 func (p *placements) claim(ask beechwire.ClaimAsk) beechwire.ClaimAnswer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first, there := p.byName.Get(ask.RecordKey)
-	if there && !bytes.Equal(first.bodyHash, ask.BodyHash) {
+	first, existing := p.byName.Get(ask.RecordKey)
+	if existing && !bytes.Equal(first.bodyHash, ask.BodyHash) {
 		return beechwire.ClaimAnswer{State: beechwire.StateMismatch}
 	}
-	if !there || first.agent == "" && p.clock.Since(first.since) >= placingTime {
-		p.byName.Add(ask.RecordKey, placement{requestID: ask.RequestID, bodyHash: ask.BodyHash, since: p.clock.Now()})
+	if !existing || first.agent == "" && p.clock.Since(first.claimedAt) >= placementTimeout {
+		p.byName.Add(ask.RecordKey, placement{requestID: ask.RequestID, bodyHash: ask.BodyHash, claimedAt: p.clock.Now()})
 		return beechwire.ClaimAnswer{State: beechwire.StateGranted, RequestID: ask.RequestID}
 	}
 	return beechwire.ClaimAnswer{State: beechwire.StateRunning, RequestID: first.requestID, Agent: first.agent}
 }
 
-// finish notes where the request was placed; with NotRun the key is free.
-// Only the first request under the key may say so.
+// finish records which agent runs the request, or with NotRun removes the key. It
+// has an effect only for the first request under the key.
 func (p *placements) finish(ask beechwire.FinishAsk) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	first, there := p.byName.Get(ask.RecordKey)
-	if !there || first.requestID != ask.Token {
+	first, existing := p.byName.Get(ask.RecordKey)
+	if !existing || first.requestID != ask.Token {
 		return
 	}
 	if ask.NotRun {
@@ -77,8 +77,8 @@
 	p.byName.Add(ask.RecordKey, first)
 }
 
-// holds tells whether the key is a repeatable request's.
-func (p *placements) holds(ask beechwire.FinishAsk) bool {
+// contains reports whether a repeatable request is registered under the key.
+func (p *placements) contains(ask beechwire.FinishAsk) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.byName.Contains(ask.RecordKey)
--- a/internal/process/beechagent/placement_test.go
+++ b/internal/process/beechagent/placement_test.go
@@ -9,9 +9,10 @@
 	"github.com/beechring/beechring/internal/link/beechwire"
 )
 
-// The entry host of a first request is lost before it has said where it runs.
-// Repeats would otherwise wait for that word, each of them, for ten minutes.
-func TestRepeatTakesThePlaceOfAFirstThatWasNeverPlaced(t *testing.T) {
+// The entry host of the first request is lost before it reports where the request
+// runs. Without a timeout, every repetition would wait for that report for ten
+// minutes.
+func TestRepetitionReplacesFirstRequestWithoutPlacement(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	p := newPlacements(clock)
@@ -20,10 +21,10 @@
 	}
 	is.Equal(p.claim(ask("one")).State, beechwire.StateGranted)
 	is.Equal(p.claim(ask("two")).State, beechwire.StateRunning)
-	clock.Advance(placingTime)
+	clock.Advance(placementTimeout)
 	is.Equal(p.claim(ask("three")).State, beechwire.StateGranted)
-	p.finish(beechwire.FinishAsk{RecordKey: "k", Token: "one", Agent: "late"}) // the first's word is not taken any more
+	p.finish(beechwire.FinishAsk{RecordKey: "k", Token: "one", Agent: "late"}) // ignored, since "three" has replaced the first request
 	p.finish(beechwire.FinishAsk{RecordKey: "k", Token: "three", Agent: "here"})
-	clock.Advance(placingTime)
+	clock.Advance(placementTimeout)
 	is.Equal(p.claim(ask("four")).Agent, "here")
 }
--- a/internal/process/beechagent/runner.go
+++ b/internal/process/beechagent/runner.go
@@ -15,46 +15,46 @@
 
 const recordTimeout = 2 * time.Second
 
-// run takes one request from the queue to its last reply. It always sets one.
-// The frames below stay on the stack of every running request, so what only
-// the start needs is in begins.
+// run processes one request from the queue to the last reply of its generation,
+// which it always sets. Its stack frame exists as long as the request runs, so
+// variables that only the start needs are in the separate function start.
 func (a *Agent) run(ctx context.Context, g *generation, body []byte, deadline time.Time) {
 	levels := indexLevels(g.request.Levels)
 	a.index.AddWaiting(g.request.Salt, levels)
 	defer a.index.RemoveWaiting(g.request.Salt, levels)
 	ctx, abort := context.WithCancelCause(ctx)
 	defer abort(nil)
-	t := a.begins(ctx, g, deadline, abort)
+	t := a.start(ctx, g, deadline, abort)
 	if t == nil {
 		return
 	}
 	last := t.execute(ctx, body)
-	a.ends(t, last)
+	a.complete(t, last)
 }
 
-// begins waits until the queue lets the request run. It returns nil for one
-// that was refused, after telling so.
-func (a *Agent) begins(ctx context.Context, g *generation, deadline time.Time, abort context.CancelCauseFunc) *attempt {
-	id := a.work.Add(1)
-	refuse, err := a.scheduler.acquire(ctx, a.workOf(&g.request, id, deadline))
+// start waits until the queue lets the request run. If the request is refused, it
+// finishes the generation and returns nil.
+func (a *Agent) start(ctx context.Context, g *generation, deadline time.Time, abort context.CancelCauseFunc) *attempt {
+	id := a.lastRequestID.Add(1)
+	refuse, err := a.scheduler.acquire(ctx, a.queueRequest(&g.request, id, deadline))
 	switch {
 	case refuse != nil:
-		a.close(g, a.refusal(queueReason(refuse.Reason), refuse.RetryAfter, "the queue refused it: %s", refuse.Reason))
+		a.finishGeneration(g, a.refusal(refusalReason(refuse.Reason), refuse.RetryAfter, "refused by the queue: %s", refuse.Reason))
 		return nil
 	case err != nil:
-		a.close(g, a.refusal(beechwire.ReasonCancelled, 0, "given up while it waited"))
+		a.finishGeneration(g, a.refusal(beechwire.ReasonCancelled, 0, "cancelled while waiting in the queue"))
 		return nil
 	}
-	report, alive := a.view.last()
+	report, alive := a.backend.last()
 	if !alive {
-		// The server died while this waited. Sent now it would be broken by a
-		// crash that it had no part in, and be taken for the cause.
+		// The server crashed while the request waited. If the request were sent
+		// now, it would fail and be suspected of having caused that crash.
 		a.scheduler.finish(id, beechqueue.Usage{})
-		a.close(g, a.refusal(beechwire.ReasonServer, retrySoon, "the backend server does not answer"))
+		a.finishGeneration(g, a.refusal(beechwire.ReasonServer, shortRetryDelay, "the backend server does not answer"))
 		return nil
 	}
-	t := &attempt{agent: a, generation: g, id: id, incarnation: report.Incarnation, began: a.clock.Now(), abort: abort}
-	t.move()
+	t := &attempt{agent: a, generation: g, id: id, incarnation: report.Incarnation, startedAt: a.clock.Now(), abort: abort}
+	t.markProgress()
 	a.running.add(id, run{
 		fingerprint: g.request.Fingerprint,
 		model:       modelKey(g.request.Model, g.request.Weights),
@@ -64,50 +64,50 @@
 	return t
 }
 
-func (a *Agent) ends(t *attempt, last beechlink.Reply) {
+func (a *Agent) complete(t *attempt, last beechlink.Reply) {
 	a.running.remove(t.id)
 	a.scheduler.finish(t.id, beechqueue.Usage{Known: t.usageKnown, Prompt: t.usage.Prompt, Cached: t.usage.Cached, Output: t.usage.Output})
-	a.close(t.generation, last)
-	a.recordIfAlone(t.generation)
+	a.finishGeneration(t.generation, last)
+	a.recordIfUnattached(t.generation)
 }
 
-// recordIfAlone records the outcome where no entry host has the answer, or is
-// being given it.
-func (a *Agent) recordIfAlone(g *generation) {
-	if g.alone() {
+// recordIfUnattached records the outcome if no stream is attached to the
+// generation, so that no entry host will record it.
+func (a *Agent) recordIfUnattached(g *generation) {
+	if g.unattached() {
 		a.record(g)
 	}
 }
 
-// close gives a generation its last reply. Only a whole answer is kept for
-// callers that reconnect. A refusal proves that the request was not run, so
-// its token may be used again.
-func (a *Agent) close(g *generation, last beechlink.Reply) {
+// finishGeneration sets the last reply of a generation. Only complete answers are
+// retained for callers that reconnect. A refusal proves that the request was not
+// run, so its claim token may be used again.
+func (a *Agent) finishGeneration(g *generation, last beechlink.Reply) {
 	switch last.(type) {
 	case beechlink.EndReply:
 	case beechlink.RefusedReply:
-		a.used.release(g.request.Claim)
-		a.library.remove(g)
+		a.usedClaims.release(g.request.Claim)
+		a.generations.remove(g)
 	default:
-		a.library.remove(g)
+		a.generations.remove(g)
 	}
 	g.finish(last, a.clock.Now())
 }
 
-func queueReason(r beechqueue.Reason) string {
+func refusalReason(r beechqueue.Reason) string {
 	if r == beechqueue.ReasonDeadline {
 		return beechwire.ReasonDeadline
 	}
 	return beechwire.ReasonBusy
 }
 
-// record writes the outcome of a request that may not be repeated. The entry
-// host does so before its caller sees the answer; this is for an entry host
-// that is gone, since a repeat would otherwise be told that the outcome is
-// unknown although this agent knows it.
+// record stores the outcome of a request that may not be repeated. Normally the
+// entry host does this before it sends the answer to its caller. The agent does it
+// if the entry host is lost, since a repeated request would otherwise get "unknown"
+// although this agent knows the outcome.
 func (a *Agent) record(g *generation) {
 	r := &g.request
-	status, contentType, body, ended := g.whole()
+	status, contentType, body, ended := g.completeAnswer()
 	if r.Claim == "" || !ended {
 		return
 	}
--- a/internal/process/beechagent/scheduler.go
+++ b/internal/process/beechagent/scheduler.go
@@ -12,84 +12,85 @@
 )
 
 type (
-	// scheduler joins the queue's decisions to the goroutines that wait for
+	// scheduler delivers the decisions of the queue to the goroutines that wait for
 	// them.
 	scheduler struct {
-		queue *beechqueue.Queue
-		clock clockwork.Clock
-		load  func() beechqueue.Load
-		kick  chan struct{}
+		queue  *beechqueue.Queue
+		clock  clockwork.Clock
+		load   func() beechqueue.Load
+		wakeup chan struct{}
 
 		mu      sync.Mutex
-		waiting map[uint64]chan verdict
+		waiters map[uint64]chan queueResult
 	}
 
-	// verdict is what a waiting request is told: nil refuse lets it start.
-	verdict struct {
+	// queueResult is the decision on a waiting request. If refuse is nil, the request
+	// may start.
+	queueResult struct {
 		refuse *beechqueue.Refuse
 	}
 )
 
-// idleTick bounds how late waiting work is looked at when the queue gives no
-// time of its own.
-const idleTick = 250 * time.Millisecond
+// maxDispatchInterval is the longest time between two calls of dispatch. It applies
+// if the queue gives no time for the next check or a later one.
+const maxDispatchInterval = 250 * time.Millisecond
 
 func newScheduler(s beechqueue.Settings, clock clockwork.Clock, load func() beechqueue.Load) *scheduler {
 	return &scheduler{
 		queue:   beechqueue.New(s, clock),
 		clock:   clock,
 		load:    load,
-		kick:    make(chan struct{}, 1),
-		waiting: map[uint64]chan verdict{},
+		wakeup:  make(chan struct{}, 1),
+		waiters: map[uint64]chan queueResult{},
 	}
 }
 
-// acquire waits until the work may run. It returns a refusal, or ctx's error
-// once the work is out of the queue; with neither it runs and must be
-// finished.
-func (s *scheduler) acquire(ctx context.Context, work beechqueue.Request) (*beechqueue.Refuse, error) {
-	told := make(chan verdict, 1)
+// acquire waits until the request may run. It returns a refusal, or the error of
+// ctx after removing the request from the queue. If it returns neither, the request
+// counts as running, and the caller must call finish when it ends.
+func (s *scheduler) acquire(ctx context.Context, request beechqueue.Request) (*beechqueue.Refuse, error) {
+	result := make(chan queueResult, 1)
 	s.mu.Lock()
-	s.waiting[work.ID] = told
+	s.waiters[request.ID] = result
 	s.mu.Unlock()
-	defer s.forget(work.ID)
+	defer s.removeWaiter(request.ID)
 
-	switch decision := s.queue.Offer(work, s.load()).(type) {
+	switch decision := s.queue.Offer(request, s.load()).(type) {
 	case beechqueue.Run:
 		return nil, nil
 	case beechqueue.Refuse:
 		return &decision, nil
 	}
-	s.wake() // its deadline may be before the time that serve sleeps to
+	s.wake() // the request's deadline may be before the time that serve waits for
 	select {
-	case v := <-told:
-		return v.refuse, nil
+	case r := <-result:
+		return r.refuse, nil
 	case <-ctx.Done():
-		return s.withdraw(ctx, work.ID, told)
+		return s.cancel(ctx, request.ID, result)
 	}
 }
 
-// withdraw takes waiting work back. Where it was let run at the same moment,
-// its place is given back unused.
-func (s *scheduler) withdraw(ctx context.Context, id uint64, told chan verdict) (*beechqueue.Refuse, error) {
+// cancel removes a waiting request from the queue. If the queue has let it run in the
+// meantime, its slot is returned unused.
+func (s *scheduler) cancel(ctx context.Context, id uint64, result chan queueResult) (*beechqueue.Refuse, error) {
 	if s.queue.Cancel(id) {
 		s.wake()
 		return nil, ctx.Err()
 	}
-	v := <-told
-	if v.refuse == nil {
+	r := <-result
+	if r.refuse == nil {
 		s.finish(id, beechqueue.Usage{Known: true})
 	}
-	return v.refuse, ctx.Err()
+	return r.refuse, ctx.Err()
 }
 
-func (s *scheduler) forget(id uint64) {
+func (s *scheduler) removeWaiter(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.waiting, id)
+	delete(s.waiters, id)
 }
 
-func (s *scheduler) prefilled(id uint64) {
+func (s *scheduler) finishPrefill(id uint64) {
 	s.queue.FinishPrefill(id)
 	s.wake()
 }
@@ -100,16 +101,16 @@
 }
 
 func (s *scheduler) wake() {
-	beechtask.Wake(s.kick)
+	beechtask.Wake(s.wakeup)
 }
 
-// serve gives out work until ctx ends.
+// serve dispatches requests until ctx ends.
 func (s *scheduler) serve(ctx context.Context) error {
 	for {
 		s.dispatch()
-		timer := s.clock.NewTimer(s.pause())
+		timer := s.clock.NewTimer(s.nextWait())
 		select {
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-timer.Chan():
 		case <-ctx.Done():
 			timer.Stop()
@@ -119,28 +120,28 @@
 	}
 }
 
-func (s *scheduler) pause() time.Duration {
+func (s *scheduler) nextWait() time.Duration {
 	at, known := s.queue.NextCheck()
 	if !known {
-		return idleTick
+		return maxDispatchInterval
 	}
-	return max(time.Millisecond, min(idleTick, at.Sub(s.clock.Now())))
+	return max(time.Millisecond, min(maxDispatchInterval, at.Sub(s.clock.Now())))
 }
 
 func (s *scheduler) dispatch() {
 	for _, refused := range s.queue.RemoveOverdue() {
-		s.tell(refused.ID, verdict{refuse: &refused.Refuse})
+		s.deliver(refused.ID, queueResult{refuse: &refused.Refuse})
 	}
-	for _, work := range s.queue.Dispatch(s.load()) {
-		s.tell(work.ID, verdict{})
+	for _, request := range s.queue.Dispatch(s.load()) {
+		s.deliver(request.ID, queueResult{})
 	}
 }
 
-func (s *scheduler) tell(id uint64, v verdict) {
+func (s *scheduler) deliver(id uint64, r queueResult) {
 	s.mu.Lock()
-	told := s.waiting[id]
+	result := s.waiters[id]
 	s.mu.Unlock()
-	if told != nil {
-		told <- v
+	if result != nil {
+		result <- r
 	}
 }
