--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -90,11 +90,11 @@
 func (t *attempt) sendToBackend(ctx context.Context, body []byte) (*beechbackend.Answer, error) {
 	r := &t.generation.request
 	if r.Service != "" {
-		return t.agent.service.Relay(ctx, beechbackend.Relay{
+		return t.agent.service.Relay(ctx, beechbackend.RelayRequest{
 			RequestID: r.ID, Method: r.Method, Path: r.Path, ContentType: r.ContentType, Header: beechshare.Header(r.Headers), Body: body,
 		})
 	}
-	return t.agent.engine.Generate(ctx, beechbackend.Generate{
+	return t.agent.engine.Generate(ctx, beechbackend.GenerateRequest{
 		RequestID: r.ID,
 		Path:      r.Path,
 		Body:      body,
@@ -110,7 +110,7 @@
 // copyEvents appends the events of a stream to the generation. The stream is
 // complete only if its final event arrived; any other end is an error.
 func (t *attempt) copyEvents(body io.Reader) error {
-	events := beechbackend.Events(body, beechbackend.DefaultEventLimit)
+	events := beechbackend.NewEventReader(body, beechbackend.DefaultEventLimit)
 	for {
 		event, err := events.Next()
 		if err != nil {
@@ -128,7 +128,7 @@
 func (t *attempt) handleEvent(data []byte) error {
 	t.recordFirstOutput()
 	if bytes.Contains(data, usageField) || bytes.Contains(data, errorField) {
-		chunk, err := beechbackend.ReadChunk(data)
+		chunk, err := beechbackend.ParseChunk(data)
 		if err != nil {
 			return err
 		}
@@ -156,7 +156,7 @@
 	}
 	t.recordFirstOutput()
 	if t.generation.request.Service == "" && answer.Status == http.StatusOK {
-		if chunk, err := beechbackend.ReadChunk(data); err == nil {
+		if chunk, err := beechbackend.ParseChunk(data); err == nil {
 			t.recordUsage(chunk.Usage)
 		}
 	}
--- a/internal/process/beechbackend/backend_test.go
+++ b/internal/process/beechbackend/backend_test.go
@@ -40,8 +40,8 @@
 	return fake, NewOpenAI(serve(t, fake.Handler()), NewClient(time.Second))
 }
 
-func generate(id string) Generate {
-	return Generate{RequestID: id, Path: "/v1/chat/completions", Body: []byte(body), Salt: "s1", Streamed: true, Model: model}
+func generate(id string) GenerateRequest {
+	return GenerateRequest{RequestID: id, Path: "/v1/chat/completions", Body: []byte(body), Salt: "s1", Streamed: true, Model: model}
 }
 
 func wholeAnswer(t *testing.T) string {
@@ -55,7 +55,7 @@
 func read(t *testing.T, a *Answer, stopAfter int) (string, *Usage, error) {
 	t.Helper()
 	defer a.Body.Close()
-	events := Events(a.Body, DefaultEventLimit)
+	events := NewEventReader(a.Body, DefaultEventLimit)
 	var text strings.Builder
 	var usage *Usage
 	for n := 0; ; {
@@ -66,7 +66,7 @@
 		if e.Done() {
 			continue
 		}
-		c, err := ReadChunk(e.Data)
+		c, err := ParseChunk(e.Data)
 		is.New(t).NoErr(err)
 		text.WriteString(c.Text)
 		if c.Usage != nil {
@@ -199,7 +199,7 @@
 
 	fake.Inject(beechengine.Fault{Kind: beechengine.FaultCross, Count: 1})
 	_, err = engine.Generate(ctx, generate("r5"))
-	is.True(errors.Is(err, ErrCrossed))
+	is.True(errors.Is(err, ErrWrongRequest))
 	is.True(!NotRun(err))
 
 	fake.Inject(beechengine.Fault{Kind: beechengine.FaultFreeze})
@@ -230,14 +230,14 @@
 		panic(http.ErrAbortHandler)
 	}))
 	service := NewService(address, "", NewClient(time.Second))
-	for i, r := range []Relay{
+	for i, r := range []RelayRequest{
 		{Method: http.MethodPost, Path: "/bookings", Body: []byte("{}")},
 		{Method: http.MethodPost, Path: "/bookings"},
 		{Method: http.MethodGet, Path: "/bookings"},
 		{Method: http.MethodDelete, Path: "/bookings"},
 		{Method: http.MethodPost, Path: "/redirect", Body: []byte("{}")},
 	} {
-		warm, err := service.Relay(context.Background(), Relay{Method: http.MethodGet, Path: "/warm"})
+		warm, err := service.Relay(context.Background(), RelayRequest{Method: http.MethodGet, Path: "/warm"})
 		is.NoErr(err)
 		warm.Body.Close()
 		a, err := service.Relay(context.Background(), r)
@@ -254,7 +254,7 @@
 	fake := beechservice.New(beechservice.Settings{}, clockwork.NewRealClock())
 	service := NewService(serve(t, fake.Handler()), "/ready", NewClient(time.Second))
 	ctx := context.Background()
-	booking := Relay{RequestID: "b1", Method: http.MethodPost, Path: "/bookings", ContentType: "application/json", Body: []byte(`{"field":1}`)}
+	booking := RelayRequest{RequestID: "b1", Method: http.MethodPost, Path: "/bookings", ContentType: "application/json", Body: []byte(`{"field":1}`)}
 	is.NoErr(service.Ready(ctx))
 
 	fake.Inject(beechservice.Fault{Kind: beechservice.FaultBusy, Count: 1})
@@ -277,7 +277,7 @@
 
 func TestEventReader(t *testing.T) {
 	is := is.New(t)
-	r := Events(strings.NewReader(": comment\r\ndata: a\r\ndata:b\r\nid: 7\r\n\r\n\nevent: x\ndata: [DONE]\n\n"), 64)
+	r := NewEventReader(strings.NewReader(": comment\r\ndata: a\r\ndata:b\r\nid: 7\r\n\r\n\nevent: x\ndata: [DONE]\n\n"), 64)
 	e, err := r.Next()
 	is.NoErr(err)
 	is.Equal(string(e.Data), "a\nb")
@@ -288,12 +288,12 @@
 	_, err = r.Next()
 	is.Equal(err, io.EOF)
 
-	_, err = Events(strings.NewReader("data: a\n"), 64).Next()
-	is.Equal(err, ErrCut)
-	_, err = Events(strings.NewReader("data: "+strings.Repeat("x", 10_000)), 64).Next()
-	is.True(errors.Is(err, ErrLineTooLong))
-	_, err = Events(strings.NewReader(strings.Repeat("data: xxxxxxxx\n", 100)), 64).Next()
-	is.True(errors.Is(err, ErrLineTooLong))
+	_, err = NewEventReader(strings.NewReader("data: a\n"), 64).Next()
+	is.Equal(err, ErrTruncated)
+	_, err = NewEventReader(strings.NewReader("data: "+strings.Repeat("x", 10_000)), 64).Next()
+	is.True(errors.Is(err, ErrEventTooLong))
+	_, err = NewEventReader(strings.NewReader(strings.Repeat("data: xxxxxxxx\n", 100)), 64).Next()
+	is.True(errors.Is(err, ErrEventTooLong))
 }
 
 func TestReadChunk(t *testing.T) {
@@ -309,12 +309,12 @@
 		`{"error":{"message":"out of memory"}}`:                                                           {Failure: "out of memory"},
 		`{"error":"out of memory"}`:                                                                       {Failure: failureUnsaid},
 	} {
-		got, err := ReadChunk([]byte(data))
+		got, err := ParseChunk([]byte(data))
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
 	for _, data := range []string{"", "x", "[]", `{"choices":[`, `{"choices":{}}`, `{"usage":7}`, `{"choices":[{"text":"\x"}]}`} {
-		_, err := ReadChunk([]byte(data))
+		_, err := ParseChunk([]byte(data))
 		is.True(err != nil)
 	}
 }
--- a/internal/process/beechbackend/bench_test.go
+++ b/internal/process/beechbackend/bench_test.go
@@ -13,7 +13,7 @@
 // history of 32,000 bytes.
 func BenchmarkBody(b *testing.B) {
 	long := fmt.Appendf(nil, `{"model":"advisor","messages":[{"role":"user","content":%q}],"max_tokens":12}`, strings.Repeat("a row of \"knit & purl\" stitches\n", 1000))
-	g := Generate{Body: long, Salt: "s", Streamed: true, Model: "advisor@w1"}
+	g := GenerateRequest{Body: long, Salt: "s", Streamed: true, Model: "advisor@w1"}
 	b.Run("spans", func(b *testing.B) {
 		b.SetBytes(int64(len(long)))
 		b.ReportAllocs()
@@ -35,7 +35,7 @@
 }
 
 // completeByMap is the way that was not taken.
-func completeByMap(g Generate) ([]byte, error) {
+func completeByMap(g GenerateRequest) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(g.Body, &fields); err != nil {
 		return nil, err
@@ -67,7 +67,7 @@
 
 func readStream(b *testing.B, stream []byte, decode bool) {
 	b.Helper()
-	events := Events(bytes.NewReader(stream), DefaultEventLimit)
+	events := NewEventReader(bytes.NewReader(stream), DefaultEventLimit)
 	for {
 		e, err := events.Next()
 		if err == io.EOF {
@@ -79,7 +79,7 @@
 		if !decode || e.Done() {
 			continue
 		}
-		if _, err := ReadChunk(e.Data); err != nil {
+		if _, err := ParseChunk(e.Data); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/process/beechbackend/chunk.go
+++ b/internal/process/beechbackend/chunk.go
@@ -44,10 +44,10 @@
 // failureUnsaid stands for the message of an error event that has none.
 const failureUnsaid = "no reason given"
 
-// ReadChunk decodes the data of an event of a stream, or a whole plain answer.
+// ParseChunk decodes the data of an event of a stream, or a whole plain answer.
 // It runs for each token, so it decodes only what it returns and checks no
 // more of the JSON than it needs to find that.
-func ReadChunk(data []byte) (Chunk, error) {
+func ParseChunk(data []byte) (Chunk, error) {
 	var c Chunk
 	err := eachMember(data, func(m member) error { return c.take(m.name, data[m.value:m.end]) })
 	if err != nil {
--- a/internal/process/beechbackend/client.go
+++ b/internal/process/beechbackend/client.go
@@ -215,7 +215,7 @@
 func (p peer) answer(ctx context.Context, step, id string, response *http.Response) (*Answer, error) {
 	if got := response.Header.Get(RequestHeader); got != "" && got != id {
 		response.Body.Close()
-		return nil, &Broken{Step: step, Peer: p.address, Err: ErrCrossed}
+		return nil, &Broken{Step: step, Peer: p.address, Err: ErrWrongRequest}
 	}
 	contentType := response.Header.Get("Content-Type")
 	return &Answer{
--- a/internal/process/beechbackend/doc.go
+++ b/internal/process/beechbackend/doc.go
@@ -16,12 +16,12 @@
 //
 //	client := beechbackend.NewClient(time.Second)
 //	engine := beechbackend.NewOpenAI(netip.MustParseAddrPort("127.0.0.1:8000"), client)
-//	answer, err := engine.Generate(ctx, beechbackend.Generate{...})
+//	answer, err := engine.Generate(ctx, beechbackend.GenerateRequest{...})
 //	if beechbackend.NotRun(err) {
 //		// may be sent elsewhere, whatever the request is
 //	}
 //	defer answer.Body.Close()
-//	events := beechbackend.Events(answer.Body, beechbackend.DefaultEventLimit)
+//	events := beechbackend.NewEventReader(answer.Body, beechbackend.DefaultEventLimit)
 //	for {
 //		event, err := events.Next()
 //		if err == io.EOF {
--- a/internal/process/beechbackend/errors.go
+++ b/internal/process/beechbackend/errors.go
@@ -8,15 +8,15 @@
 )
 
 var (
-	// ErrCrossed is an answer that names another request than the one it came
+	// ErrWrongRequest is an answer that names another request than the one it came
 	// for.
-	ErrCrossed = errors.New("the answer names another request")
-	// ErrCut is a stream that ended without its last event.
-	ErrCut = errors.New("the stream ended before its last event")
-	// ErrLineTooLong is a server-sent event beyond the reader's limit.
-	ErrLineTooLong = errors.New("an event is longer than the limit")
-	// ErrBody is a request body that is no JSON object.
-	ErrBody = errors.New("the body is not a JSON object")
+	ErrWrongRequest = errors.New("the answer names another request")
+	// ErrTruncated is a stream that ended without its last event.
+	ErrTruncated = errors.New("the stream ended before its last event")
+	// ErrEventTooLong is a server-sent event beyond the reader's limit.
+	ErrEventTooLong = errors.New("an event is longer than the limit")
+	// ErrInvalidJSON is a request body that is no JSON object.
+	ErrInvalidJSON = errors.New("the body is not a JSON object")
 )
 
 type (
--- a/internal/process/beechbackend/events.go
+++ b/internal/process/beechbackend/events.go
@@ -34,9 +34,9 @@
 	}
 )
 
-// Events returns a reader of events whose lines and data have at most limit
+// NewEventReader returns a reader of events whose lines and data have at most limit
 // bytes each.
-func Events(r io.Reader, limit int) *EventReader {
+func NewEventReader(r io.Reader, limit int) *EventReader {
 	return &EventReader{lines: bufio.NewReaderSize(r, eventBuffer), limit: limit}
 }
 
@@ -87,7 +87,7 @@
 		event.ID = string(value)
 	}
 	if len(r.data) > r.limit {
-		return fmt.Errorf("read event: %w of %d bytes", ErrLineTooLong, r.limit)
+		return fmt.Errorf("read event: %w of %d bytes", ErrEventTooLong, r.limit)
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 		}
 		r.line = append(r.line, part...)
 		if len(r.line) > r.limit {
-			return nil, fmt.Errorf("read event: %w of %d bytes", ErrLineTooLong, r.limit)
+			return nil, fmt.Errorf("read event: %w of %d bytes", ErrEventTooLong, r.limit)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -124,5 +124,5 @@
 	if r.done {
 		return io.EOF
 	}
-	return ErrCut
+	return ErrTruncated
 }
--- a/internal/process/beechbackend/fuzz_test.go
+++ b/internal/process/beechbackend/fuzz_test.go
@@ -16,7 +16,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		done, err := completeBody(Generate{Body: data, Salt: "agent", Priority: 3, Streamed: true})
+		done, err := completeBody(GenerateRequest{Body: data, Salt: "agent", Priority: 3, Streamed: true})
 		var before map[string]any
 		if !json.Valid(data) || json.Unmarshal(data, &before) != nil || before == nil {
 			return // the engine refuses what it cannot read
@@ -58,7 +58,7 @@
 	f.Add([]byte("data: a\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("id: 1\r\ndata\r\n\r\n:\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r := Events(bytes.NewReader(data), 64)
+		r := NewEventReader(bytes.NewReader(data), 64)
 		for n := 0; ; n++ {
 			e, err := r.Next()
 			if err == io.EOF && !bytes.Contains(data, doneData) {
@@ -84,10 +84,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := ReadChunk(data)
+		c, err := ParseChunk(data)
 		if err != nil || c.Text != text || c.Finish != finish {
 			t.Fatalf("%q became %+v, %v", data, c, err)
 		}
-		_, _ = ReadChunk([]byte(text))
+		_, _ = ParseChunk([]byte(text))
 	})
 }
--- a/internal/process/beechbackend/object.go
+++ b/internal/process/beechbackend/object.go
@@ -99,7 +99,7 @@
 	return eachItem(data, '{', '}', func(at int) (int, error) {
 		m, ok := scanMember(data, at)
 		if !ok {
-			return 0, ErrBody
+			return 0, ErrInvalidJSON
 		}
 		return m.end, visit(m)
 	})
@@ -110,7 +110,7 @@
 	return eachItem(data, '[', ']', func(at int) (int, error) {
 		behind, ok := skipValue(data, at)
 		if !ok {
-			return 0, ErrBody
+			return 0, ErrInvalidJSON
 		}
 		return behind, visit(data[at:behind])
 	})
@@ -121,7 +121,7 @@
 func eachItem(data []byte, open, shut byte, visit func(at int) (int, error)) error {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != open {
-		return ErrBody
+		return ErrInvalidJSON
 	}
 	at = skipSpace(data, at+1)
 	if at < len(data) && data[at] == shut {
@@ -144,12 +144,12 @@
 		}
 		at = skipSpace(data, at+1)
 	}
-	return ErrBody
+	return ErrInvalidJSON
 }
 
 func end(data []byte, at int) error {
 	if skipSpace(data, at) != len(data) {
-		return ErrBody
+		return ErrInvalidJSON
 	}
 	return nil
 }
--- a/internal/process/beechbackend/openai.go
+++ b/internal/process/beechbackend/openai.go
@@ -64,7 +64,7 @@
 
 // Generate returns the engine's answer. A 404, 429 or 503 is Refused: the
 // engine does not have the model or has no room. Any other status is an Answer.
-func (e openAI) Generate(ctx context.Context, g Generate) (*Answer, error) {
+func (e openAI) Generate(ctx context.Context, g GenerateRequest) (*Answer, error) {
 	const step = "generate"
 	body, err := completeBody(g)
 	if err != nil {
@@ -157,7 +157,7 @@
 
 // completeBody sets what the agent decides in the caller's JSON. The caller's
 // own salt, priority, adapter and resume text never reach the engine.
-func completeBody(g Generate) ([]byte, error) {
+func completeBody(g GenerateRequest) ([]byte, error) {
 	members, err := scanObject(g.Body)
 	if err != nil {
 		return nil, err
--- a/internal/process/beechbackend/service.go
+++ b/internal/process/beechbackend/service.go
@@ -21,7 +21,7 @@
 // Relay returns the service's answer as it is. It is Refused only where the
 // service says by RanHeader that it did not run the request: a status alone,
 // also 503, may come from something that failed half way.
-func (s plainService) Relay(ctx context.Context, r Relay) (*Answer, error) {
+func (s plainService) Relay(ctx context.Context, r RelayRequest) (*Answer, error) {
 	const step = "relay"
 	response, err := s.peer.send(ctx, step, r.Method, r.Path, r.RequestID, r.ContentType, r.Header, r.Body)
 	if err != nil {
--- a/internal/process/beechbackend/types.go
+++ b/internal/process/beechbackend/types.go
@@ -8,11 +8,11 @@
 )
 
 type (
-	// Generate is one request to an engine. Body is the caller's JSON, which
+	// GenerateRequest is one request to an engine. Body is the caller's JSON, which
 	// the adapter completes with salt, priority and what is to be resumed.
 	// Streamed decides how the engine answers, whatever the body asks for: an
 	// agent may want a stream for a caller that does not.
-	Generate struct {
+	GenerateRequest struct {
 		RequestID string
 		Path      string // /v1/chat/completions or /v1/completions
 		Body      []byte
@@ -70,7 +70,7 @@
 
 	// Engine is a model engine. One adapter a kind, in one file.
 	Engine interface {
-		Generate(ctx context.Context, g Generate) (*Answer, error)
+		Generate(ctx context.Context, g GenerateRequest) (*Answer, error)
 		Cancel(ctx context.Context, requestID string) error
 		CacheEvents(ctx context.Context, after uint64) (incarnation uint64, events []CacheEvent, err error)
 		Report(ctx context.Context) (Report, error)
@@ -79,8 +79,8 @@
 		Import(ctx context.Context, salt string, blocks []byte) (tokens int, err error)
 	}
 
-	// Relay is one call of a plain service.
-	Relay struct {
+	// RelayRequest is one call of a plain service.
+	RelayRequest struct {
 		RequestID   string
 		Method      string
 		Path        string
@@ -91,7 +91,7 @@
 
 	// Service is a plain service beside the engines.
 	Service interface {
-		Relay(ctx context.Context, r Relay) (*Answer, error)
+		Relay(ctx context.Context, r RelayRequest) (*Answer, error)
 		Ready(ctx context.Context) error
 	}
 )
--- a/internal/process/beechentry/judge.go
+++ b/internal/process/beechentry/judge.go
@@ -250,7 +250,7 @@
 
 // note keeps the text of a piece and whether it carried the finish reason.
 func (j *job) note(data []byte) {
-	chunk, err := beechbackend.ReadChunk(data)
+	chunk, err := beechbackend.ParseChunk(data)
 	if err != nil {
 		j.resumable = false
 		return
