--- a/internal/process/beechbackend/backend_test.go
+++ b/internal/process/beechbackend/backend_test.go
@@ -44,14 +44,15 @@
 	return GenerateRequest{RequestID: id, Path: "/v1/chat/completions", Body: []byte(body), Salt: "s1", Streamed: true, Model: model}
 }
 
-func wholeAnswer(t *testing.T) string {
+func completeAnswer(t *testing.T) string {
 	t.Helper()
 	p, err := beechengine.Prompt([]byte(body))
 	is.New(t).NoErr(err)
 	return beechengine.Answer(model, p, 12)
 }
 
-// read returns the text of a stream, its usage and the reader's last error.
+// read returns the text of a stream, its usage and the last error of the reader. If
+// stopAfter is not 0, it stops after that many events with text.
 func read(t *testing.T, a *Answer, stopAfter int) (string, *Usage, error) {
 	t.Helper()
 	defer a.Body.Close()
@@ -81,7 +82,7 @@
 	}
 }
 
-func TestStreamIsWholeAndCached(t *testing.T) {
+func TestStreamIsCompleteAndCached(t *testing.T) {
 	is := is.New(t)
 	fake, engine := startEngine(t, beechengine.Settings{BlockTokens: 4})
 	ctx := context.Background()
@@ -91,7 +92,7 @@
 	is.True(a.Streamed)
 	text, usage, err := read(t, a, 0)
 	is.Equal(err, io.EOF)
-	is.Equal(text, wholeAnswer(t))
+	is.Equal(text, completeAnswer(t))
 	is.Equal(usage.Cached, 0)
 	is.Equal(usage.Output, 12)
 
@@ -106,7 +107,7 @@
 	a, err = engine.Generate(ctx, other)
 	is.NoErr(err)
 	_, apart, _ := read(t, a, 0)
-	is.Equal(apart.Cached, 0) // another salt shares nothing
+	is.Equal(apart.Cached, 0) // nothing is shared with another salt
 
 	incarnation, events, err := engine.CacheEvents(ctx, 0)
 	is.NoErr(err)
@@ -116,33 +117,33 @@
 	is.Equal(len(fake.Journal().Entries), 3)
 }
 
-func TestResumeGoesOnWhereTheTextEnds(t *testing.T) {
+func TestResumeContinuesAfterGivenText(t *testing.T) {
 	is := is.New(t)
 	_, engine := startEngine(t, beechengine.Settings{TokenTime: time.Millisecond})
 	a, err := engine.Generate(context.Background(), generate("r1"))
 	is.NoErr(err)
-	begun, _, err := read(t, a, 5)
+	prefix, _, err := read(t, a, 5)
 	is.NoErr(err)
 
 	g := generate("r1")
-	g.Resume = begun
+	g.Resume = prefix
 	a, err = engine.Generate(context.Background(), g)
 	is.NoErr(err)
 	rest, usage, err := read(t, a, 0)
 	is.Equal(err, io.EOF)
-	is.Equal(begun+rest, wholeAnswer(t))
+	is.Equal(prefix+rest, completeAnswer(t))
 	is.Equal(usage.Output, 12)
 
-	g.Resume = begun + "extra "
+	g.Resume = prefix + "extra "
 	a, err = engine.Generate(context.Background(), g)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusBadRequest)
 }
 
-// The caller's own JSON may name a salt, a priority or a text to resume, also
-// twice and in other spellings. If they reached the engine, a caller could read
-// through timing what another workspace has cached.
-func TestCallerCannotSetWhatTheAgentDecides(t *testing.T) {
+// The caller's JSON may contain a salt, a priority or a text to resume, also several
+// times and in other spellings. If they reached the engine, a caller could find out by
+// timing what another workspace has cached.
+func TestCallerCannotSetFieldsOfTheAgent(t *testing.T) {
 	is := is.New(t)
 	g := generate("r1")
 	g.Body = []byte(`{"cache_salt":"x","Cache_Salt":"y","cache\u005fsalt":"z","priority":-9,"resume_text":"a ",` +
@@ -153,7 +154,7 @@
 		`"stream_options":{"include_usage":true,"x":1},"unknown":{"a":[1, 2,"}"]},"messages":[]}`)
 }
 
-func TestCrashInMidStreamIsBroken(t *testing.T) {
+func TestCrashDuringStreamIsBroken(t *testing.T) {
 	is := is.New(t)
 	fake, engine := startEngine(t, beechengine.Settings{TokenTime: 5 * time.Millisecond})
 	before := fake.Incarnation()
@@ -171,7 +172,7 @@
 	is.Equal(fake.Journal().Entries[0].State, beechengine.StateCrashed)
 }
 
-func TestWhatIsProvedNotToHaveRun(t *testing.T) {
+func TestNotRunOnlyForNotSentAndRefused(t *testing.T) {
 	is := is.New(t)
 	fake, engine := startEngine(t, beechengine.Settings{})
 	ctx := context.Background()
@@ -211,10 +212,10 @@
 	fake.Inject(beechengine.Fault{Kind: beechengine.FaultThaw})
 }
 
-// A service reads a request and closes the connection without an answer. The
-// HTTP client takes a kept connection that closes for a chance to send again
-// what looks idempotent to it, and the service would book twice.
-func TestNothingIsSentTwiceByItself(t *testing.T) {
+// A service reads a request and closes the connection without a response. When a
+// kept-alive connection closes, net/http retries requests that it considers idempotent,
+// and the service would make a booking twice.
+func TestTransportDoesNotResendRequests(t *testing.T) {
 	is := is.New(t)
 	var seen atomic.Int32
 	address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -249,7 +250,7 @@
 	}
 }
 
-func TestServiceSaysWhatRan(t *testing.T) {
+func TestServiceIsRefusedOnlyByRanHeader(t *testing.T) {
 	is := is.New(t)
 	fake := beechservice.New(beechservice.Settings{}, clockwork.NewRealClock())
 	service := NewService(serve(t, fake.Handler()), "/ready", NewClient(time.Second))
@@ -307,7 +308,7 @@
 		`{"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"prompt_tokens_details":null}}`:   {Usage: &Usage{Prompt: 9, Output: 2}},
 		`{"usage":{"prompt_tokens":9,"completion_tokens":2,"prompt_tokens_details":{"cached_tokens":8}}}`: {Usage: &Usage{Prompt: 9, Cached: 8, Output: 2}},
 		`{"error":{"message":"out of memory"}}`:                                                           {Failure: "out of memory"},
-		`{"error":"out of memory"}`:                                                                       {Failure: failureUnsaid},
+		`{"error":"out of memory"}`:                                                                       {Failure: noFailureMessage},
 	} {
 		got, err := ParseChunk([]byte(data))
 		is.NoErr(err)
--- a/internal/process/beechbackend/chunk.go
+++ b/internal/process/beechbackend/chunk.go
@@ -8,17 +8,18 @@
 )
 
 type (
-	// Usage is what an engine says a request took, in tokens. Cached is the
-	// part of Prompt that it did not compute.
+	// Usage is the token usage of a request as reported by the engine. Cached is the
+	// part of Prompt that was taken from the prompt cache.
 	Usage struct {
 		Prompt int
 		Cached int
 		Output int
 	}
 
-	// Chunk is what an agent needs of one event's data, or of a plain answer.
-	// Text is the first choice's. Model is model@weights where the engine says
-	// so. Usage is nil where the engine says nothing of it.
+	// Chunk is the part that agents need of the data of one event, or of an answer
+	// that is not streamed. Text and Finish are from the first choice. Model is
+	// model@weights if the engine reports it, and empty otherwise. Usage is nil if
+	// the engine does not report it.
 	Chunk struct {
 		Text    string
 		Model   string
@@ -28,7 +29,7 @@
 		Failure string // message of an error event
 	}
 
-	usageBody struct {
+	usageJSON struct {
 		Prompt  int `json:"prompt_tokens"`
 		Output  int `json:"completion_tokens"`
 		Details struct {
@@ -36,37 +37,37 @@
 		} `json:"prompt_tokens_details"`
 	}
 
-	failureBody struct {
+	failureJSON struct {
 		Message string `json:"message"`
 	}
 )
 
-// failureUnsaid stands for the message of an error event that has none.
-const failureUnsaid = "no reason given"
+// noFailureMessage replaces the message of an error event that has none.
+const noFailureMessage = "no reason given"
 
-// ParseChunk decodes the data of an event of a stream, or a whole plain answer.
-// It runs for each token, so it decodes only what it returns and checks no
-// more of the JSON than it needs to find that.
+// ParseChunk decodes the data of one event of a stream, or an answer that is not
+// streamed. It runs for every token, so it decodes only the members that it returns,
+// and does not validate the rest of the JSON beyond what is needed to find them.
 func ParseChunk(data []byte) (Chunk, error) {
 	var c Chunk
-	err := eachMember(data, func(m member) error { return c.take(m.name, data[m.value:m.end]) })
+	err := eachMember(data, func(m member) error { return c.decodeMember(m.name, data[m.value:m.end]) })
 	if err != nil {
-		return Chunk{}, fmt.Errorf("read chunk: %w", err)
+		return Chunk{}, fmt.Errorf("parse chunk: %w", err)
 	}
 	return c, nil
 }
 
-func (c *Chunk) take(name, value []byte) error {
+func (c *Chunk) decodeMember(name, value []byte) error {
 	if bytes.Equal(value, []byte("null")) {
 		return nil
 	}
 	switch string(name) {
 	case "choices":
-		return c.takeChoices(value)
+		return c.decodeChoices(value)
 	case "usage":
-		return c.takeUsage(value)
+		return c.decodeUsage(value)
 	case "error":
-		return c.takeFailure(value)
+		return c.decodeFailure(value)
 	case "system_fingerprint":
 		model, err := decodeString(value)
 		if strings.Contains(model, "@") {
@@ -78,17 +79,17 @@
 	}
 }
 
-func (c *Chunk) takeChoices(value []byte) error {
+func (c *Chunk) decodeChoices(value []byte) error {
 	return eachElement(value, func(choice []byte) error {
 		c.Choices++
 		if c.Choices > 1 {
 			return nil
 		}
-		return eachMember(choice, func(m member) error { return c.takeChoice(m.name, choice[m.value:m.end]) })
+		return eachMember(choice, func(m member) error { return c.decodeChoice(m.name, choice[m.value:m.end]) })
 	})
 }
 
-func (c *Chunk) takeChoice(name, value []byte) (err error) {
+func (c *Chunk) decodeChoice(name, value []byte) (err error) {
 	switch string(name) {
 	case "text":
 		c.Text, err = decodeString(value)
@@ -105,8 +106,8 @@
 	return err
 }
 
-func (c *Chunk) takeUsage(value []byte) error {
-	var u usageBody
+func (c *Chunk) decodeUsage(value []byte) error {
+	var u usageJSON
 	if err := json.Unmarshal(value, &u); err != nil {
 		return err
 	}
@@ -114,11 +115,12 @@
 	return nil
 }
 
-// takeFailure never leaves Failure empty, whatever shape the error has.
-func (c *Chunk) takeFailure(value []byte) error {
-	var f failureBody
+// decodeFailure sets Failure to a text that is not empty, regardless of the structure
+// of the error.
+func (c *Chunk) decodeFailure(value []byte) error {
+	var f failureJSON
 	if json.Unmarshal(value, &f) != nil || f.Message == "" {
-		f.Message = failureUnsaid
+		f.Message = noFailureMessage
 	}
 	c.Failure = f.Message
 	return nil
--- a/internal/process/beechbackend/client.go
+++ b/internal/process/beechbackend/client.go
@@ -18,39 +18,40 @@
 	"time"
 )
 
-// Headers between an agent and a backend server. RanHeader with the value "no"
-// is a server's word that it did not run the request.
+// Headers between an agent and a backend server. RequestHeader carries the request
+// id. A server sets RanHeader to "no" to state that it did not run the request.
 const (
 	RequestHeader = "X-Request-Id"
 	RanHeader     = "X-Ran"
 )
 
 const (
-	idleConnections = 1024
-	idleTime        = 90 * time.Second
-	maxErrorText    = 4096
-
-	// streamBuffer is less than the usual 4 KB: an agent holds two of them for
-	// each open stream, and a token's event has some 200 bytes.
-	streamBuffer = 1 << 10
-	maxReply     = 256 << 20
+	maxIdleConnections = 1024
+	idleTimeout        = 90 * time.Second
+	maxErrorBytes      = 4096
+
+	// streamBufferSize is smaller than the default of 4 KB, since an agent holds two
+	// buffers for each open stream, and the event of a token has about 200 bytes.
+	streamBufferSize = 1 << 10
+	maxReplyBytes    = 256 << 20
 )
 
 type (
-	// peer sends requests to one server and types what goes wrong.
-	peer struct {
+	// serverClient sends requests to one server and returns errors of the types of
+	// this package.
+	serverClient struct {
 		address netip.AddrPort
 		client  *http.Client
 	}
 
-	// bodyReader hides the type of a request's body from net/http, which
-	// resends by itself what it knows how to read again. A request that may not
-	// be repeated would then run twice.
-	bodyReader struct {
+	// singleUseReader hides the type of the request body from net/http, which
+	// resends a request on its own if it can rewind the body. A request that may
+	// not be repeated would then run twice.
+	singleUseReader struct {
 		*bytes.Reader
 	}
 
-	// answerBody types the errors of reading an answer.
+	// answerBody converts errors of reading an answer to the types of this package.
 	answerBody struct {
 		io.ReadCloser
 		ctx  context.Context
@@ -59,39 +60,39 @@
 	}
 )
 
-// NewClient returns an HTTP client for servers on the same host or nearby. It
-// keeps connections alive and has no time limit but that to connect, since a
-// generation may take minutes; callers limit by their contexts.
+// NewClient returns an HTTP client for servers on the same host or nearby. It keeps
+// connections alive. The only timeout is the given one for connecting, since a
+// generation may take minutes; callers set deadlines in their contexts.
 func NewClient(connect time.Duration) *http.Client {
 	dialer := &net.Dialer{Timeout: connect}
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        idleConnections,
-		MaxIdleConnsPerHost: idleConnections,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConns:        maxIdleConnections,
+		MaxIdleConnsPerHost: maxIdleConnections,
+		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
-		ReadBufferSize:      streamBuffer,
-		WriteBufferSize:     streamBuffer,
+		ReadBufferSize:      streamBufferSize,
+		WriteBufferSize:     streamBufferSize,
 	}}
 }
 
-// newPeer copies the client without redirects: following one would send a
-// request a second time, and to a server that nobody chose.
-func newPeer(address netip.AddrPort, client *http.Client) peer {
+// newServerClient copies the client and disables redirects: following one would send
+// the request a second time, and to a server that was not selected for it.
+func newServerClient(address netip.AddrPort, client *http.Client) serverClient {
 	c := *client
 	c.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return peer{address: address, client: &c}
+	return serverClient{address: address, client: &c}
 }
 
-// send returns the server's answer, whatever its status.
-func (p peer) send(ctx context.Context, step, method, path, id, contentType string, header http.Header, body []byte) (*http.Response, error) {
+// send sends a request and returns the server's response, regardless of its status.
+func (c serverClient) send(ctx context.Context, step, method, path, id, contentType string, header http.Header, body []byte) (*http.Response, error) {
 	var sent atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
-	r, err := p.request(traced, method, path, body)
+	r, err := c.request(traced, method, path, body)
 	if err != nil {
-		return nil, &NotSent{Step: step, Peer: p.address, Err: err}
+		return nil, &NotSent{Step: step, Peer: c.address, Err: err}
 	}
 	maps.Copy(r.Header, header)
 	if id != "" {
@@ -100,22 +101,22 @@
 	if contentType != "" {
 		r.Header.Set("Content-Type", contentType)
 	}
-	response, err := p.client.Do(r)
+	response, err := c.client.Do(r)
 	if err != nil {
-		return nil, p.failure(ctx, step, sent.Load(), err)
+		return nil, c.sendError(ctx, step, sent.Load(), err)
 	}
 	return response, nil
 }
 
-func (p peer) request(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
+func (c serverClient) request(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
 	if !strings.HasPrefix(path, "/") {
-		return nil, fmt.Errorf("path %q does not begin with /", path)
+		return nil, fmt.Errorf("path %q does not start with /", path)
 	}
 	var reader io.Reader
-	if len(body) > 0 || resentWithoutBody(method) {
-		reader = bodyReader{bytes.NewReader(body)}
+	if len(body) > 0 || retriedByTransport(method) {
+		reader = singleUseReader{bytes.NewReader(body)}
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+p.address.String()+path, reader)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+c.address.String()+path, reader)
 	if err != nil {
 		return nil, err
 	}
@@ -123,10 +124,10 @@
 	return r, nil
 }
 
-// resentWithoutBody tells whether net/http sends a request without a body a
-// second time when a kept connection closes under it. Such a request gets a body
-// of no bytes, which net/http cannot read again.
-func resentWithoutBody(method string) bool {
+// retriedByTransport reports whether net/http retries a request of this method without
+// a body when a kept-alive connection is closed during it. To prevent this, such a
+// request gets an empty body that net/http cannot rewind.
+func retriedByTransport(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
 		return true
@@ -135,54 +136,55 @@
 	}
 }
 
-// failure types the error of a request that got no answer. Only a request that
-// never had a connection is proved not to have run.
-func (p peer) failure(ctx context.Context, step string, sent bool, err error) error {
+// sendError converts the error of a request that got no response. Only a request for
+// which no connection was made is known not to have run.
+func (c serverClient) sendError(ctx context.Context, step string, sent bool, err error) error {
 	if !sent {
-		return &NotSent{Step: step, Peer: p.address, Err: err}
+		return &NotSent{Step: step, Peer: c.address, Err: err}
 	}
-	return typed(ctx, step, p.address, err)
+	return transportError(ctx, step, c.address, err)
 }
 
-func typed(ctx context.Context, step string, address netip.AddrPort, err error) error {
+func transportError(ctx context.Context, step string, address netip.AddrPort, err error) error {
 	var timeout net.Error
-	late := errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
-	if late {
+	timedOut := errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.As(err, &timeout) && timeout.Timeout()
+	if timedOut {
 		return &Timeout{Step: step, Peer: address, Err: err}
 	}
 	return &Broken{Step: step, Peer: address, Err: err}
 }
 
-// call sends a request whose answer is small JSON, and reads it.
-func (p peer) call(ctx context.Context, step, method, path string, body []byte, into any) error {
-	response, err := p.send(ctx, step, method, path, "", "application/json", nil, body)
+// callJSON sends a request and decodes its JSON response into the given value, unless
+// that is nil. A status of 400 or above is returned as Refused.
+func (c serverClient) callJSON(ctx context.Context, step, method, path string, body []byte, into any) error {
+	response, err := c.send(ctx, step, method, path, "", "application/json", nil, body)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusBadRequest {
-		return p.refusal(step, response)
+		return c.readRefusal(step, response)
 	}
-	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	reply, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return typed(ctx, step, p.address, err)
+		return transportError(ctx, step, c.address, err)
 	}
 	if into == nil {
 		return nil
 	}
 	if err := json.Unmarshal(reply, into); err != nil {
-		return &Broken{Step: step, Peer: p.address, Err: err}
+		return &Broken{Step: step, Peer: c.address, Err: err}
 	}
 	return nil
 }
 
-// refusal reads an error answer and closes it.
-func (p peer) refusal(step string, response *http.Response) error {
+// readRefusal reads an error response and closes it.
+func (c serverClient) readRefusal(step string, response *http.Response) error {
 	defer response.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorText))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
 	return &Refused{
 		Step:    step,
-		Peer:    p.address,
+		Peer:    c.address,
 		Status:  response.StatusCode,
 		After:   retryAfter(response.Header),
 		Message: errorMessage(text),
@@ -197,8 +199,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// errorMessage takes the message out of an OpenAI error object. Other text is
-// dropped, since a server may quote the prompt in it.
+// errorMessage returns the message of an OpenAI error object. Any other text is
+// discarded, since a server may quote the prompt in it.
 func errorMessage(text []byte) string {
 	var body struct {
 		Error struct {
@@ -211,11 +213,12 @@
 	return body.Error.Message
 }
 
-// answer hands a response on, once its id is seen to be the request's.
-func (p peer) answer(ctx context.Context, step, id string, response *http.Response) (*Answer, error) {
+// newAnswer returns the response as an Answer. If the response carries the id of
+// another request, it is closed and an error is returned.
+func (c serverClient) newAnswer(ctx context.Context, step, id string, response *http.Response) (*Answer, error) {
 	if got := response.Header.Get(RequestHeader); got != "" && got != id {
 		response.Body.Close()
-		return nil, &Broken{Step: step, Peer: p.address, Err: ErrWrongRequest}
+		return nil, &Broken{Step: step, Peer: c.address, Err: ErrWrongRequest}
 	}
 	contentType := response.Header.Get("Content-Type")
 	return &Answer{
@@ -223,14 +226,14 @@
 		ContentType: contentType,
 		Header:      response.Header,
 		Streamed:    isEventStream(contentType),
-		Body:        answerBody{ReadCloser: response.Body, ctx: ctx, step: step, peer: p.address},
+		Body:        answerBody{ReadCloser: response.Body, ctx: ctx, step: step, peer: c.address},
 	}, nil
 }
 
 func (b answerBody) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err != nil && err != io.EOF {
-		err = typed(b.ctx, b.step, b.peer, err)
+		err = transportError(b.ctx, b.step, b.peer, err)
 	}
 	return n, err
 }
--- a/internal/process/beechbackend/doc.go
+++ b/internal/process/beechbackend/doc.go
@@ -1,16 +1,28 @@
-// Package beechbackend speaks to backend servers: model engines and plain
-// services. An agent sees only the interfaces Engine and Service; what differs
-// from one kind of server to the next stays in the one file of its adapter.
+// Package beechbackend provides HTTP clients for backend servers: model engines
+// and plain services. Agents use only the interfaces Engine and Service. The
+// implementation for each kind of server is in a file of its own: openai.go and
+// service.go.
 //
-// The errors say what is known of the request, because a refusal that promises
-// "not run" must be true. A NotSent never left this process. A Refused was
-// answered by the server, which says itself that it did not run it. After a
-// Broken or a Timeout the request may have run, in part or as a whole. Nothing
-// else is taken for proof: a connection that closes right after the request was
-// written looks the same whether the server read it or not.
+// # Errors
 //
-// A streamed answer is read by Events, which bounds each line and tells a
-// stream that ended from one that was cut.
+// The type of an error tells what is known about the request, since callers
+// rely on it when they run a request again:
+//
+//   - NotSent: no connection was made, so the request did not run
+//   - Refused: the server answered that it did not run the request
+//   - Broken: the connection or the answer failed, and the request may have run,
+//     in part or completely
+//   - Timeout: the deadline passed after the request was sent, and it may have
+//     run
+//
+// Nothing else proves that a request did not run. In particular, a connection
+// that closes right after the request was written looks the same whether or not
+// the server read the request.
+//
+// # Streamed answers
+//
+// Streamed answers are read with an EventReader. It limits the length of lines
+// and events, and distinguishes a complete stream from one that was truncated.
 //
 // # Usage
 //
@@ -18,14 +30,14 @@
 //	engine := beechbackend.NewOpenAI(netip.MustParseAddrPort("127.0.0.1:8000"), client)
 //	answer, err := engine.Generate(ctx, beechbackend.GenerateRequest{...})
 //	if beechbackend.NotRun(err) {
-//		// may be sent elsewhere, whatever the request is
+//		// any request may be sent to another server
 //	}
 //	defer answer.Body.Close()
 //	events := beechbackend.NewEventReader(answer.Body, beechbackend.DefaultEventLimit)
 //	for {
 //		event, err := events.Next()
 //		if err == io.EOF {
-//			break // the stream is whole
+//			break // the stream is complete
 //		}
 //		...
 //	}
--- a/internal/process/beechbackend/errors.go
+++ b/internal/process/beechbackend/errors.go
@@ -8,19 +8,20 @@
 )
 
 var (
-	// ErrWrongRequest is an answer that names another request than the one it came
-	// for.
+	// ErrWrongRequest means that an answer carries the id of another request.
 	ErrWrongRequest = errors.New("the answer names another request")
-	// ErrTruncated is a stream that ended without its last event.
+	// ErrTruncated means that a stream ended without its last event.
 	ErrTruncated = errors.New("the stream ended before its last event")
-	// ErrEventTooLong is a server-sent event beyond the reader's limit.
-	ErrEventTooLong = errors.New("an event is longer than the limit")
-	// ErrInvalidJSON is a request body that is no JSON object.
-	ErrInvalidJSON = errors.New("the body is not a JSON object")
+	// ErrEventTooLong means that a line or the data of a server-sent event exceeds
+	// the limit of the reader.
+	ErrEventTooLong = errors.New("event exceeds the limit")
+	// ErrInvalidJSON means that JSON is malformed or not of the expected type, as a
+	// request body that is not an object.
+	ErrInvalidJSON = errors.New("invalid JSON or unexpected JSON type")
 )
 
 type (
-	// NotSent proves that the request did not run: no connection was there to
+	// NotSent means that the request did not run, since there was no connection to
 	// write it to.
 	NotSent struct {
 		Step string
@@ -28,8 +29,8 @@
 		Err  error
 	}
 
-	// Refused proves that the request did not run, by the server's own word.
-	// After is when to come back, 0 where the server does not say.
+	// Refused means that the request did not run, as stated by the server. After is
+	// the delay before a retry, or 0 if the server does not give one.
 	Refused struct {
 		Step    string
 		Peer    netip.AddrPort
@@ -38,15 +39,16 @@
 		Message string
 	}
 
-	// Broken is a request whose connection or answer broke. It may have run.
+	// Broken means that the connection or the answer failed after the request was
+	// sent. The request may have run.
 	Broken struct {
 		Step string
 		Peer netip.AddrPort
 		Err  error
 	}
 
-	// Timeout is a request that was sent and whose deadline then passed. It may
-	// have run.
+	// Timeout means that the deadline passed after the request was sent. The request
+	// may have run.
 	Timeout struct {
 		Step string
 		Peer netip.AddrPort
@@ -79,7 +81,7 @@
 // Unwrap returns the cause.
 func (e *Timeout) Unwrap() error { return e.Err }
 
-// NotRun tells whether err proves that the request did not run.
+// NotRun reports whether err proves that the request did not run.
 func NotRun(err error) bool {
 	var notSent *NotSent
 	var refused *Refused
--- a/internal/process/beechbackend/events.go
+++ b/internal/process/beechbackend/events.go
@@ -8,10 +8,11 @@
 	"io"
 )
 
-// DefaultEventLimit bounds a line and an event's data, in bytes.
+// DefaultEventLimit is the usual limit for a line and for the data of an event, in
+// bytes.
 const DefaultEventLimit = 1 << 20
 
-const eventBuffer = 1024
+const eventBufferSize = 1024
 
 var doneData = []byte("[DONE]")
 
@@ -23,8 +24,8 @@
 		Data []byte
 	}
 
-	// EventReader reads server-sent events of an OpenAI stream. It is not safe
-	// for concurrent use.
+	// EventReader reads the server-sent events of an OpenAI stream. It is not safe for
+	// concurrent use.
 	EventReader struct {
 		lines *bufio.Reader
 		limit int
@@ -34,53 +35,53 @@
 	}
 )
 
-// NewEventReader returns a reader of events whose lines and data have at most limit
-// bytes each.
+// NewEventReader returns a reader that limits each line, and the data of each event,
+// to limit bytes.
 func NewEventReader(r io.Reader, limit int) *EventReader {
-	return &EventReader{lines: bufio.NewReaderSize(r, eventBuffer), limit: limit}
+	return &EventReader{lines: bufio.NewReaderSize(r, eventBufferSize), limit: limit}
 }
 
-// Done tells whether the event is the last of a whole stream.
+// Done reports whether the event is the last one of a complete stream.
 func (e Event) Done() bool {
 	return bytes.Equal(e.Data, doneData)
 }
 
-// Next returns the next event. It returns io.EOF only after the event that
-// ends a whole stream, ErrCut where the stream ends before it, ErrLineTooLong
-// beyond the limit, and the reader's error otherwise.
+// Next returns the next event. It returns io.EOF after the last event of a complete
+// stream, ErrTruncated if the stream ends before that event, ErrEventTooLong if a line
+// or the data exceeds the limit, and otherwise the error of the underlying reader.
 func (r *EventReader) Next() (Event, error) {
 	var event Event
 	r.data = r.data[:0]
-	started := false
+	hasData := false
 	for {
 		line, err := r.readLine()
 		if err != nil {
-			return Event{}, r.ended(err)
+			return Event{}, r.endError(err)
 		}
 		if len(line) == 0 {
-			if !started {
+			if !hasData {
 				continue
 			}
 			event.Data = r.data
 			r.done = r.done || event.Done()
 			return event, nil
 		}
-		if err := r.field(&event, line, &started); err != nil {
+		if err := r.readField(&event, line, &hasData); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-func (r *EventReader) field(event *Event, line []byte, started *bool) error {
+func (r *EventReader) readField(event *Event, line []byte, hasData *bool) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
 	switch string(name) {
 	case "data":
-		if *started {
+		if *hasData {
 			r.data = append(r.data, '\n')
 		}
 		r.data = append(r.data, value...)
-		*started = true
+		*hasData = true
 	case "event":
 		event.Name = string(value)
 	case "id":
@@ -92,14 +93,14 @@
 	return nil
 }
 
-// readLine returns a line without its end. The line is valid until the next
+// readLine returns a line without its line ending. The line is valid until the next
 // call.
 func (r *EventReader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
 		part, err := r.lines.ReadSlice('\n')
 		if err == nil && len(r.line) == 0 {
-			return trimEnd(part), nil
+			return trimLineEnd(part), nil
 		}
 		r.line = append(r.line, part...)
 		if len(r.line) > r.limit {
@@ -108,16 +109,16 @@
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
-		return trimEnd(r.line), err
+		return trimLineEnd(r.line), err
 	}
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnd(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte{'\n'})
 	return bytes.TrimSuffix(line, []byte{'\r'})
 }
 
-func (r *EventReader) ended(err error) error {
+func (r *EventReader) endError(err error) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
--- a/internal/process/beechbackend/fuzz_test.go
+++ b/internal/process/beechbackend/fuzz_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// FuzzCompleteBody compares the spans that are cut out of a body with what
-// encoding/json reads before and after.
+// FuzzCompleteBody decodes the body before and after completeBody with encoding/json,
+// and checks that only the agent's fields differ.
 func FuzzCompleteBody(f *testing.F) {
 	for _, s := range []string{body, `{}`, ` { "a" : [ { } , "\"}" ] } `, `{"cache_salt":"x"}`, `{"a":,"b":1}`, `{"a":1}x`, `[]`, `{"`, `{"stream_options":{"a":1}}`, `{"stream_options":null}`, `{"\ud800":1}`} {
 		f.Add([]byte(s))
@@ -19,7 +19,7 @@
 		done, err := completeBody(GenerateRequest{Body: data, Salt: "agent", Priority: 3, Streamed: true})
 		var before map[string]any
 		if !json.Valid(data) || json.Unmarshal(data, &before) != nil || before == nil {
-			return // the engine refuses what it cannot read
+			return // the engine rejects JSON that it cannot decode
 		}
 		if err != nil {
 			t.Fatalf("%q: %v", data, err)
@@ -32,19 +32,19 @@
 			t.Fatalf("%q became %q", data, done)
 		}
 		for name, value := range before {
-			if !decided(name) && !reflect.DeepEqual(after[name], value) {
+			if !setByAgent(name) && !reflect.DeepEqual(after[name], value) {
 				t.Fatalf("%q became %q: %s differs", data, done, name)
 			}
 		}
 		for name := range after {
-			if _, ok := before[name]; !ok && !decided(name) {
+			if _, ok := before[name]; !ok && !setByAgent(name) {
 				t.Fatalf("%q became %q: %s is new", data, done, name)
 			}
 		}
 	})
 }
 
-func decided(name string) bool {
+func setByAgent(name string) bool {
 	for _, n := range []string{"cache_salt", "priority", "stream", "resume_text", "adapter", "stream_options"} {
 		if strings.EqualFold(n, name) {
 			return true
@@ -53,7 +53,7 @@
 	return false
 }
 
-// FuzzEvents reads random bytes as server-sent events.
+// FuzzEvents reads arbitrary bytes as server-sent events.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: a\n\ndata: [DONE]\n\n"))
 	f.Add([]byte("id: 1\r\ndata\r\n\r\n:\n"))
@@ -62,7 +62,7 @@
 		for n := 0; ; n++ {
 			e, err := r.Next()
 			if err == io.EOF && !bytes.Contains(data, doneData) {
-				t.Fatalf("%q: whole without its last event", data)
+				t.Fatalf("%q: complete without its last event", data)
 			}
 			if err != nil {
 				return
@@ -74,7 +74,7 @@
 	})
 }
 
-// FuzzChunk wraps any text as an engine would, and reads it back.
+// FuzzChunk encodes any text as an engine does, and parses it back.
 func FuzzChunk(f *testing.F) {
 	f.Add("broakfan ", "stop")
 	f.Add("\"\\\x00\u2028<é", "")
--- a/internal/process/beechbackend/object.go
+++ b/internal/process/beechbackend/object.go
@@ -7,12 +7,13 @@
 	"strings"
 )
 
-// usualMembers is how many members a request's body has seldom more than.
-const usualMembers = 16
+// expectedMembers is the initial capacity for the members of an object. Request bodies
+// seldom have more.
+const expectedMembers = 16
 
 type (
-	// member is one name and value of a JSON object, as offsets of its bytes:
-	// where the name begins, where the value begins, and what is behind it.
+	// member is one member of a JSON object. start, value and end are offsets into the
+	// object: of the name, of the value and of the first byte after the value.
 	member struct {
 		name  []byte // decoded
 		start int
@@ -20,18 +21,18 @@
 		end   int
 	}
 
-	// field is a member to be set, or to be taken out where value is nil.
+	// field is a member to be set, or to be removed if value is nil.
 	field struct {
 		name  string
 		value []byte
 	}
 )
 
-// setFields returns the JSON object with these fields set and all others left
-// byte for byte. A field without value is only taken out. Every member of a
-// set name goes first, whatever its case and however often it stands there: a
-// caller could otherwise name the cache salt of another workspace and rely on
-// the server's taking the last one.
+// setFields returns the JSON object with the given fields set, and all other members
+// copied byte for byte. A field whose value is nil is only removed. All existing
+// members with the name of a field are removed first, regardless of case and number of
+// occurrences. Otherwise a caller could add a second cache salt, that of another
+// workspace, if the server uses the last occurrence.
 func setFields(object []byte, members []member, fields []field) []byte {
 	size := len(object) + len("{}")
 	for _, f := range fields {
@@ -44,22 +45,23 @@
 		if f.value == nil {
 			continue
 		}
-		separate(out, &count)
+		writeSeparator(out, &count)
 		out.WriteString(`"` + f.name + `":`)
 		out.Write(f.value)
 	}
 	for _, m := range members {
-		if named(fields, m.name) {
+		if setsField(fields, m.name) {
 			continue
 		}
-		separate(out, &count)
+		writeSeparator(out, &count)
 		out.Write(object[m.start:m.end])
 	}
 	out.WriteByte('}')
 	return out.Bytes()
 }
 
-// lastValue returns the value a server would take for a name, or nil.
+// lastValue returns the value of the last member with the name, which is the one that
+// servers use, or nil.
 func lastValue(object []byte, members []member, name string) []byte {
 	for _, m := range slices.Backward(members) {
 		if string(m.name) == name {
@@ -69,14 +71,14 @@
 	return nil
 }
 
-func separate(out *bytes.Buffer, count *int) {
+func writeSeparator(out *bytes.Buffer, count *int) {
 	if *count > 0 {
 		out.WriteByte(',')
 	}
 	*count++
 }
 
-func named(fields []field, name []byte) bool {
+func setsField(fields []field, name []byte) bool {
 	for _, f := range fields {
 		if strings.EqualFold(f.name, string(name)) {
 			return true
@@ -85,9 +87,9 @@
 	return false
 }
 
-// scanObject finds the members of a JSON object without decoding their values.
+// scanObject returns the members of a JSON object without decoding their values.
 func scanObject(data []byte) ([]member, error) {
-	members := make([]member, 0, usualMembers)
+	members := make([]member, 0, expectedMembers)
 	err := eachMember(data, func(m member) error {
 		members = append(members, m)
 		return nil
@@ -108,36 +110,36 @@
 // eachElement visits the values of a JSON array.
 func eachElement(data []byte, visit func(value []byte) error) error {
 	return eachItem(data, '[', ']', func(at int) (int, error) {
-		behind, ok := skipValue(data, at)
+		next, ok := skipValue(data, at)
 		if !ok {
 			return 0, ErrInvalidJSON
 		}
-		return behind, visit(data[at:behind])
+		return next, visit(data[at:next])
 	})
 }
 
-// eachItem visits where each item of an object or array begins; visit returns
-// what is behind the item.
-func eachItem(data []byte, open, shut byte, visit func(at int) (int, error)) error {
+// eachItem calls visit with the offset of each item of an object or array. visit
+// returns the offset after the item.
+func eachItem(data []byte, open, closing byte, visit func(at int) (int, error)) error {
 	at := skipSpace(data, 0)
 	if at >= len(data) || data[at] != open {
 		return ErrInvalidJSON
 	}
 	at = skipSpace(data, at+1)
-	if at < len(data) && data[at] == shut {
-		return end(data, at+1)
+	if at < len(data) && data[at] == closing {
+		return expectEnd(data, at+1)
 	}
 	for at < len(data) {
-		behind, err := visit(at)
+		next, err := visit(at)
 		if err != nil {
 			return err
 		}
-		at = skipSpace(data, behind)
+		at = skipSpace(data, next)
 		if at >= len(data) {
 			break
 		}
-		if data[at] == shut {
-			return end(data, at+1)
+		if data[at] == closing {
+			return expectEnd(data, at+1)
 		}
 		if data[at] != ',' {
 			break
@@ -147,7 +149,7 @@
 	return ErrInvalidJSON
 }
 
-func end(data []byte, at int) error {
+func expectEnd(data []byte, at int) error {
 	if skipSpace(data, at) != len(data) {
 		return ErrInvalidJSON
 	}
@@ -172,8 +174,8 @@
 	return m, ok
 }
 
-// decodeName takes the quotes off a name, and decodes it where it is escaped,
-// since an escaped name means the same field to the server.
+// decodeName returns a member name without its quotes. It decodes escapes, since an
+// escaped name denotes the same member for the server.
 func decodeName(quoted []byte) ([]byte, bool) {
 	if bytes.IndexByte(quoted, '\\') < 0 {
 		return quoted[1 : len(quoted)-1], true
@@ -183,7 +185,7 @@
 	return []byte(name), err == nil
 }
 
-// decodeString returns a JSON string's text, and "" for any other value.
+// decodeString returns the text of a JSON string, and "" for any other value.
 func decodeString(value []byte) (string, error) {
 	if len(value) < 2 || value[0] != '"' {
 		return "", nil
@@ -203,7 +205,7 @@
 	return at
 }
 
-// skipString returns what is behind the string that begins at the index.
+// skipString returns the offset after the string that starts at the given offset.
 func skipString(data []byte, at int) (int, bool) {
 	if at >= len(data) || data[at] != '"' {
 		return at, false
@@ -219,7 +221,7 @@
 	return at, false
 }
 
-// skipValue returns what is behind the value that begins at the index.
+// skipValue returns the offset after the value that starts at the given offset.
 func skipValue(data []byte, at int) (int, bool) {
 	depth := 0
 	for at < len(data) {
--- a/internal/process/beechbackend/openai.go
+++ b/internal/process/beechbackend/openai.go
@@ -13,13 +13,13 @@
 )
 
 type (
-	// openAI is an engine with OpenAI's HTTP shapes and the extensions that
-	// the package beechengine of the stand-ins documents.
+	// openAI implements Engine for engines with an OpenAI-compatible HTTP API and the
+	// extensions documented in the package internal/standin/beechengine.
 	openAI struct {
-		peer peer
+		server serverClient
 	}
 
-	openAIEvents struct {
+	openAIEventsReply struct {
 		Incarnation uint64 `json:"incarnation"`
 		Events      []struct {
 			Sequence uint64 `json:"sequence"`
@@ -31,7 +31,7 @@
 		} `json:"events"`
 	}
 
-	openAILoad struct {
+	openAILoadReply struct {
 		Incarnation   uint64   `json:"incarnation"`
 		Running       int      `json:"running"`
 		Waiting       int      `json:"waiting"`
@@ -51,40 +51,41 @@
 		Role    string `json:"role,omitempty"`
 	}
 
-	openAIImported struct {
+	openAIImportReply struct {
 		Tokens int `json:"tokens"`
 	}
 )
 
-// NewOpenAI returns the adapter for an engine at address. The client's timeout
+// NewOpenAI returns the Engine for an engine at address. The client's timeout
 // must be 0; see NewClient.
 func NewOpenAI(address netip.AddrPort, client *http.Client) Engine {
-	return openAI{peer: newPeer(address, client)}
+	return openAI{server: newServerClient(address, client)}
 }
 
-// Generate returns the engine's answer. A 404, 429 or 503 is Refused: the
-// engine does not have the model or has no room. Any other status is an Answer.
+// Generate sends a request and returns the engine's answer. The statuses 404, 429 and
+// 503 are returned as Refused: the engine does not have the model or has no capacity.
+// Any other status is returned as an Answer.
 func (e openAI) Generate(ctx context.Context, g GenerateRequest) (*Answer, error) {
 	const step = "generate"
 	body, err := completeBody(g)
 	if err != nil {
-		return nil, &NotSent{Step: step, Peer: e.peer.address, Err: err}
+		return nil, &NotSent{Step: step, Peer: e.server.address, Err: err}
 	}
-	response, err := e.peer.send(ctx, step, http.MethodPost, g.Path, g.RequestID, "application/json", nil, body)
+	response, err := e.server.send(ctx, step, http.MethodPost, g.Path, g.RequestID, "application/json", nil, body)
 	if err != nil {
 		return nil, err
 	}
 	switch response.StatusCode {
 	case http.StatusNotFound, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return nil, e.peer.refusal(step, response)
+		return nil, e.server.readRefusal(step, response)
 	default:
-		return e.peer.answer(ctx, step, g.RequestID, response)
+		return e.server.newAnswer(ctx, step, g.RequestID, response)
 	}
 }
 
-// Cancel ends a request. One that has ended already is no error.
+// Cancel cancels a request. It is not an error if the request has already ended.
 func (e openAI) Cancel(ctx context.Context, requestID string) error {
-	err := e.peer.call(ctx, "cancel", http.MethodPost, "/cancel/"+url.PathEscape(requestID), nil, nil)
+	err := e.server.callJSON(ctx, "cancel", http.MethodPost, "/cancel/"+url.PathEscape(requestID), nil, nil)
 	var refused *Refused
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil
@@ -92,12 +93,12 @@
 	return err
 }
 
-// CacheEvents returns the events published behind a sequence number, and the
-// incarnation that they belong to.
+// CacheEvents returns the cache events after the given sequence number, and the
+// incarnation of the engine that they belong to.
 func (e openAI) CacheEvents(ctx context.Context, after uint64) (uint64, []CacheEvent, error) {
-	var reply openAIEvents
+	var reply openAIEventsReply
 	path := "/cache/events?after=" + strconv.FormatUint(after, 10)
-	if err := e.peer.call(ctx, "read cache events", http.MethodGet, path, nil, &reply); err != nil {
+	if err := e.server.callJSON(ctx, "read cache events", http.MethodGet, path, nil, &reply); err != nil {
 		return 0, nil, err
 	}
 	events := make([]CacheEvent, len(reply.Events))
@@ -107,10 +108,10 @@
 	return reply.Incarnation, events, nil
 }
 
-// Report returns the engine's load.
+// Report returns the load report of the engine.
 func (e openAI) Report(ctx context.Context) (Report, error) {
-	var l openAILoad
-	if err := e.peer.call(ctx, "read load", http.MethodGet, "/load", nil, &l); err != nil {
+	var l openAILoadReply
+	if err := e.server.callJSON(ctx, "read load", http.MethodGet, "/load", nil, &l); err != nil {
 		return Report{}, err
 	}
 	return Report{
@@ -126,63 +127,64 @@
 	}, nil
 }
 
-// Order begins an order. The report shows when it is done. An older fencing
-// number is Refused with status 409 by an engine that checks it.
+// Order starts the execution of an order; the load report shows when it is done. An
+// engine that checks fencing numbers rejects an older one with status 409, which is
+// returned as Refused.
 func (e openAI) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(openAIOrder(o))
 	if err != nil {
 		return err
 	}
-	return e.peer.call(ctx, "order", http.MethodPost, "/orders", body, nil)
+	return e.server.callJSON(ctx, "order", http.MethodPost, "/orders", body, nil)
 }
 
-// Export returns the cached blocks of a request's body, in the engine's own
-// format.
+// Export returns the cached blocks of the prompt, in the format of the engine.
 func (e openAI) Export(ctx context.Context, salt string, prompt []byte) ([]byte, error) {
-	// json.Marshal would escape the prompt, and then the engine would find none
-	// of its blocks.
-	body := setFields(nil, nil, []field{{"salt", text(salt)}, {"prompt", prompt}})
+	// json.Marshal would escape characters of the prompt, and the engine would then
+	// find none of its blocks.
+	body := setFields(nil, nil, []field{{"salt", jsonString(salt)}, {"prompt", prompt}})
 	var blocks json.RawMessage
-	err := e.peer.call(ctx, "export cache", http.MethodPost, "/kv/export", body, &blocks)
+	err := e.server.callJSON(ctx, "export cache", http.MethodPost, "/kv/export", body, &blocks)
 	return blocks, err
 }
 
-// Import gives the engine blocks that were exported under the same salt.
+// Import stores blocks in the cache of the engine that were exported under the same
+// salt. It returns the number of tokens imported.
 func (e openAI) Import(ctx context.Context, salt string, blocks []byte) (int, error) {
-	var imported openAIImported
+	var imported openAIImportReply
 	path := "/kv/import?salt=" + url.QueryEscape(salt)
-	err := e.peer.call(ctx, "import cache", http.MethodPost, path, blocks, &imported)
+	err := e.server.callJSON(ctx, "import cache", http.MethodPost, path, blocks, &imported)
 	return imported.Tokens, err
 }
 
-// completeBody sets what the agent decides in the caller's JSON. The caller's
-// own salt, priority, adapter and resume text never reach the engine.
+// completeBody sets the fields that the agent controls in the caller's JSON. The
+// caller's own salt, priority, adapter and resume text never reach the engine.
 func completeBody(g GenerateRequest) ([]byte, error) {
 	members, err := scanObject(g.Body)
 	if err != nil {
 		return nil, err
 	}
 	fields := []field{
-		{"cache_salt", text(g.Salt)},
+		{"cache_salt", jsonString(g.Salt)},
 		{"priority", strconv.AppendInt(nil, int64(g.Priority), 10)},
 		{"stream", strconv.AppendBool(nil, g.Streamed)},
-		{"resume_text", text(g.Resume)},
-		{"adapter", text(g.Adapter)},
+		{"resume_text", jsonString(g.Resume)},
+		{"adapter", jsonString(g.Adapter)},
 	}
 	if g.Model != "" {
-		fields = append(fields, field{"model", text(g.Model)})
+		fields = append(fields, field{"model", jsonString(g.Model)})
 	}
 	options := field{name: "stream_options"}
 	if g.Streamed {
-		options.value = withUsage(lastValue(g.Body, members, options.name))
+		options.value = withIncludeUsage(lastValue(g.Body, members, options.name))
 	}
 	fields = append(fields, options)
 	return setFields(g.Body, members, fields), nil
 }
 
-// withUsage asks for the usage at the stream's end, which the agent needs
-// whether the caller wants it or not.
-func withUsage(options []byte) []byte {
+// withIncludeUsage sets include_usage in the stream options, so that the engine reports
+// the usage at the end of the stream. The agent needs it even if the caller does not.
+func withIncludeUsage(options []byte) []byte {
 	members, err := scanObject(options)
 	if err != nil {
 		return []byte(`{"include_usage":true}`)
@@ -190,8 +192,8 @@
 	return setFields(options, members, []field{{"include_usage", []byte("true")}})
 }
 
-// text is a JSON string, or nil for an empty one.
-func text(s string) []byte {
+// jsonString encodes s as a JSON string. It returns nil if s is empty.
+func jsonString(s string) []byte {
 	if s == "" {
 		return nil
 	}
--- a/internal/process/beechbackend/service.go
+++ b/internal/process/beechbackend/service.go
@@ -6,46 +6,47 @@
 	"net/netip"
 )
 
-// plainService is any HTTP service.
-type plainService struct {
-	peer      peer
+// httpService implements Service for any HTTP service.
+type httpService struct {
+	server    serverClient
 	readyPath string
 }
 
-// NewService returns the adapter for a plain service at address. Ready asks for
-// readyPath, and only connects where it is empty.
+// NewService returns the Service for a plain service at address. Ready requests
+// readyPath, or / if that is empty.
 func NewService(address netip.AddrPort, readyPath string, client *http.Client) Service {
-	return plainService{peer: newPeer(address, client), readyPath: readyPath}
+	return httpService{server: newServerClient(address, client), readyPath: readyPath}
 }
 
-// Relay returns the service's answer as it is. It is Refused only where the
-// service says by RanHeader that it did not run the request: a status alone,
-// also 503, may come from something that failed half way.
-func (s plainService) Relay(ctx context.Context, r RelayRequest) (*Answer, error) {
+// Relay sends a request and returns the service's answer unchanged. An error status is
+// returned as Refused only if the service states in RanHeader that it did not run the
+// request: a status alone, even 503, may come from a request that failed partway.
+func (s httpService) Relay(ctx context.Context, r RelayRequest) (*Answer, error) {
 	const step = "relay"
-	response, err := s.peer.send(ctx, step, r.Method, r.Path, r.RequestID, r.ContentType, r.Header, r.Body)
+	response, err := s.server.send(ctx, step, r.Method, r.Path, r.RequestID, r.ContentType, r.Header, r.Body)
 	if err != nil {
 		return nil, err
 	}
 	if response.StatusCode >= http.StatusBadRequest && response.Header.Get(RanHeader) == "no" {
-		return nil, s.peer.refusal(step, response)
+		return nil, s.server.readRefusal(step, response)
 	}
-	return s.peer.answer(ctx, step, r.RequestID, response)
+	return s.server.newAnswer(ctx, step, r.RequestID, response)
 }
 
-// Ready tells whether the service serves. Any answer but a server's error will
-// do, since not every service has a path for it.
-func (s plainService) Ready(ctx context.Context) error {
+// Ready returns an error if the service does not answer or answers with a status of
+// 500 or above. Lower statuses count as ready, since not every service has a path for
+// readiness checks.
+func (s httpService) Ready(ctx context.Context) error {
 	path := s.readyPath
 	if path == "" {
 		path = "/"
 	}
-	response, err := s.peer.send(ctx, "check readiness", http.MethodGet, path, "", "", nil, nil)
+	response, err := s.server.send(ctx, "check readiness", http.MethodGet, path, "", "", nil, nil)
 	if err != nil {
 		return err
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		return s.peer.refusal("check readiness", response)
+		return s.server.readRefusal("check readiness", response)
 	}
 	return response.Body.Close()
 }
--- a/internal/process/beechbackend/types.go
+++ b/internal/process/beechbackend/types.go
@@ -8,24 +8,24 @@
 )
 
 type (
-	// GenerateRequest is one request to an engine. Body is the caller's JSON, which
-	// the adapter completes with salt, priority and what is to be resumed.
-	// Streamed decides how the engine answers, whatever the body asks for: an
-	// agent may want a stream for a caller that does not.
+	// GenerateRequest is one request to an engine. Body is the caller's JSON, in which
+	// the implementation sets the other fields. Streamed determines whether the engine streams
+	// its answer, regardless of the body: an agent may need a stream although the caller
+	// does not.
 	GenerateRequest struct {
 		RequestID string
 		Path      string // /v1/chat/completions or /v1/completions
 		Body      []byte
-		Model     string // model@weights that must serve it; empty leaves the caller's
-		Adapter   string // empty is none
+		Model     string // model@weights to use; if empty, the caller's model is used
+		Adapter   string // model adapter; empty for none
 		Salt      string
 		Priority  int
 		Streamed  bool
-		Resume    string // text already given, which the engine continues
+		Resume    string // text already generated, which the engine continues
 	}
 
-	// Answer is the engine's or service's HTTP answer. Body is closed by the
-	// caller. A streamed answer's body is server-sent events.
+	// Answer is the HTTP response of an engine or service. The caller must close Body.
+	// The body of a streamed answer consists of server-sent events.
 	Answer struct {
 		Status      int
 		ContentType string
@@ -34,32 +34,34 @@
 		Body        io.ReadCloser
 	}
 
-	// CacheEvent is one change of the engine's prompt cache. Sequence counts
-	// from 1 without holes; a hole is a lost event. Cleared empties the cache.
+	// CacheEvent is one change of the engine's prompt cache. Sequence numbers start at
+	// 1 and are consecutive; a gap means that events were lost. Cleared means that the
+	// cache is now empty.
 	CacheEvent struct {
 		Sequence uint64
 		Salt     string
-		Hash     string // of the block chain, the engine's own
-		Tokens   int    // from the prompt's start through this block
+		Hash     string // of the chain of blocks, as computed by the engine
+		Tokens   int    // from the start of the prompt to the end of this block
 		Stored   bool   // false: evicted
 		Cleared  bool
 	}
 
-	// Report is the engine's load, late by what the engine says.
+	// Report is the load of an engine, as reported by the engine. It may be delayed.
 	Report struct {
 		Incarnation   uint64
 		Running       int
 		Waiting       int
 		Slots         int
-		PrefillRate   int // prompt tokens a second
+		PrefillRate   int // prompt tokens per second
 		TokenTime     time.Duration
-		Models        []string // model@weights, loaded
+		Models        []string // loaded models, as model@weights
 		Loading       []string
 		FencingNumber uint64
 	}
 
-	// Order changes what an engine holds. Fence is the number the agent took
-	// by compare-and-swap; some engines refuse an older one, others ignore it.
+	// Order is a command to an engine to load or unload a model, to load a model adapter
+	// or to change its role. Fence is the fencing number that the agent acquired by
+	// compare-and-swap; some engines reject older numbers, others ignore them.
 	Order struct {
 		Fence   uint64
 		Load    string // model@weights, or empty
@@ -68,7 +70,8 @@
 		Role    string
 	}
 
-	// Engine is a model engine. One adapter a kind, in one file.
+	// Engine is the interface to a model engine. Each kind of engine has an implementation
+	// in a file of its own.
 	Engine interface {
 		Generate(ctx context.Context, g GenerateRequest) (*Answer, error)
 		Cancel(ctx context.Context, requestID string) error
@@ -79,17 +82,17 @@
 		Import(ctx context.Context, salt string, blocks []byte) (tokens int, err error)
 	}
 
-	// RelayRequest is one call of a plain service.
+	// RelayRequest is one request to a plain service.
 	RelayRequest struct {
 		RequestID   string
 		Method      string
 		Path        string
 		ContentType string
-		Header      http.Header // of the caller, what may be passed on
+		Header      http.Header // headers of the caller that may be passed on
 		Body        []byte
 	}
 
-	// Service is a plain service beside the engines.
+	// Service is the interface to a plain service, which is not a model engine.
 	Service interface {
 		Relay(ctx context.Context, r RelayRequest) (*Answer, error)
 		Ready(ctx context.Context) error
