--- a/internal/process/beechentry/admin.go
+++ b/internal/process/beechentry/admin.go
@@ -17,7 +17,7 @@
 )
 
 type (
-	// counters are the entry's, published by expvar.
+	// counters are published through expvar and in Status.
 	counters struct {
 		Requests   atomic.Int64
 		Overloaded atomic.Int64
@@ -28,7 +28,7 @@
 		Wasted     atomic.Int64
 	}
 
-	// Status is what an entry tells operators.
+	// Status is the state of an entry for operators.
 	Status struct {
 		Name        string               `json:"name"`
 		Zone        string               `json:"zone"`
@@ -43,13 +43,13 @@
 		Streams     int64                `json:"openRequests"`
 		Members     []beechmember.Member `json:"members"`
 		Servers     []beechhealth.Status `json:"servers"`
-		Caches      map[string]uint64    `json:"cacheVersions"` // the version known of each agent's index
+		Caches      map[string]uint64    `json:"cacheVersions"` // known version of each agent's cache index
 		Links       beechlink.Counters   `json:"links"`
 		Counts      map[string]int64     `json:"counts"`
 	}
 )
 
-// Status tells what the entry is doing now.
+// Status returns the current state.
 func (e *Entry) Status() Status {
 	return Status{
 		Name:        e.settings.Name,
@@ -58,25 +58,25 @@
 		Incarnation: e.incarnation,
 		Generation:  e.holder.Generation(),
 		Ready:       e.ready(),
-		Leaving:     e.leaving.Load(),
+		Leaving:     e.draining.Load(),
 		Watching:    e.isWatcher(),
-		Linked:      e.fleet.linked(),
-		Serving:     e.fleet.serving(),
-		Streams:     e.streams.Load(),
+		Linked:      e.fleet.countUp(),
+		Serving:     e.fleet.countServing(),
+		Streams:     e.openRequests.Load(),
 		Members:     e.fleet.members.Members(),
 		Servers:     e.health.Status(),
 		Caches:      e.fleet.cacheVersions(),
 		Links:       e.fleet.dialer.Counters(),
-		Counts:      e.numbers.values(),
+		Counts:      e.counters.values(),
 	}
 }
 
-// Burn gives the service-level figures of this entry.
+// Burn returns a snapshot of this entry's service-level counts.
 func (e *Entry) Burn() beechburn.Snapshot { return e.burn.Snapshot() }
 
-// WastedTokens is the prompt tokens computed so far although a live server was
-// predicted to hold them.
-func (e *Entry) WastedTokens() uint64 { return uint64(e.numbers.Wasted.Load()) }
+// WastedTokens returns the number of prompt tokens computed so far although a
+// live server was predicted to hold them.
+func (e *Entry) WastedTokens() uint64 { return uint64(e.counters.Wasted.Load()) }
 
 func (c *counters) values() map[string]int64 {
 	return map[string]int64{
@@ -90,7 +90,7 @@
 	}
 }
 
-// newAdmin opens the admin listener and returns what serves it.
+// newAdmin opens the admin listener and returns the function that serves it.
 func (e *Entry) newAdmin() (func(ctx context.Context) error, error) {
 	vars := new(expvar.Map).Init()
 	vars.Set("entry", expvar.Func(func() any { return e.Status() }))
@@ -107,21 +107,21 @@
 	})
 }
 
-// observe counts how a job ended for the burn report.
+// observe counts the outcome of a job for the burn report.
 func (e *Entry) observe(j *job, f *failure) {
 	outcome := beechburn.Outcome{
 		Workspace:  j.workspace.Name,
 		Result:     resultOf(f),
 		FirstToken: j.firstToken,
-		Total:      e.clock.Since(j.began),
+		Total:      e.clock.Since(j.startedAt),
 		Prompt:     j.usage.Prompt,
 		Cached:     j.usage.Cached,
-		Wasted:     wasted(j.usage, j.request.PromptTokens, j.reachable),
+		Wasted:     wastedTokens(j.usage, j.request.PromptTokens, j.minUncached),
 	}
 	if j.request.Service != "" {
 		outcome.FirstToken = 0
 	}
-	e.numbers.Wasted.Add(int64(outcome.Wasted))
+	e.counters.Wasted.Add(int64(outcome.Wasted))
 	e.burn.Observe(outcome)
 }
 
@@ -129,10 +129,11 @@
 	e.burn.Observe(beechburn.Outcome{Workspace: workspace, Result: resultOf(f), Total: time.Millisecond})
 }
 
-// wasted is prompt tokens that were computed although a server was predicted to
-// hold them. The prediction is in estimated tokens and is scaled to the
-// engine's count, so that a wrong estimate is not taken for waste.
-func wasted(usage beechwire.Usage, estimated, leastUncached int) int {
+// wastedTokens returns the number of prompt tokens that were computed although
+// a server was predicted to hold them. The prediction is in estimated tokens
+// and is scaled to the engine's count, so that an estimation error is not
+// counted as waste.
+func wastedTokens(usage beechwire.Usage, estimated, leastUncached int) int {
 	if !usage.Known || estimated <= 0 {
 		return 0
 	}
@@ -144,7 +145,7 @@
 	switch {
 	case f == nil:
 		return beechburn.Served
-	case f.Status == statusClientGone:
+	case f.Status == statusCallerGone:
 		return beechburn.Cancelled
 	case f.Status == http.StatusTooManyRequests:
 		return beechburn.Limited
--- a/internal/process/beechentry/completion.go
+++ b/internal/process/beechentry/completion.go
@@ -22,12 +22,12 @@
 	adapterSeparator    = ":"
 )
 
-// serveCompletion serves chat and plain completions, streamed or not.
+// serveCompletion handles chat and text completions, streamed or not.
 func (e *Entry) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	e.serve(w, r, e.readCompletion)
 }
 
-// readCompletion turns an HTTP request into a job.
+// readCompletion is the requestReader of completions.
 func (e *Entry) readCompletion(w http.ResponseWriter, r *http.Request, c *beechmanifest.Configuration, workspace *beechmanifest.Workspace) (*job, *failure) {
 	deadline, f := callerDeadline(r)
 	if f != nil {
@@ -73,8 +73,9 @@
 	return j, nil
 }
 
-// setBody sets what names the body on its way, and what a repeat under the same
-// key must share with it: the same body sent to another path is another call.
+// setBody sets the hash that identifies the body and, with an idempotency key,
+// the hash that a repeat under the same key must match. The latter covers
+// method and path: the same body sent to another path is another call.
 func (j *job) setBody(body []byte, key string) {
 	sum := sha256.Sum256(body)
 	j.request.BodyHash = sum[:]
@@ -85,7 +86,7 @@
 	call := sha256.New()
 	call.Write([]byte(j.request.Method + " " + j.request.Path + "\n"))
 	call.Write(sum[:])
-	j.callSum = call.Sum(nil)
+	j.callHash = call.Sum(nil)
 }
 
 // recordKey scopes an idempotency key to its workspace.
@@ -94,7 +95,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// fingerprint names a request however often and by whichever entry it is sent.
+// fingerprint identifies a request by its content. It is the same for every
+// repeat and on every entry host.
 func fingerprint(workspace string, body []byte) uint64 {
 	return xxh3.Hash(body) ^ xxh3.HashString(workspace)
 }
@@ -109,15 +111,16 @@
 	return f
 }
 
-// resolveModel sets what the configuration and the fleet say of the model: the
-// adapter, the weights version that serves now, and with them the prefix chain.
+// resolveModel sets what depends on the configuration and the fleet: the
+// adapter, the version of the weights that is being served, and the prefix
+// chain computed from both.
 func (e *Entry) resolveModel(j *job) *failure {
 	model, adapter, known := findModel(j.configuration, j.prompt.Fields.Model)
 	if !known || !j.workspace.AllowsModel(model.Name) {
 		return unknownModel(j.prompt.Fields.Model)
 	}
 	name := model.Name
-	weights := e.fleet.weights(name, model.Weights)
+	weights := e.fleet.servedWeights(name, model.Weights)
 	chain := j.prompt.Chain(beechprefix.Root{
 		Workspace: j.workspace.Name, Model: name, Adapter: adapter, Weights: weights,
 	}, &e.estimator)
@@ -135,7 +138,7 @@
 	return nil
 }
 
-// findModel reads "model" or "model:adapter".
+// findModel parses "model" or "model:adapter".
 func findModel(c *beechmanifest.Configuration, asked string) (model *beechmanifest.Model, adapter string, known bool) {
 	if model, known = c.Model(asked); known {
 		return model, "", true
@@ -149,12 +152,12 @@
 	return model, adapter, known && adapter != "" && model.HasAdapter(adapter)
 }
 
-func outputTokens(asked, usual int) int {
+func outputTokens(requested, workspaceDefault int) int {
 	switch {
-	case asked > 0:
-		return asked
-	case usual > 0:
-		return usual
+	case requested > 0:
+		return requested
+	case workspaceDefault > 0:
+		return workspaceDefault
 	default:
 		return defaultOutputTokens
 	}
@@ -168,7 +171,8 @@
 	return out
 }
 
-// admitAndRun asks the limits, runs the job and answers the caller.
+// admitAndRun checks the workspace's limits, runs the job and answers the
+// caller.
 func (e *Entry) admitAndRun(w http.ResponseWriter, r *http.Request, j *job) {
 	decision := e.limiter.Admit(j.workspace.Name, j.request.PromptTokens+j.request.OutputTokens)
 	admitted, ok := decision.(beechlimit.Admitted)
@@ -199,21 +203,21 @@
 }
 
 func limitFailure(decision beechlimit.Decision) *failure {
-	refuse, ok := decision.(beechlimit.Rejected)
+	rejected, ok := decision.(beechlimit.Rejected)
 	if !ok {
 		return notRun(http.StatusInternalServerError, typeServer, "limit", "the limits gave no answer")
 	}
-	switch refuse.Reason {
+	switch rejected.Reason {
 	case beechlimit.ReasonTooLarge:
 		return notRun(http.StatusBadRequest, typeInvalid, "request_too_large", "the request's tokens exceed the workspace's limit a minute")
 	case beechlimit.ReasonUnknown:
-		return busy(http.StatusServiceUnavailable, "no_configuration", time.Second, "the workspace's limits are not known yet")
+		return retryLater(http.StatusServiceUnavailable, "no_configuration", time.Second, "the workspace's limits are not known yet")
 	default:
-		return busy(http.StatusTooManyRequests, "limit_"+string(refuse.Reason), refuse.RetryAfter, "the workspace is over its limit of %s", refuse.Reason)
+		return retryLater(http.StatusTooManyRequests, "limit_"+string(rejected.Reason), rejected.RetryAfter, "the workspace is over its limit of %s", rejected.Reason)
 	}
 }
 
-// context carries the caller's deadline.
+// context derives the job's context, which ends at the caller's deadline.
 func (j *job) context(parent context.Context) (context.Context, context.CancelFunc) {
 	if j.timeout <= 0 {
 		return context.WithCancel(parent)
--- a/internal/process/beechentry/configuration.go
+++ b/internal/process/beechentry/configuration.go
@@ -22,15 +22,15 @@
 	unmarshaler = msgp.Unmarshaler
 )
 
-// watchersPerZone follow the platform's service; the zone's other entries hear
-// of new generations from agents. One watcher could be slow or cut off without
-// anyone noticing, and all of them together would cost a call each.
+// watchersPerZone is how many entries of a zone watch the platform's service;
+// the others hear of new generations from agents. A single watcher could be
+// slow or cut off unnoticed; if all entries watched, each would cost a call.
 const watchersPerZone = 2
 
-// servedShare is the part of requests that must get their whole answer.
+// servedShare is the share of requests that must get their complete answer.
 const servedShare = 0.999
 
-// watchConfiguration follows the published configuration until ctx ends.
+// watchConfiguration watches the published configuration until ctx ends.
 func (e *Entry) watchConfiguration(ctx context.Context) error {
 	watcher := beechmanifest.NewWatcher(e.store, e.holder, e.clock, beechmanifest.WatcherSettings{
 		Watching: e.isWatcher,
@@ -41,8 +41,8 @@
 	return watcher.Serve(ctx)
 }
 
-// isWatcher tells whether this entry is one of its zone's watchers. Without a
-// configuration it always watches.
+// isWatcher reports whether this entry is one of its zone's watchers. Without a
+// configuration it always is.
 func (e *Entry) isWatcher() bool {
 	if e.holder.Current() == nil {
 		return true
@@ -57,8 +57,8 @@
 	return beechmanifest.IsWatcher(self, live, watchersPerZone)
 }
 
-// applyConfigurations puts what a new configuration says into the limits, until
-// ctx ends.
+// applyConfigurations applies each new configuration to the limits, the router
+// and the objectives until ctx ends.
 func (e *Entry) applyConfigurations(ctx context.Context) error {
 	for {
 		changed := e.holder.Changed()
@@ -89,8 +89,8 @@
 	e.log.Info("configuration in force", beechlog.Generation(c.Generation))
 }
 
-// pullIfNewer fetches a configuration that an agent has and this entry has
-// not. It must not block: it is called from link events.
+// pullIfNewer fetches the configuration from an agent whose generation is newer
+// than this entry's. It must not block: it is called from link events.
 func (e *Entry) pullIfNewer(agent netip.AddrPort, generation uint64) {
 	if generation <= e.holder.Generation() {
 		return
@@ -102,7 +102,7 @@
 	}()
 }
 
-// pull asks an agent for a newer configuration and puts it in force.
+// pull fetches a newer configuration from an agent and applies it.
 func (e *Entry) pull(ctx context.Context, agent netip.AddrPort) {
 	var got beechwire.Configuration
 	ask := &beechwire.ConfigurationAsk{Have: e.holder.Generation()}
@@ -118,14 +118,14 @@
 	}
 }
 
-// Answer implements beechlink.Caller: the questions of agents.
+// Answer implements beechlink.Caller: it answers the calls of agents.
 func (e *Entry) Answer(_ context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
 	if method != beechwire.MethodConfiguration {
 		return nil, fmt.Errorf("no such method: %s", method)
 	}
 	var ask beechwire.ConfigurationAsk
 	if _, err := ask.UnmarshalMsg(payload); err != nil {
-		return nil, fmt.Errorf("read question of %s: %w", p.Address, err)
+		return nil, fmt.Errorf("decode configuration request of %s: %w", p.Address, err)
 	}
 	generation, data := e.holder.Encoded()
 	reply := beechwire.Configuration{Generation: generation}
--- a/internal/process/beechentry/dispatch.go
+++ b/internal/process/beechentry/dispatch.go
@@ -16,67 +16,68 @@
 
 type (
 	// attemptResult is how one attempt ended: completed, refused, interrupted,
-	// stale, expired, unreachable or callerLeft.
+	// stale, expired, unreachable or callerGone.
 	attemptResult interface{ attemptResult() }
 
-	// completed is an answer that was given to its end.
+	// completed: the whole answer was sent to the caller.
 	completed struct{}
 
-	// refused was not run.
+	// refused: the agent did not run the request.
 	refused struct{ beechwire.Refused }
 
-	// interrupted was begun, or may have been.
+	// interrupted: the request started, or may have started, and did not finish.
 	interrupted struct {
 		ran     string
 		crashed bool
 		reason  string
 	}
 
-	// stale was refused, not run, since the agent has a newer configuration.
+	// stale: refused without running, since the agent has a newer
+	// configuration.
 	stale struct{}
 
-	// expired is a generation to be joined that is not kept any more.
+	// expired: the generation to be joined is no longer kept by its agent.
 	expired struct{}
 
-	// unreachable is a generation to be joined whose agent cannot be asked now.
-	// It may well be kept there.
+	// unreachable: the agent of the generation to be joined cannot be reached now.
+	// The generation may still be kept there.
 	unreachable struct{}
 
-	// callerLeft is a caller that went away.
-	callerLeft struct{}
+	// callerGone: the caller disconnected or its deadline passed.
+	callerGone struct{}
 )
 
 const (
-	// reattachTime is how long a lost link is waited for before the answer is
-	// sought elsewhere. An agent that is alive is linked again within it.
-	reattachTime  = 1200 * time.Millisecond
-	reattachPause = 20 * time.Millisecond
-	maxIdleJoins  = 3
-	maxStale      = 5
+	// reattachTimeout bounds the wait for a lost link before the answer is sought
+	// elsewhere. An agent that is alive reconnects within it.
+	reattachTimeout    = 1200 * time.Millisecond
+	reattachPause      = 20 * time.Millisecond
+	maxEmptyReattaches = 3
+	maxStaleRetries    = 5
 )
 
-// execute runs a job's attempts until one gives the whole answer. What it
-// returns is what the caller is told instead.
+// execute runs attempts until one gives the whole answer. Otherwise it returns
+// the failure to report to the caller.
 func (e *Entry) execute(ctx context.Context, j *job) *failure {
 	if f := e.prepare(ctx, j); f != nil {
 		return f
 	}
 	if j.recorded != nil {
-		return e.writeRecorded(j)
+		return e.replayRecorded(j)
 	}
 	f := e.runAttempts(ctx, j)
 	switch {
 	case f == nil:
 	case f.Ran == beechwire.RanNo:
-		e.giveBack(j)
+		e.releaseKey(j)
 	case j.request.Claim == "":
-	case j.unfollowed && j.sentTo.agent.IsValid():
-		// The caller's answer is still written from j: without a copy the error
-		// that it is due would go to the writer that nobody reads.
-		later := *j
-		e.background.Go(func() { e.settleLater(&later) })
+	case j.outcomePending && j.sentTo.agent.IsValid():
+		// The caller's error response is still written through j.writer;
+		// recordOutcomeLater replaces the writer, so it gets a copy of the job.
+		followed := *j
+		e.background.Go(func() { e.recordOutcomeLater(&followed) })
 	default:
-		e.background.Go(func() { e.abandon(j) })
+		e.background.Go(func() { e.recordUnknownOutcome(j) })
 	}
 	return f
 }
@@ -87,28 +88,30 @@
 	for {
 		j.request.Attempt++
 		server, result := e.attempt(ctx, j)
-		if _, isStale := result.(stale); isStale && staleCount < maxStale {
+		if _, isStale := result.(stale); isStale && staleCount < maxStaleRetries {
 			staleCount++
-			if f := e.readmit(ctx, j, server); f != nil {
+			if f := e.refreshConfiguration(ctx, j, server); f != nil {
 				return j.withRan(f)
 			}
 			continue
 		}
-		again, f := e.judge(ctx, j, server, result)
+		again, f := e.decideNext(ctx, j, server, result)
 		if !again {
 			return f
 		}
 	}
 }
 
-// attempt sends the job to one server, or joins the generation it is to join.
-// What comes before is in functions of its own: this frame and those below it
-// stay on the stack of every open stream. With some hundred bytes more on them
-// the runtime keeps 16 KB for each stream's stack where 8 KB are enough, since
-// it halves a stack only while less than a quarter of it is in use.
+// attempt sends the job to one server, or joins the generation in j.joinTarget.
+//
+// The steps before it are in functions that are not inlined, because this frame
+// and those below it stay on the stack of every open stream. A few hundred
+// bytes more make the runtime keep a stack of 16 KB instead of 8 KB for each
+// stream, since it halves a stack only while less than a quarter of it is in
+// use.
 func (e *Entry) attempt(ctx context.Context, j *job) (netip.AddrPort, attemptResult) {
-	if j.attach != nil {
-		return e.joinPlaced(ctx, j)
+	if j.joinTarget != nil {
+		return e.joinGeneration(ctx, j)
 	}
 	candidate, result := e.candidate(j)
 	if result != nil {
@@ -118,14 +121,15 @@
 }
 
 //go:noinline
-func (e *Entry) joinPlaced(ctx context.Context, j *job) (netip.AddrPort, attemptResult) {
-	target := *j.attach
-	j.attach = nil
+func (e *Entry) joinGeneration(ctx context.Context, j *job) (netip.AddrPort, attemptResult) {
+	target := *j.joinTarget
+	j.joinTarget = nil
 	j.sentTo = target
 	return target.agent, e.join(ctx, j, target)
 }
 
-// candidate is the server to send the job to, or why there is none.
+// candidate returns the server to send the job to, or the result if there is
+// none.
 //
 //go:noinline
 func (e *Entry) candidate(j *job) (*beechroute.Candidate, attemptResult) {
@@ -144,7 +148,8 @@
 	}}
 }
 
-// checkSuspect refuses a request that keeps crashing engines.
+// checkSuspect refuses a request that keeps crashing engines, or marks it to
+// run alone.
 func (e *Entry) checkSuspect(j *job) attemptResult {
 	j.request.Alone = false
 	switch v := e.suspects.Check(j.request.Fingerprint).(type) {
@@ -166,15 +171,15 @@
 	return 0
 }
 
-// choose takes the best ranked server whose link is up, or nil. A refusal's
-// hint goes first.
+// choose returns the best ranked server whose link is up, or nil. The server
+// that an earlier refusal recommended is preferred.
 func (e *Entry) choose(j *job) *beechroute.Candidate {
 	choice := e.fleet.router.Choose(j.routeRequest())
 	if len(choice.Ranked) == 0 && len(j.tried) > 0 {
 		j.tried = nil
 		choice = e.fleet.router.Choose(j.routeRequest())
 	}
-	j.reachable = leastUncached(choice.Ranked)
+	j.minUncached = minUncachedTokens(choice.Ranked)
 	var best *beechroute.Candidate
 	for i := range choice.Ranked {
 		c := &choice.Ranked[i]
@@ -194,7 +199,7 @@
 	return client != nil && client.Ready()
 }
 
-func leastUncached(ranked []beechroute.Candidate) int {
+func minUncachedTokens(ranked []beechroute.Candidate) int {
 	if len(ranked) == 0 {
 		return 0
 	}
@@ -205,27 +210,27 @@
 	return least
 }
 
-// send opens a stream to the server and follows it.
+// send opens a stream to the server and relays the answer.
 func (e *Entry) send(ctx context.Context, j *job, candidate *beechroute.Candidate) attemptResult {
 	client := e.fleet.client(candidate.Server)
 	if client == nil {
-		return refusedByDown()
+		return refusedLinkDown()
 	}
 	defer e.fleet.router.RecordFinish(candidate.Server)
 	stream, result := e.open(ctx, j, client, candidate)
 	if result != nil {
 		return result
 	}
-	return e.follow(ctx, j, client, candidate.Server, stream)
+	return e.relay(ctx, j, client, candidate.Server, stream)
 }
 
 //go:noinline
-func refusedByDown() attemptResult {
+func refusedLinkDown() attemptResult {
 	return refused{beechwire.Refused{Reason: beechwire.ReasonServer}}
 }
 
 func (e *Entry) open(ctx context.Context, j *job, client *beechlink.Client, candidate *beechroute.Candidate) (beechlink.Stream, attemptResult) {
-	j.startOver()
+	j.resetForAttempt()
 	j.request.DeadlineMillis = j.remaining(time.Now())
 	j.request.Resume = string(j.text)
 	j.request.ResumeSequence = j.sequence
@@ -234,17 +239,17 @@
 	if err != nil {
 		return nil, e.openFailure(ctx, err)
 	}
-	j.sentTo = placed{agent: candidate.Server, incarnation: stream.Peer().Incarnation, requestID: j.request.ID}
-	e.place(j, candidate.Server)
+	j.sentTo = generationRef{agent: candidate.Server, incarnation: stream.Peer().Incarnation, requestID: j.request.ID}
+	e.recordPlacement(j, candidate.Server)
 	return stream, nil
 }
 
-// openFailure tells what an error of Open means: nothing was sent.
+// openFailure converts an error of Open, after which nothing was sent.
 func (e *Entry) openFailure(ctx context.Context, err error) attemptResult {
 	if ctx.Err() != nil {
-		return callerLeft{}
+		return callerGone{}
 	}
-	e.log.Info("stream not opened", beechlog.Step("open"), zap.Error(err))
+	e.log.Info("could not open a stream to the agent", beechlog.Step("open"), zap.Error(err))
 	return refused{beechwire.Refused{Reason: beechwire.ReasonServer, Message: "the link is down"}}
 }
 
@@ -254,4 +259,4 @@
 func (stale) attemptResult()       {}
 func (expired) attemptResult()     {}
 func (unreachable) attemptResult() {}
-func (callerLeft) attemptResult()  {}
+func (callerGone) attemptResult()  {}
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -34,16 +34,16 @@
 )
 
 type (
-	// Dependencies are what an entry needs from outside.
+	// Dependencies are the external services and credentials that an entry uses.
 	Dependencies struct {
 		Clock   clockwork.Clock
 		Log     *zap.Logger
 		Store   beechstore.Store
-		LinkTLS *tls.Config // nil without TLS on links
-		TLS     *tls.Config // nil without TLS towards callers
+		LinkTLS *tls.Config // nil: links are not encrypted
+		TLS     *tls.Config // nil: callers are served without TLS
 	}
 
-	// Entry is the process on an entry host. Make one with New.
+	// Entry is the process on an entry host. Create one with New.
 	Entry struct {
 		settings    *beechsettings.Entry
 		clock       clockwork.Clock
@@ -60,36 +60,36 @@
 		burn      *beechburn.Burn
 		signer    *streamSigner
 		estimator beechprefix.Estimator
-		numbers   counters
-
-		http       *http.Server
-		listener   net.Listener
-		supervisor *suture.Supervisor
-		leaving    atomic.Bool
-		restored   atomic.Bool // what other entries left with agents was asked for
-		streams    atomic.Int64
-		background sync.WaitGroup // outcomes that are followed for callers that left
+		counters  counters
+
+		http         *http.Server
+		listener     net.Listener
+		supervisor   *suture.Supervisor
+		draining     atomic.Bool
+		restored     atomic.Bool // the start-up restore of shared state has run, successfully or not
+		openRequests atomic.Int64
+		background   sync.WaitGroup // work that outlives its request: claims, outcomes, owner notifications
 	}
 )
 
 const (
-	drainLimit     = 10 * time.Minute
-	balancerNotice = 500 * time.Millisecond
-	idleTimeout    = 2 * time.Minute
-	requestIDBytes = 12
-	retryPercent   = 20
-	spareRetries   = 20
-	maxAttempts    = 4
-	firstBackoff   = 20 * time.Millisecond
-	maxBackoff     = 500 * time.Millisecond
-	limitBurst     = 10 * time.Second
-	limitSettle    = 10 * time.Second
-	maxEjected     = 30 // percent
-	healthInterval = time.Second
+	drainTimeout      = 10 * time.Minute
+	drainDelay        = 500 * time.Millisecond
+	idleTimeout       = 2 * time.Minute
+	requestIDBytes    = 12
+	retryPercent      = 20
+	retryReserve      = 20
+	maxAttempts       = 4
+	baseBackoff       = 20 * time.Millisecond
+	maxBackoff        = 500 * time.Millisecond
+	limitBurst        = 10 * time.Second
+	limitGrowthDelay  = 10 * time.Second
+	maxEjectedPercent = 30
+	healthInterval    = time.Second
 )
 
-// New makes an entry and opens its listeners, so that an address that is taken
-// is an error here. Its goroutines run from Serve on.
+// New creates an entry and opens its listeners, so that an address already in
+// use is reported here. Its goroutines start in Serve.
 func New(settings *beechsettings.Entry, d Dependencies) (*Entry, error) {
 	listener, err := net.Listen("tcp", settings.Listen.String())
 	if err != nil {
@@ -105,11 +105,11 @@
 		store:       d.Store,
 		incarnation: uint64(d.Clock.Now().UnixNano()),
 		holder:      beechmanifest.NewHolder(),
-		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, GrowthDelay: limitSettle}, d.Clock),
+		limiter:     beechlimit.New(beechlimit.Settings{Burst: limitBurst, GrowthDelay: limitGrowthDelay}, d.Clock),
 		budget: beechretry.New(beechretry.Settings{
-			RetryPercent: retryPercent, Reserve: spareRetries, MaxAttempts: maxAttempts, BaseBackoff: firstBackoff, MaxBackoff: maxBackoff,
+			RetryPercent: retryPercent, Reserve: retryReserve, MaxAttempts: maxAttempts, BaseBackoff: baseBackoff, MaxBackoff: maxBackoff,
 		}, d.Clock, randv2.NewPCG(randv2.Uint64(), randv2.Uint64())),
-		health:   beechhealth.New(beechhealth.Settings{MaxEjectedPercent: maxEjected}, d.Clock),
+		health:   beechhealth.New(beechhealth.Settings{MaxEjectedPercent: maxEjectedPercent}, d.Clock),
 		suspects: beechsuspect.New(beechsuspect.Settings{}, d.Clock),
 		burn:     beechburn.New(beechburn.Settings{}, d.Clock),
 		signer:   newStreamSigner(settings.Secret),
@@ -127,11 +127,11 @@
 		listener.Close()
 		return nil, err
 	}
-	e.warnOpen(d)
+	e.warnWithoutTLS(d)
 	return e, nil
 }
 
-// supervise lists every goroutine that lives as long as the entry.
+// supervise registers every goroutine that lives as long as the entry.
 func (e *Entry) supervise() error {
 	admin, err := e.newAdmin()
 	if err != nil {
@@ -144,13 +144,13 @@
 	e.supervisor.Add(beechtask.Task{Name: "apply configuration", Run: e.applyConfigurations})
 	e.supervisor.Add(beechtask.Task{Name: "members", Run: e.watchMembers})
 	e.supervisor.Add(beechtask.Task{Name: "health", Run: e.tickHealth})
-	e.supervisor.Add(beechtask.Task{Name: "cache changes", Run: e.followCaches})
+	e.supervisor.Add(beechtask.Task{Name: "cache changes", Run: e.watchCaches})
 	e.supervisor.Add(beechtask.Task{Name: "share", Run: e.shareState})
 	return nil
 }
 
-// Serve runs the entry until ctx ends. Then it stops being ready, finishes
-// every request and returns nil.
+// Serve runs the entry until ctx ends. It then reports itself as not ready,
+// finishes the open requests and returns nil.
 func (e *Entry) Serve(ctx context.Context) error {
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -158,7 +158,7 @@
 	supervised := e.supervisor.ServeBackground(inner)
 	served := make(chan error, 1)
 	go func() { served <- e.http.Serve(e.listener) }()
-	e.log.Info("entry serves", zap.Stringer("listen", e.listener.Addr()), zap.Uint64("incarnation", e.incarnation))
+	e.log.Info("entry started", zap.Stringer("listen", e.listener.Addr()), zap.Uint64("incarnation", e.incarnation))
 
 	var err error
 	select {
@@ -169,19 +169,19 @@
 	stop()
 	<-supervised
 	e.fleet.close()
-	e.log.Info("entry ended", zap.Error(err))
+	e.log.Info("entry stopped", zap.Error(err))
 	return err
 }
 
-// drain lets every request end. The platform's balancer sees that the entry is
-// not ready and is given a moment to stop sending; what it sends meanwhile is
-// still served.
+// drain waits for the open requests to finish. The platform's load balancer is
+// given drainDelay to see that the entry is not ready; requests that it still
+// sends in that time are served.
 func (e *Entry) drain() error {
-	e.leaving.Store(true)
+	e.draining.Store(true)
 	e.fleet.dialer.Push()
-	e.log.Info("entry leaves", beechlog.Step("drain"))
-	e.clock.Sleep(balancerNotice)
-	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
+	e.log.Info("entry draining", beechlog.Step("drain"))
+	e.clock.Sleep(drainDelay)
+	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
 	defer cancel()
 	if err := e.http.Shutdown(ctx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("drain: %w", err)
@@ -191,11 +191,11 @@
 }
 
 func (e *Entry) ready() bool {
-	return !e.leaving.Load() && e.restored.Load() && e.holder.Current() != nil && e.fleet.linked() > 0
+	return !e.draining.Load() && e.restored.Load() && e.holder.Current() != nil && e.fleet.countUp() > 0
 }
 
-// tickHealth lets the health tracker judge servers that nobody sends to, until
-// ctx ends.
+// tickHealth runs the health tracker's periodic evaluation until ctx ends, so
+// that servers without traffic are evaluated too.
 func (e *Entry) tickHealth(ctx context.Context) error {
 	return beechtask.Every(ctx, e.clock, healthInterval, e.health.Tick)
 }
@@ -212,13 +212,14 @@
 	}
 }
 
-// warnOpen says what listens beyond loopback without TLS.
-func (e *Entry) warnOpen(d Dependencies) {
+// warnWithoutTLS logs a warning for traffic beyond loopback that is not
+// encrypted.
+func (e *Entry) warnWithoutTLS(d Dependencies) {
 	if d.TLS == nil && !e.settings.Listen.Addr().IsLoopback() {
-		e.log.Warn("callers are served beyond loopback without TLS", zap.Stringer("listen", e.settings.Listen))
+		e.log.Warn("listening beyond loopback without TLS", zap.Stringer("listen", e.settings.Listen))
 	}
 	if d.LinkTLS == nil && !e.settings.Listen.Addr().IsLoopback() {
-		e.log.Warn("links run beyond loopback without TLS")
+		e.log.Warn("links to agents beyond loopback without TLS")
 	}
 }
 
--- a/internal/process/beechentry/failure.go
+++ b/internal/process/beechentry/failure.go
@@ -11,8 +11,9 @@
 )
 
 type (
-	// failure is what a caller is told instead of an answer: OpenAI's error
-	// object with one field more. Ran is "no" only where that is proved.
+	// failure is the error reported to a caller: OpenAI's error object with the
+	// additional field "ran". Ran is "no" only if the request is known not to have
+	// run.
 	failure struct {
 		Status  int
 		Type    string
@@ -20,8 +21,8 @@
 		Message string
 		Param   string
 		Ran     string
-		After   time.Duration // when to come back; 0 is not known
-		Joins   bool          // the same request sent again joins the run that there was
+		After   time.Duration // suggested delay before a retry; 0: unknown
+		Joins   bool          // the same request sent again joins the existing run
 	}
 
 	errorBody struct {
@@ -37,7 +38,7 @@
 	}
 )
 
-// Types of OpenAI's error object.
+// Error types of OpenAI's error object.
 const (
 	typeInvalid    = "invalid_request_error"
 	typeKey        = "authentication_error"
@@ -51,7 +52,7 @@
 	return fmt.Sprintf("%s (%s, ran: %s)", f.Message, f.Code, f.Ran)
 }
 
-// notRun is a failure before anything ran.
+// notRun is a failure of a request that did not run.
 func notRun(status int, kind, code, format string, arguments ...any) *failure {
 	return &failure{
 		Status: status, Type: kind, Code: code, Ran: beechwire.RanNo,
@@ -59,8 +60,9 @@
 	}
 }
 
-// busy is a refusal that says when to come back.
-func busy(status int, code string, after time.Duration, format string, arguments ...any) *failure {
+// retryLater is a failure of a request that did not run, with the delay before
+// a retry.
+func retryLater(status int, code string, after time.Duration, format string, arguments ...any) *failure {
 	kind := typeServer
 	if status == http.StatusTooManyRequests {
 		kind = typeRate
@@ -82,15 +84,15 @@
 	return data
 }
 
-// write sends the failure as the whole HTTP answer.
+// write sends the failure as the complete HTTP response.
 func (f *failure) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	if f.After > 0 {
 		header.Set("Retry-After", fmt.Sprint(int(math.Ceil(f.After.Seconds()))))
 	}
-	// Official client libraries repeat on 409, 429 and 5xx by themselves. Where
-	// the request ran or may have, a repeat by habit could run it twice.
+	// Official client libraries retry on 409, 429 and 5xx on their own. If the
+	// request ran or may have run, an automatic retry could run it twice.
 	if f.Ran != beechwire.RanNo && !f.Joins {
 		header.Set("X-Should-Retry", "false")
 	}
--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -21,36 +21,38 @@
 )
 
 type (
-	// fleet is what the entry knows of the agents: its links, their last word,
-	// and the router over them. All of it may be stale; agents correct it.
+	// fleet is the entry's view of the agents: its links, their latest reports,
+	// and the router over them. It may be stale; agents correct it in their
+	// replies.
 	fleet struct {
 		entry   *Entry
 		dialer  *beechlink.Dialer
 		members *beechmember.Members
 		router  *beechroute.Router
 
-		mu      sync.Mutex
-		links   map[netip.AddrPort]*agentLink
-		models  map[string][]string // weights offered of a model, by name
-		targets map[string]bool     // that the health tracker knows
+		mu             sync.Mutex
+		links          map[netip.AddrPort]*agentLink
+		weightsByModel map[string][]string // versions of the weights that are offered, by model
+		targets        map[string]bool     // registered with the health tracker
 	}
 
-	// agentLink is the link to one agent and what it said last.
+	// agentLink is the link to one agent and the agent's latest report.
 	agentLink struct {
-		client      *beechlink.Client
-		zone        string
-		incarnation uint64
-		up          bool
-		entries     int
-		offers      []string
-		known       uint64 // version of the engine's cache that the router has
-		told        uint64 // newest version that the agent spoke of
+		client               *beechlink.Client
+		zone                 string
+		incarnation          uint64
+		up                   bool
+		entryHosts           int
+		offers               []string
+		cacheVersion         uint64 // version of the engine's cache that the router knows
+		reportedCacheVersion uint64 // latest version that the agent reported
 	}
 )
 
 const (
-	// maxRemoteLinks bounds links to other zones' agents, which serve only to
-	// spill: with thousands of engines an entry must not link to all.
+	// maxRemoteLinks bounds the links to agents of other zones, which are used
+	// only for overflow: with thousands of engines an entry must not connect to
+	// all.
 	maxRemoteLinks = 32
 
 	callTimeout = time.Second
@@ -58,10 +60,10 @@
 
 func newFleet(e *Entry, linkTLS *tls.Config) *fleet {
 	f := &fleet{
-		entry:   e,
-		members: beechmember.New(e.clock, beechmember.Settings{}),
-		links:   map[netip.AddrPort]*agentLink{},
-		models:  map[string][]string{},
+		entry:          e,
+		members:        beechmember.New(e.clock, beechmember.Settings{}),
+		links:          map[netip.AddrPort]*agentLink{},
+		weightsByModel: map[string][]string{},
 	}
 	f.router = beechroute.New(beechroute.Settings{Zone: e.settings.Zone}, e.clock,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), e.health)
@@ -71,7 +73,7 @@
 
 func (f *fleet) close() { f.dialer.Close() }
 
-// linkSeeds dials the agents named in the settings.
+// linkSeeds connects to the agents named in the settings.
 func (f *fleet) linkSeeds() {
 	for _, seed := range f.entry.settings.Seeds {
 		f.link(seed, "")
@@ -90,8 +92,9 @@
 	f.links[address] = &agentLink{client: f.dialer.Dial(address), zone: zone}
 }
 
-// setHosts takes the platform's list, which lags, and links to the agents that
-// this entry should know. A link that is up stays, whatever the list says.
+// setHosts applies the platform's host list, which lags behind, and connects to
+// the agents that this entry should know. A link that is up is kept, whatever
+// the list says.
 func (f *fleet) setHosts(hosts []beechstore.Host) {
 	f.members.Listed(hosts)
 	wanted := f.wantedAgents(hosts)
@@ -123,7 +126,8 @@
 	return wanted
 }
 
-// dropUnwanted closes links that are down and no longer asked for.
+// dropUnwanted closes links that are down and whose agent is neither wanted nor
+// a seed.
 func (f *fleet) dropUnwanted(wanted []beechstore.Host) {
 	var closing []*beechlink.Client
 	f.mu.Lock()
@@ -152,8 +156,8 @@
 	l.up = true
 	l.zone = p.Zone
 	l.offers = nil
-	l.known = 0
-	l.told = 0
+	l.cacheVersion = 0
+	l.reportedCacheVersion = 0
 	old := l.incarnation
 	l.incarnation = p.Incarnation
 	f.mu.Unlock()
@@ -161,7 +165,7 @@
 		f.router.ForgetCache(p.Address, old)
 	}
 	f.members.Met(p.Address, p.Incarnation)
-	f.entry.log.Info("agent linked", beechlog.Peer(p.Address), zap.Uint64("incarnation", p.Incarnation))
+	f.entry.log.Info("link to agent up", beechlog.Peer(p.Address), zap.Uint64("incarnation", p.Incarnation))
 	f.entry.pullIfNewer(p.Address, p.Generation)
 	f.rebuild()
 }
@@ -174,7 +178,7 @@
 	}
 	f.mu.Unlock()
 	f.members.Lost(p.Address, p.Incarnation)
-	f.entry.log.Info("agent lost", beechlog.Peer(p.Address), zap.Error(err))
+	f.entry.log.Info("link to agent down", beechlog.Peer(p.Address), zap.Error(err))
 	f.rebuild()
 }
 
@@ -186,12 +190,12 @@
 		f.mu.Unlock()
 		return
 	}
-	l.entries = h.Entries
+	l.entryHosts = h.Entries
 	changed := !slices.Equal(l.offers, h.Models)
 	l.offers = h.Models
 	f.mu.Unlock()
 	f.members.Said(p.Address, h.Incarnation, h.Leaving)
-	f.report(p.Address, h.Load)
+	f.recordLoad(p.Address, h.Load)
 	f.entry.suspects.Merge(beechshare.SuspectRecords(h.Suspects))
 	f.entry.pullIfNewer(p.Address, h.Generation)
 	if changed || h.Leaving {
@@ -204,20 +208,20 @@
 	return beechwire.Heartbeat{
 		Incarnation: f.entry.incarnation,
 		Generation:  f.entry.holder.Generation(),
-		Leaving:     f.entry.leaving.Load(),
+		Leaving:     f.entry.draining.Load(),
 		Ready:       f.entry.ready(),
 		Suspects:    beechshare.WireSuspects(f.entry.suspects.RecentChanges()),
 	}
 }
 
-// report takes in an agent's word on its load, and that its engine's cache may
-// have changed.
-func (f *fleet) report(agent netip.AddrPort, load beechwire.Load) {
+// recordLoad applies an agent's load report, which also tells whether its
+// engine's cache has changed.
+func (f *fleet) recordLoad(agent netip.AddrPort, load beechwire.Load) {
 	f.router.UpdateLoad(agent, routeLoad(load))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l := f.links[agent]; l != nil {
-		l.told = load.Cache
+		l.reportedCacheVersion = load.Cache
 	}
 }
 
@@ -232,15 +236,15 @@
 	}
 }
 
-// weights gives the version of a model to serve: the wanted one, or while no
-// server has loaded it yet the one that is being replaced, so that the model
-// keeps serving.
-func (f *fleet) weights(model, wanted string) string {
+// servedWeights returns the version of a model's weights to use: the configured
+// one, or, while no server has loaded it yet, one that is being replaced, so
+// that the model remains available.
+func (f *fleet) servedWeights(model, configured string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	offered := f.models[model]
-	if len(offered) == 0 || slices.Contains(offered, wanted) {
-		return wanted
+	offered := f.weightsByModel[model]
+	if len(offered) == 0 || slices.Contains(offered, configured) {
+		return configured
 	}
 	return slices.Max(offered)
 }
@@ -254,8 +258,8 @@
 	return nil
 }
 
-// linked counts the agents that can be reached now.
-func (f *fleet) linked() int {
+// countUp returns the number of agents whose link is up.
+func (f *fleet) countUp() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -267,15 +271,16 @@
 	return count
 }
 
-// known counts the agents that there are links to, up or not.
-func (f *fleet) known() int {
+// countLinks returns the number of links, up or not.
+func (f *fleet) countLinks() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.links)
 }
 
-// serving counts the agents that offer something now.
-func (f *fleet) serving() int {
+// countServing returns the number of linked agents that offer at least one
+// model or service.
+func (f *fleet) countServing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -287,7 +292,7 @@
 	return count
 }
 
-// reachable lists the agents that can be reached now, sorted.
+// reachable returns the addresses of the agents whose link is up, sorted.
 func (f *fleet) reachable() []netip.AddrPort {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,13 +306,13 @@
 	return out
 }
 
-// call asks one agent one question.
-func (f *fleet) call(ctx context.Context, address netip.AddrPort, method string, ask marshaler, reply unmarshaler) error {
+// call sends one call to an agent and decodes its reply, if reply is not nil.
+func (f *fleet) call(ctx context.Context, address netip.AddrPort, method string, request marshaler, reply unmarshaler) error {
 	client := f.client(address)
 	if client == nil {
 		return &beechlink.OpenError{Peer: address, Err: beechlink.ErrDown}
 	}
-	payload, err := ask.MarshalMsg(nil)
+	payload, err := request.MarshalMsg(nil)
 	if err != nil {
 		return err
 	}
@@ -319,7 +324,8 @@
 	return err
 }
 
-// incarnation is that of the agent linked now, or 0.
+// incarnation returns the incarnation of the agent at address as of its last
+// link, or 0.
 func (f *fleet) incarnation(address netip.AddrPort) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/process/beechentry/job.go
+++ b/internal/process/beechentry/job.go
@@ -11,7 +11,7 @@
 )
 
 type (
-	// job is one caller's request on its way through the entry.
+	// job is one caller's request and its state while the entry handles it.
 	job struct {
 		configuration *beechmanifest.Configuration
 		workspace     *beechmanifest.Workspace
@@ -19,39 +19,39 @@
 		chain         beechprefix.Chain
 		request       beechwire.Request
 		body          []byte
-		callSum       []byte // what repeats under the idempotency key must share
+		callHash      []byte // must be equal for repeats under the idempotency key
 		timeout       time.Duration
-		deadline      time.Time // zero is none
-		began         time.Time
+		deadline      time.Time // zero: none
+		startedAt     time.Time
 		lastEventID   string
-		resumable     bool // the text so far is all an engine needs to go on
+		resumable     bool // an engine can continue from the text so far alone
 		writer        answerWriter
 
-		// what the attempts have brought
-		attach     *placed                // join this generation first
-		recorded   *beechwire.ClaimAnswer // the outcome of an earlier run, to be given again
-		tried      []netip.AddrPort
-		preferred  netip.AddrPort
-		sequence   uint64 // of the last piece taken
-		text       []byte // given so far, for a resume
-		ended      bool   // the finish reason was given
-		firstToken time.Duration
-		usage      beechwire.Usage
-		reachable  int    // least uncached tokens predicted at any candidate
-		sentTo     placed // by this attempt; none where nothing was sent
-		unfollowed bool   // its caller left, or its link was lost, before its end
-		ran        string // what is known of earlier attempts; empty is nothing
+		// state carried from attempt to attempt
+		joinTarget       *generationRef         // generation to join in the next attempt
+		recorded         *beechwire.ClaimAnswer // outcome of an earlier run, to be replayed
+		tried            []netip.AddrPort
+		preferred        netip.AddrPort
+		sequence         uint64 // of the last piece received
+		text             []byte // received so far, for a resume
+		finishReasonSeen bool
+		firstToken       time.Duration
+		usage            beechwire.Usage
+		minUncached      int           // fewest uncached tokens predicted at any candidate
+		sentTo           generationRef // by this attempt; zero if nothing was sent
+		outcomePending   bool          // the caller left or the link was lost before the answer ended
+		ran              string        // whether earlier attempts ran; empty: nothing is known
 	}
 
-	// placed names a generation at an agent.
-	placed struct {
+	// generationRef identifies a generation at an agent.
+	generationRef struct {
 		agent       netip.AddrPort
 		incarnation uint64
 		requestID   string
 	}
 )
 
-// routeRequest puts the job into the router's terms.
+// routeRequest converts the job for the router.
 func (j *job) routeRequest() beechroute.Request {
 	return beechroute.Request{
 		Model:        j.target(),
@@ -62,7 +62,7 @@
 	}
 }
 
-// target is what a server must offer to run the job.
+// target names what a server must offer to run the job.
 func (j *job) target() string {
 	if j.request.Service != "" {
 		return beechwire.ServiceTarget(j.request.Service)
@@ -78,8 +78,8 @@
 	return out
 }
 
-// remaining is what is left of the caller's deadline in milliseconds; 0 is no
-// deadline.
+// remaining returns the milliseconds left until the caller's deadline, at least
+// 1; 0 means no deadline.
 func (j *job) remaining(now time.Time) int64 {
 	if j.deadline.IsZero() {
 		return 0
@@ -87,17 +87,17 @@
 	return max(1, j.deadline.Sub(now).Milliseconds())
 }
 
-// missesText tells whether the caller has events of an earlier answer whose text
-// is not known here.
-func (j *job) missesText() bool {
+// lacksEarlierText reports whether the caller has events of an earlier answer
+// whose text is not known here.
+func (j *job) lacksEarlierText() bool {
 	s, streamed := j.writer.(*streamWriter)
-	return streamed && s.skip > 0 && (!j.resumable || j.sequence < s.skip)
+	return streamed && s.skipThrough > 0 && (!j.resumable || j.sequence < s.skipThrough)
 }
 
-// startOver prepares for another attempt: a resumable answer goes on after what
-// the caller has, any other is given from its beginning.
-func (j *job) startOver() {
-	j.sentTo = placed{}
+// resetForAttempt prepares for another attempt: a resumable answer continues
+// after what the caller has, any other starts from its beginning.
+func (j *job) resetForAttempt() {
+	j.sentTo = generationRef{}
 	j.writer.restart()
 	if !j.resumable {
 		j.sequence = 0
--- a/internal/process/beechentry/offers.go
+++ b/internal/process/beechentry/offers.go
@@ -8,28 +8,29 @@
 	"github.com/beechring/beechring/internal/decision/beechroute"
 )
 
-// rebuild gives the router and the health tracker the servers that may be
-// chosen now.
+// rebuild updates the router and the health tracker with the servers that may
+// be chosen now.
 func (f *fleet) rebuild() {
 	members := f.members.Members()
 	f.mu.Lock()
-	offered := newOffers()
+	offered := newServerOffers()
 	for _, m := range members {
 		if m.Usable {
-			f.offer(offered, m.Host.Address)
+			f.addOffers(offered, m.Host.Address)
 		}
 	}
-	// A server whose link flaps is left out for a while, unless nobody else
-	// offers what it does: its callers would be refused for no gain.
+	// A server whose link flaps is excluded for a while, unless no other server
+	// offers the same: excluding it then would only make its callers' requests
+	// fail.
 	for _, m := range members {
-		if !m.Usable && m.Linked && !m.Leaving && f.onlyHere(offered, m.Host.Address) {
-			f.offer(offered, m.Host.Address)
+		if !m.Usable && m.Linked && !m.Leaving && f.isOnlyProvider(offered, m.Host.Address) {
+			f.addOffers(offered, m.Host.Address)
 		}
 	}
-	f.models = offered.weights
+	f.weightsByModel = offered.weightsByModel
 	entries := 1
 	for _, l := range f.links {
-		entries = max(entries, l.entries)
+		entries = max(entries, l.entryHosts)
 	}
 	f.mu.Unlock()
 	f.router.SetServers(offered.servers)
@@ -37,8 +38,9 @@
 	f.entry.limiter.SetEntryHosts(entries)
 }
 
-// setTargets names each target's servers to the health tracker, which compares
-// a server with its peers, and forgets the targets that nobody offers any more.
+// setTargets registers each target's servers with the health tracker, which
+// compares a server with its peers, and removes targets that no server offers
+// any more.
 func (f *fleet) setTargets(byTarget map[string][]netip.AddrPort) {
 	f.mu.Lock()
 	gone := f.targets
@@ -56,19 +58,21 @@
 	}
 }
 
-// offers is what can be had where now.
-type offers struct {
-	servers  []beechroute.Server
-	byTarget map[string][]netip.AddrPort
-	weights  map[string][]string // by model
+// serverOffers is the set of servers that can be reached now and what they
+// offer.
+type serverOffers struct {
+	servers        []beechroute.Server
+	byTarget       map[string][]netip.AddrPort
+	weightsByModel map[string][]string // versions by model
 }
 
-func newOffers() *offers {
-	return &offers{byTarget: map[string][]netip.AddrPort{}, weights: map[string][]string{}}
+func newServerOffers() *serverOffers {
+	return &serverOffers{byTarget: map[string][]netip.AddrPort{}, weightsByModel: map[string][]string{}}
 }
 
-// offer adds what an agent offers, if its link is up; f.mu is held.
-func (f *fleet) offer(o *offers, address netip.AddrPort) {
+// addOffers adds what an agent offers, if its link is up. The caller holds
+// f.mu.
+func (f *fleet) addOffers(o *serverOffers, address netip.AddrPort) {
 	l := f.links[address]
 	if l == nil || !l.up {
 		return
@@ -76,15 +80,15 @@
 	o.servers = append(o.servers, beechroute.Server{Address: address, Zone: l.zone, Incarnation: l.incarnation, Models: l.offers})
 	for _, target := range l.offers {
 		o.byTarget[target] = append(o.byTarget[target], address)
-		if name, version, found := strings.Cut(target, "@"); found && !slices.Contains(o.weights[name], version) {
-			o.weights[name] = append(o.weights[name], version)
+		if name, version, found := strings.Cut(target, "@"); found && !slices.Contains(o.weightsByModel[name], version) {
+			o.weightsByModel[name] = append(o.weightsByModel[name], version)
 		}
 	}
 }
 
-// onlyHere tells whether an agent offers something that nobody in o does; f.mu
-// is held.
-func (f *fleet) onlyHere(o *offers, address netip.AddrPort) bool {
+// isOnlyProvider reports whether an agent offers something that no server in o
+// offers. The caller holds f.mu.
+func (f *fleet) isOnlyProvider(o *serverOffers, address netip.AddrPort) bool {
 	l := f.links[address]
 	if l == nil {
 		return false
--- a/internal/process/beechentry/learn.go
+++ b/internal/process/beechentry/replies.go
@@ -12,19 +12,22 @@
 	"github.com/beechring/beechring/internal/link/beechwire"
 )
 
-// finished closes a whole answer and learns from it.
-func (e *Entry) finished(j *job, server netip.AddrPort, end beechwire.End) attemptResult {
+// completeAnswer ends the caller's answer and updates the statistics with the
+// reply.
+func (e *Entry) completeAnswer(j *job, server netip.AddrPort, end beechwire.End) attemptResult {
 	j.usage = end.Usage
-	e.fleet.report(server, end.Load)
-	e.learn(j, server, end)
-	e.settle(j)
+	e.fleet.recordLoad(server, end.Load)
+	e.recordReply(j, server, end)
+	e.recordOutcome(j)
 	if err := j.writer.end(); err != nil {
-		return callerLeft{}
+		return callerGone{}
 	}
 	return completed{}
 }
 
-func (e *Entry) learn(j *job, server netip.AddrPort, end beechwire.End) {
+// recordReply updates suspects, server health, the token estimate and the router
+// with a complete answer.
+func (e *Entry) recordReply(j *job, server netip.AddrPort, end beechwire.End) {
 	e.suspects.RecordSuccess(j.request.Fingerprint)
 	firstToken := time.Duration(end.FirstTokenMicros) * time.Microsecond
 	queued := time.Duration(end.QueueMicros) * time.Microsecond
@@ -46,8 +49,10 @@
 	})
 }
 
-func (e *Entry) refusedBy(server netip.AddrPort, r beechwire.Refused) attemptResult {
-	e.fleet.report(server, r.Load)
+// classifyRefusal records the load and the refusal, and returns the result of
+// the attempt.
+func (e *Entry) classifyRefusal(server netip.AddrPort, r beechwire.Refused) attemptResult {
+	e.fleet.recordLoad(server, r.Load)
 	e.fleet.router.RecordRefusal(server, time.Duration(r.AfterMillis)*time.Millisecond)
 	switch {
 	case r.Reason == beechwire.ReasonGone:
@@ -60,8 +65,10 @@
 	return refused{r}
 }
 
-func (e *Entry) failedBy(j *job, server netip.AddrPort, r beechwire.Failed) attemptResult {
-	if r.Reason != beechwire.ReasonLeaving && r.Reason != beechwire.ReasonBusy { // of a join that was not taken
+// recordFailure records the failure, and a crash if there was one, and returns
+// the result of the attempt.
+func (e *Entry) recordFailure(j *job, server netip.AddrPort, r beechwire.Failed) attemptResult {
+	if r.Reason != beechwire.ReasonLeaving && r.Reason != beechwire.ReasonBusy { // these refuse a join; the server did not fail
 		e.health.Observe(beechhealth.Sample{Server: server, Model: j.target(), Failed: true})
 	}
 	if r.Crashed {
@@ -69,12 +76,12 @@
 		e.suspects.Merge([]beechsuspect.Record{{Fingerprint: j.request.Fingerprint, Crashes: j.request.Crashes}})
 		e.fleet.dialer.Push()
 	}
-	return interrupted{ran: ranOf(r.Ran), crashed: r.Crashed, reason: r.Reason}
+	return interrupted{ran: parseRan(r.Ran), crashed: r.Crashed, reason: r.Reason}
 }
 
-// readmit brings a job that was refused as stale under the newer
-// configuration. Nothing of it ran.
-func (e *Entry) readmit(ctx context.Context, j *job, agent netip.AddrPort) *failure {
+// refreshConfiguration fetches the agent's configuration and applies it to a
+// job that was refused as stale. Nothing of the job ran.
+func (e *Entry) refreshConfiguration(ctx context.Context, j *job, agent netip.AddrPort) *failure {
 	pulling, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e.pull(pulling, agent)
--- a/internal/process/beechentry/judge.go
+++ b/internal/process/beechentry/retry.go
@@ -14,34 +14,37 @@
 	"github.com/beechring/beechring/internal/process/beechlog"
 )
 
-// judge decides after an attempt: again, or what the caller is told. A nil
-// failure with again false is a job that is over.
-func (e *Entry) judge(ctx context.Context, j *job, server netip.AddrPort, result attemptResult) (again bool, f *failure) {
-	if j.missesText() {
-		result = e.onlyThere(j, server, result)
+// decideNext decides after an attempt whether to try again and otherwise what
+// to tell the caller. If again is false, a nil failure means that the job is
+// complete.
+func (e *Entry) decideNext(ctx context.Context, j *job, server netip.AddrPort, result attemptResult) (again bool, f *failure) {
+	if j.lacksEarlierText() {
+		result = e.restrictToOriginalAgent(j, server, result)
 	}
 	switch h := result.(type) {
 	case completed:
 		return false, nil
-	case callerLeft:
-		j.unfollowed = true
-		return false, e.leftFailure(ctx, j)
+	case callerGone:
+		j.outcomePending = true
+		return false, e.cancelledFailure(ctx, j)
 	case stale:
-		return false, j.withRan(busy(http.StatusServiceUnavailable, "configuration_changing", time.Second, "the configuration is changing"))
+		return false, j.withRan(retryLater(http.StatusServiceUnavailable, "configuration_changing", time.Second, "the configuration is changing"))
 	case expired:
-		return e.judgeExpired(j)
+		return e.decideAfterExpired(j)
 	case unreachable:
-		return e.judgeUnreachable(j)
+		return e.decideAfterUnreachable(j)
 	case refused:
-		return e.judgeRefused(ctx, j, server, h)
+		return e.decideAfterRefused(ctx, j, server, h)
 	case interrupted:
-		return e.judgeInterrupted(ctx, j, server, h)
+		return e.decideAfterInterrupted(ctx, j, server, h)
 	default:
 		return false, nil
 	}
 }
 
-func (e *Entry) leftFailure(ctx context.Context, j *job) *failure {
+// cancelledFailure is the failure of a request whose caller disconnected or
+// whose deadline passed.
+func (e *Entry) cancelledFailure(ctx context.Context, j *job) *failure {
 	f := &failure{Status: http.StatusGatewayTimeout, Type: typeServer, Code: "timeout", Ran: beechwire.RanUnknown, Message: "the caller's deadline passed"}
 	switch {
 	case j.sequence > 0:
@@ -49,34 +52,36 @@
 	case !j.sentTo.agent.IsValid():
 		f.Ran = beechwire.RanNo
 	}
-	if e.detach(ctx) {
-		f.Status = statusClientGone
+	if e.shouldDetach(ctx) {
+		f.Status = statusCallerGone
 		f.Code = "caller_gone"
 		f.Message = "the caller went away"
 	}
 	return j.withRan(f)
 }
 
-// statusClientGone is what logs show for a caller that went away; nobody
-// receives it.
-const statusClientGone = 499
+// statusCallerGone is the status in logs for a caller that disconnected; it is
+// never sent.
+const statusCallerGone = 499
 
-// judgeExpired handles a generation that was to be joined and is not kept any
-// more. A request without its first pieces cannot be run from the middle.
-func (e *Entry) judgeExpired(j *job) (bool, *failure) {
-	if j.sequence == 0 && !j.missesText() && j.writer.fresh() && j.request.Repeatable {
+// decideAfterExpired handles a generation to be joined that its agent no longer
+// keeps. The request may run anew only if the caller has received nothing: a
+// run cannot start in the middle of an answer.
+func (e *Entry) decideAfterExpired(j *job) (bool, *failure) {
+	if j.sequence == 0 && !j.lacksEarlierText() && j.writer.nothingSent() && j.request.Repeatable {
 		return true, nil
 	}
 	return false, expiredFailure()
 }
 
-// onlyThere is for an answer of which the caller has a part that is not known
-// here. A run anywhere else would give it the rest of another answer, so whatever
-// kept this one from being joined, it can only be asked for again where it is.
-func (e *Entry) onlyThere(j *job, server netip.AddrPort, result attemptResult) attemptResult {
+// restrictToOriginalAgent adjusts the result for a caller that already has a
+// part of an answer whose text is not known here. A run on another server would
+// continue with a different answer, so whatever prevented the join, the rest
+// can only be requested from the agent that holds the answer.
+func (e *Entry) restrictToOriginalAgent(j *job, server netip.AddrPort, result attemptResult) attemptResult {
 	switch h := result.(type) {
 	case refused:
-		e.log.Info("answer not joined", beechlog.RequestID(j.request.ID), beechlog.Step("join"), beechlog.Peer(server), zap.String("reason", h.Reason))
+		e.log.Info("could not join the answer", beechlog.RequestID(j.request.ID), beechlog.Step("join"), beechlog.Peer(server), zap.String("reason", h.Reason))
 		return unreachable{}
 	case stale:
 		return unreachable{}
@@ -87,23 +92,23 @@
 		case beechwire.ReasonTimeout:
 			return result
 		}
-		return expired{} // its run failed, and what it had brought is not kept
+		return expired{} // the run failed and its output was not kept
 	default:
 		return result
 	}
 }
 
-// judgeUnreachable handles a generation whose agent cannot be asked. A request
-// of which its caller has nothing yet may run anew.
-func (e *Entry) judgeUnreachable(j *job) (bool, *failure) {
-	if !j.missesText() && j.writer.fresh() && j.request.Repeatable {
+// decideAfterUnreachable handles a generation whose agent cannot be reached.
+// The request may run anew only if its caller has received nothing yet.
+func (e *Entry) decideAfterUnreachable(j *job) (bool, *failure) {
+	if !j.lacksEarlierText() && j.writer.nothingSent() && j.request.Repeatable {
 		return true, nil
 	}
 	return false, unreachableFailure()
 }
 
 func unreachableFailure() *failure {
-	f := busy(http.StatusServiceUnavailable, "stream_unreachable", time.Second,
+	f := retryLater(http.StatusServiceUnavailable, "stream_unreachable", time.Second,
 		"the agent that keeps the answer cannot be reached now; ask for the rest again")
 	f.Ran = beechwire.RanYes
 	f.Joins = true
@@ -117,7 +122,7 @@
 	}
 }
 
-func (e *Entry) judgeRefused(ctx context.Context, j *job, server netip.AddrPort, h refused) (bool, *failure) {
+func (e *Entry) decideAfterRefused(ctx context.Context, j *job, server netip.AddrPort, h refused) (bool, *failure) {
 	after := time.Duration(h.AfterMillis) * time.Millisecond
 	if f := finalRefusal(h.Refused, after); f != nil {
 		return false, j.withRan(f)
@@ -136,7 +141,8 @@
 	return false, e.refusedFailure(j, h.Refused, after)
 }
 
-// finalRefusal is for refusals that no other server would answer otherwise.
+// finalRefusal returns the failure for refusals that every other server would
+// repeat, and nil for all others.
 func finalRefusal(r beechwire.Refused, after time.Duration) *failure {
 	switch r.Reason {
 	case beechwire.ReasonSuspect:
@@ -151,32 +157,32 @@
 	}
 }
 
-// refusedFailure is what a caller is told when no server would take the job.
-// Where earlier attempts ran, it must not say that nothing did.
+// refusedFailure is the failure for a job that no server accepted. If earlier
+// attempts ran, it must not claim that nothing did.
 func (e *Entry) refusedFailure(j *job, r beechwire.Refused, after time.Duration) *failure {
 	var f *failure
 	switch r.Reason {
 	case beechwire.ReasonDeadline:
-		f = busy(http.StatusServiceUnavailable, "deadline", after, "the first token would come after the caller's deadline")
+		f = retryLater(http.StatusServiceUnavailable, "deadline", after, "the first token would come after the caller's deadline")
 	case beechwire.ReasonModel:
-		f = busy(http.StatusServiceUnavailable, "no_server", after, "no backend server offers it now")
+		f = retryLater(http.StatusServiceUnavailable, "no_server", after, "no backend server offers it now")
 	default:
-		f = busy(http.StatusServiceUnavailable, "busy", after, "every backend server that could run it is full")
+		f = retryLater(http.StatusServiceUnavailable, "busy", after, "every backend server that could run it is full")
 	}
 	return j.withRan(f)
 }
 
-// noteRan keeps the most that is known of all attempts: one that surely ran is
-// not made doubtful by a later one that may have.
-func (j *job) noteRan(ran string) {
+// recordRan keeps the most certain result of all attempts: a later attempt that
+// may have run does not replace one that did run.
+func (j *job) recordRan(ran string) {
 	if j.ran != beechwire.RanYes {
 		j.ran = ran
 	}
 }
 
-// withRan keeps a refusal from saying that nothing ran where an earlier attempt
-// did: the caller would send again what has partly been done, or count it as
-// never begun.
+// withRan puts the result of earlier attempts into a failure. A failure that
+// claimed that nothing ran would let the caller resend a request that was
+// partly executed, or count it as never started.
 func (j *job) withRan(f *failure) *failure {
 	if j.ran != "" {
 		f.Ran = j.ran
@@ -184,58 +190,59 @@
 	return f
 }
 
-func (e *Entry) judgeInterrupted(ctx context.Context, j *job, server netip.AddrPort, h interrupted) (bool, *failure) {
-	j.noteRan(h.ran)
-	e.numbers.Broken.Add(1)
+func (e *Entry) decideAfterInterrupted(ctx context.Context, j *job, server netip.AddrPort, h interrupted) (bool, *failure) {
+	j.recordRan(h.ran)
+	e.counters.Broken.Add(1)
 	e.log.Warn("attempt broken", beechlog.RequestID(j.request.ID), beechlog.Attempt(j.request.Attempt), beechlog.Step("run"),
 		beechlog.Peer(server), beechlog.Workspace(j.workspace.Name), zap.String("reason", h.reason), zap.Bool("crashed", h.crashed))
-	if j.ended && !j.request.WantsUsage {
-		return false, e.closeComplete(j)
+	if j.finishReasonSeen && !j.request.WantsUsage {
+		return false, e.completeWithoutUsage(j)
 	}
 	f := &failure{
 		Status: http.StatusBadGateway, Type: typeServer, Code: "server_failed", Ran: j.ran,
 		Message: "the backend server did not finish its answer",
 	}
-	j.unfollowed = h.reason == beechwire.ReasonGone
+	j.outcomePending = h.reason == beechwire.ReasonGone
 	if h.reason == beechwire.ReasonTimeout {
 		f.Status = http.StatusGatewayTimeout
 		f.Code = "timeout"
 		f.Message = "the caller's deadline passed"
 		return false, f
 	}
-	if !j.canRunAgain() {
+	if !j.canRetry() {
 		return false, f
 	}
 	j.tried = append(j.tried, server)
 	return e.pauseForRetry(ctx, j, e.decideRetry(j, beechretry.Outcome{Ran: beechretry.Ran(h.ran), Server: server})), f
 }
 
-// closeComplete ends an answer whose finish reason was already given: only the
-// end mark of the stream was lost.
-func (e *Entry) closeComplete(j *job) *failure {
+// completeWithoutUsage ends an answer whose finish reason was already sent:
+// only the end marker of the stream was lost.
+func (e *Entry) completeWithoutUsage(j *job) *failure {
 	if err := j.writer.end(); err != nil {
-		return e.goneCaller()
+		return e.callerGoneFailure()
 	}
 	return nil
 }
 
-// canRunAgain tells whether another attempt can give the caller the rest: the
-// request may be repeated, and either nothing was given yet or the text so far
-// is all an engine needs.
-func (j *job) canRunAgain() bool {
+// canRetry reports whether another attempt can give the caller the rest: the
+// request is repeatable, and either nothing was sent yet or the text so far is
+// enough for an engine to continue.
+func (j *job) canRetry() bool {
 	if !j.request.Repeatable {
 		return false
 	}
-	return j.writer.fresh() || j.resumable
+	return j.writer.nothingSent() || j.resumable
 }
 
-// pauseForRetry waits as the budget says; false is no retry.
+// pauseForRetry waits for the delay that the retry budget set. It returns false
+// if there is to be no retry.
 func (e *Entry) pauseForRetry(ctx context.Context, j *job, decision beechretry.Decision) bool {
 	retry, ok := decision.(beechretry.Retry)
 	if !ok {
 		return false
 	}
-	e.numbers.Retries.Add(1)
+	e.counters.Retries.Add(1)
 	j.preferred = retry.Server
 	if retry.Delay <= 0 {
 		return ctx.Err() == nil
@@ -248,18 +255,20 @@
 	}
 }
 
-// note keeps the text of a piece and whether it carried the finish reason.
-func (j *job) note(data []byte) {
+// recordText keeps the text of a piece and whether it carried the finish
+// reason.
+func (j *job) recordText(data []byte) {
 	chunk, err := beechbackend.ReadChunk(data)
 	if err != nil {
 		j.resumable = false
 		return
 	}
 	j.text = append(j.text, chunk.Text...)
-	j.ended = j.ended || chunk.Finish != ""
+	j.finishReasonSeen = j.finishReasonSeen || chunk.Finish != ""
 }
 
-// decideRetry asks the budget about an attempt that was refused or broken.
+// decideRetry asks the retry budget about an attempt that was refused or
+// interrupted.
 func (e *Entry) decideRetry(j *job, outcome beechretry.Outcome) beechretry.Decision {
 	outcome.Attempt = j.request.Attempt
 	outcome.Repeatable = j.request.Repeatable
--- a/internal/process/beechentry/routes.go
+++ b/internal/process/beechentry/routes.go
@@ -15,7 +15,8 @@
 )
 
 type (
-	// modelList and modelObject are OpenAI's shapes for GET /v1/models.
+	// modelList and modelObject are the response formats of OpenAI's GET
+	// /v1/models.
 	modelList struct {
 		Object string        `json:"object"`
 		Data   []modelObject `json:"data"`
@@ -29,50 +30,51 @@
 	}
 )
 
-// Headers of callers.
+// Request headers and their limits.
 const (
-	headerIdempotency = "Idempotency-Key"
-	headerLastEvent   = "Last-Event-ID"
-	headerTimeout     = "X-Request-Timeout-Ms" // milliseconds the caller will wait
-	headerRequestID   = "X-Request-Id"
-	maxKeyLength      = 255
-	maxTimeout        = 30 * time.Minute
-	servicesPath      = "/v1/services/"
-	owner             = "beechring"
+	headerIdempotency       = "Idempotency-Key"
+	headerLastEvent         = "Last-Event-ID"
+	headerTimeout           = "X-Request-Timeout-Ms" // how long the caller will wait, in milliseconds
+	headerRequestID         = "X-Request-Id"
+	maxIdempotencyKeyLength = 255
+	maxTimeout              = 30 * time.Minute
+	servicesPath            = "/v1/services/"
+	modelOwner              = "beechring"
 )
 
 func (e *Entry) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+beechprefix.PathChat, e.counted(e.serveCompletion))
-	mux.HandleFunc("POST "+beechprefix.PathCompletions, e.counted(e.serveCompletion))
-	mux.HandleFunc("GET /v1/models", e.counted(e.serveModels))
-	mux.HandleFunc("GET /v1/models/{model}", e.counted(e.serveModel))
-	mux.HandleFunc(servicesPath+"{name}/{rest...}", e.counted(e.serveService))
-	mux.HandleFunc("/", e.counted(func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+beechprefix.PathChat, e.limitOpenRequests(e.serveCompletion))
+	mux.HandleFunc("POST "+beechprefix.PathCompletions, e.limitOpenRequests(e.serveCompletion))
+	mux.HandleFunc("GET /v1/models", e.limitOpenRequests(e.serveModels))
+	mux.HandleFunc("GET /v1/models/{model}", e.limitOpenRequests(e.serveModel))
+	mux.HandleFunc(servicesPath+"{name}/{rest...}", e.limitOpenRequests(e.serveService))
+	mux.HandleFunc("/", e.limitOpenRequests(func(w http.ResponseWriter, r *http.Request) {
 		notRun(http.StatusNotFound, typeNotFound, "unknown_path", "no such path: %s %s", r.Method, r.URL.Path).write(w)
 	}))
 	return mux
 }
 
-// counted refuses what would be more requests at once than the host bears.
-func (e *Entry) counted(next http.HandlerFunc) http.HandlerFunc {
+// limitOpenRequests refuses requests beyond the host's limit of concurrent
+// requests.
+func (e *Entry) limitOpenRequests(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		e.numbers.Requests.Add(1)
-		defer e.streams.Add(-1)
-		if e.streams.Add(1) > int64(e.settings.Limits.Streams) {
-			e.numbers.Overloaded.Add(1)
-			busy(http.StatusServiceUnavailable, "entry_full", time.Second, "this entry host has all the requests it can hold").write(w)
+		e.counters.Requests.Add(1)
+		defer e.openRequests.Add(-1)
+		if e.openRequests.Add(1) > int64(e.settings.Limits.Streams) {
+			e.counters.Overloaded.Add(1)
+			retryLater(http.StatusServiceUnavailable, "entry_full", time.Second, "this entry host has all the requests it can hold").write(w)
 			return
 		}
 		next(w, r)
 	}
 }
 
-// reader turns an HTTP request into a job.
-type reader func(w http.ResponseWriter, r *http.Request, c *beechmanifest.Configuration, workspace *beechmanifest.Workspace) (*job, *failure)
+// requestReader parses and validates an HTTP request into a job.
+type requestReader func(w http.ResponseWriter, r *http.Request, c *beechmanifest.Configuration, workspace *beechmanifest.Workspace) (*job, *failure)
 
-// serve takes a request through all its steps.
-func (e *Entry) serve(w http.ResponseWriter, r *http.Request, read reader) {
+// serve authenticates, parses and runs a request.
+func (e *Entry) serve(w http.ResponseWriter, r *http.Request, read requestReader) {
 	began := e.clock.Now()
 	configuration, workspace, f := e.authenticate(r)
 	if f != nil {
@@ -85,16 +87,16 @@
 		f.write(w)
 		return
 	}
-	j.began = began
+	j.startedAt = began
 	e.admitAndRun(w, r, j)
 }
 
-// authenticate finds the workspace of the bearer key under the configuration in
-// force.
+// authenticate looks up the workspace of the bearer key in the current
+// configuration.
 func (e *Entry) authenticate(r *http.Request) (*beechmanifest.Configuration, *beechmanifest.Workspace, *failure) {
 	configuration := e.holder.Current()
 	if configuration == nil {
-		return nil, nil, busy(http.StatusServiceUnavailable, "no_configuration", time.Second, "no configuration is in force yet")
+		return nil, nil, retryLater(http.StatusServiceUnavailable, "no_configuration", time.Second, "no configuration is in force yet")
 	}
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || key == "" {
@@ -108,9 +110,9 @@
 }
 
 // readBody reads the whole body within the limits of size and time. After a
-// failure the read deadline stays: net/http reads what is left of a body before
-// it sends the answer, and without the deadline a caller that never sends the
-// rest would wait for its error without end and keep the connection.
+// failure the read deadline is kept: net/http reads the rest of a body before
+// it sends the response, and without the deadline a caller that never sends the
+// rest would never get its error and would hold the connection open.
 func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, workspace *beechmanifest.Workspace) ([]byte, *failure) {
 	limit := e.settings.Limits.BodyBytes
 	if workspace.MaxBodyBytes > 0 {
@@ -133,7 +135,7 @@
 	return body, nil
 }
 
-// callerDeadline reads how long the caller will wait; 0 is no deadline.
+// callerDeadline returns how long the caller will wait; 0 means no deadline.
 func callerDeadline(r *http.Request) (time.Duration, *failure) {
 	text := r.Header.Get(headerTimeout)
 	if text == "" {
@@ -149,9 +151,9 @@
 
 func idempotencyKey(r *http.Request) (string, *failure) {
 	key := r.Header.Get(headerIdempotency)
-	if len(key) > maxKeyLength {
+	if len(key) > maxIdempotencyKeyLength {
 		return "", notRun(http.StatusBadRequest, typeInvalid, "invalid_idempotency_key",
-			"%s is longer than %d characters", headerIdempotency, maxKeyLength)
+			"%s is longer than %d characters", headerIdempotency, maxIdempotencyKeyLength)
 	}
 	return key, nil
 }
@@ -165,7 +167,7 @@
 	list := modelList{Object: "list", Data: []modelObject{}}
 	for _, m := range configuration.Manifest.Models {
 		if workspace.AllowsModel(m.Name) {
-			list.Data = append(list.Data, modelObject{ID: m.Name, Object: "model", OwnedBy: owner})
+			list.Data = append(list.Data, modelObject{ID: m.Name, Object: "model", OwnedBy: modelOwner})
 		}
 	}
 	writeJSON(w, list)
@@ -182,7 +184,7 @@
 		unknownModel(name).write(w)
 		return
 	}
-	writeJSON(w, modelObject{ID: name, Object: "model", OwnedBy: owner})
+	writeJSON(w, modelObject{ID: name, Object: "model", OwnedBy: modelOwner})
 }
 
 func unknownModel(name string) *failure {
@@ -196,8 +198,8 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ranOf keeps what was said of a run within the known words.
-func ranOf(text string) string {
+// parseRan maps any value but the known ones to unknown.
+func parseRan(text string) string {
 	switch text {
 	case beechwire.RanNo, beechwire.RanYes:
 		return text
--- a/internal/process/beechentry/service.go
+++ b/internal/process/beechentry/service.go
@@ -9,7 +9,7 @@
 	"github.com/beechring/beechring/internal/state/beechmanifest"
 )
 
-// serveService relays a call of a plain service as it is.
+// serveService relays a call to a plain service unchanged.
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request) {
 	e.serve(w, r, e.readService)
 }
--- a/internal/process/beechentry/restart.go
+++ b/internal/process/beechentry/share.go
@@ -18,8 +18,9 @@
 )
 
 type (
-	// shared is what was left with agents, where and when.
-	shared struct {
+	// sharedState is the state that was last shared with agents: the members, the
+	// agents and the time.
+	sharedState struct {
 		members []beechwire.Member
 		targets []shareTarget
 		at      time.Time
@@ -36,20 +37,21 @@
 	hostsTimeout  = 2 * time.Second
 	shareInterval = 2 * time.Second
 
-	// membersInterval is after how long agents are sent the members again
-	// though nothing changed.
+	// membersInterval is the interval after which the members are sent again even
+	// if nothing changed.
 	membersInterval = 30 * time.Second
 
-	shareAgents    = 3
-	restoreTries   = 40
-	restorePause   = 25 * time.Millisecond
-	otherHostsPace = 15 // entries that do not watch read the list this much less often
-	serversTries   = 12 // so many pauses are waited for agents that do not answer
+	shareAgents         = 3
+	restoreTries        = 40
+	restorePause        = 25 * time.Millisecond
+	nonWatcherReadEvery = 15 // entries that are not watchers read the host list only every 15th time
+	awaitServersTries   = 12 // pauses of restorePause to wait for agents that have not reported
 )
 
-// watchMembers reads the platform's host list until ctx ends. At the start it
-// asks agents for what other entries left with them, which works also while
-// the platform's service is down. Without seeds only the list can name agents.
+// watchMembers reads the platform's host list until ctx ends. At start-up it
+// first restores the state that other entries shared with agents, which works
+// even if the platform's service is down. Without seeds only the host list can
+// name agents.
 func (e *Entry) watchMembers(ctx context.Context) error {
 	if len(e.settings.Seeds) == 0 {
 		e.readHosts(ctx)
@@ -59,7 +61,7 @@
 	e.restored.Store(true)
 	round := 0
 	return beechtask.Every(ctx, e.clock, hostsInterval, func() {
-		if e.isWatcher() || round%otherHostsPace == 0 {
+		if e.isWatcher() || round%nonWatcherReadEvery == 0 {
 			e.readHosts(ctx)
 		} else {
 			e.fleet.rebuild()
@@ -73,17 +75,17 @@
 	defer cancel()
 	hosts, err := e.store.Hosts(reading, beechstore.ImportanceOther)
 	if err != nil {
-		e.log.Warn("host list not read", beechlog.Step("read hosts"), zap.Error(err))
+		e.log.Warn("could not read the host list", beechlog.Step("read hosts"), zap.Error(err))
 		e.fleet.rebuild()
 		return
 	}
 	e.fleet.setHosts(hosts)
 }
 
-// restore asks the first agents that answer for members, hot prefixes and
-// suspects. An entry that starts without them would send hot prefixes to
-// servers that must compute them again. Once every agent has said that it was
-// left nothing there is nothing to wait for.
+// restore fetches members, hot prefixes and suspects from the first agent that
+// has them. An entry that started without them would send hot prefixes to
+// servers that must compute them again. It stops as soon as every known agent
+// has answered without shared state.
 func (e *Entry) restore(ctx context.Context) {
 	for range restoreTries {
 		agents := e.fleet.reachable()
@@ -92,7 +94,7 @@
 				return
 			}
 		}
-		if len(agents) > 0 && len(agents) == e.fleet.known() {
+		if len(agents) > 0 && len(agents) == e.fleet.countLinks() {
 			return
 		}
 		select {
@@ -103,13 +105,13 @@
 	}
 }
 
-// awaitServers waits a moment until the agents that are known offer something.
-// An entry that took requests after its first link would send all of them to
-// one server, past those that hold the prompts' prefixes: first tokens would
-// come late for a while after each restart.
+// awaitServers waits briefly until all known agents offer something. An entry
+// that accepted requests after its first link would send all of them to one
+// server instead of those that cache the prompts' prefixes, which would delay
+// first tokens for a while after each restart.
 func (e *Entry) awaitServers(ctx context.Context) {
-	for range serversTries {
-		if e.fleet.serving() == e.fleet.known() {
+	for range awaitServersTries {
+		if e.fleet.countServing() == e.fleet.countLinks() {
 			return
 		}
 		select {
@@ -120,7 +122,8 @@
 	}
 }
 
-// restoreFrom returns false where the agent has nothing to tell.
+// restoreFrom restores the state from one agent. It returns false if the agent
+// does not answer or has no members to share.
 func (e *Entry) restoreFrom(ctx context.Context, agent netip.AddrPort) bool {
 	asking, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -134,28 +137,29 @@
 	}
 	e.fleet.restoreMembers(got.Members)
 	e.fleet.router.RestorePrefixes(hotPrefixes(got.Hot))
-	e.log.Info("state restored", beechlog.Step("restore"), beechlog.Peer(agent),
+	e.log.Info("restored shared state from agent", beechlog.Step("restore"), beechlog.Peer(agent),
 		zap.Int("members", len(got.Members)), zap.Int("hot", len(got.Hot)))
 	return true
 }
 
-// shareState leaves what this entry knows with a few agents, until ctx ends.
+// shareState shares this entry's members and hot prefixes with a few agents
+// until ctx ends.
 func (e *Entry) shareState(ctx context.Context) error {
-	last := &shared{}
+	last := &sharedState{}
 	return beechtask.Every(ctx, e.clock, shareInterval, func() { e.shareOnce(ctx, last) })
 }
 
-// shareOnce sends the members only where they changed, an agent has not had
-// them, or they were sent long ago. Sent each time, those of 400 hosts would be
-// most of what an idle entry host sends. Agents keep the members that they have
-// where a message brings none.
-func (e *Entry) shareOnce(ctx context.Context, last *shared) {
-	now := shared{members: e.wireMembers(), targets: e.shareTargets(), at: e.clock.Now()}
+// shareOnce sends the members only if they or the agents changed, or if they
+// were last sent membersInterval ago. Sent every time, the members of 400 hosts
+// would be most of an idle entry host's traffic. Agents keep the members they
+// have if a message contains none.
+func (e *Entry) shareOnce(ctx context.Context, last *sharedState) {
+	now := sharedState{members: e.wireMembers(), targets: e.shareTargets(), at: e.clock.Now()}
 	if len(now.members) == 0 {
 		return
 	}
 	state := &beechwire.Snapshot{Members: now.members, Hot: wireHot(e.fleet.router.HotPrefixes())}
-	if last.covers(now) {
+	if last.stillCurrent(now) {
 		state.Members = nil
 		now.at = last.at
 	}
@@ -166,20 +170,21 @@
 	for _, target := range now.targets {
 		sharing, cancel := context.WithTimeout(ctx, callTimeout)
 		if err := e.fleet.call(sharing, target.address, beechwire.MethodShare, state, nil); err != nil {
-			e.log.Debug("state not shared", beechlog.Step("share"), beechlog.Peer(target.address), zap.Error(err))
-			*last = shared{}
+			e.log.Debug("could not share state with agent", beechlog.Step("share"), beechlog.Peer(target.address), zap.Error(err))
+			*last = sharedState{}
 		}
 		cancel()
 	}
 }
 
-// covers tells whether agents still have the members from the last time.
-func (s *shared) covers(now shared) bool {
+// stillCurrent reports whether agents still have the members from the last
+// time.
+func (s *sharedState) stillCurrent(now sharedState) bool {
 	return now.at.Sub(s.at) < membersInterval && slices.Equal(s.members, now.members) && slices.Equal(s.targets, now.targets)
 }
 
-// shareTargets are the agents that a restarted entry of this zone asks: the
-// seeds, or without seeds the same few for all.
+// shareTargets returns the agents that a restarted entry of this zone will ask:
+// the seeds or, without seeds, the same few agents for all entries.
 func (e *Entry) shareTargets() []shareTarget {
 	addresses := e.settings.Seeds[:min(len(e.settings.Seeds), shareAgents)]
 	if len(addresses) == 0 {
@@ -205,8 +210,9 @@
 	return out
 }
 
-// restoreMembers takes in what another entry left. That an agent leaves is a word on
-// its incarnation of then, which may have been replaced since.
+// restoreMembers applies members that another entry shared. That an agent is
+// leaving is valid only for the incarnation of that time, which may have been
+// replaced since.
 func (f *fleet) restoreMembers(members []beechwire.Member) {
 	var hosts []beechstore.Host
 	for _, m := range members {
--- a/internal/process/beechentry/streamid.go
+++ b/internal/process/beechentry/streamid.go
@@ -13,9 +13,9 @@
 )
 
 type (
-	// streamID names one event of one answer: which agent holds it, of which
-	// request, and the event's sequence. A caller that reconnects gives back
-	// the last id it saw, at any entry host.
+	// streamID identifies one event of one answer: the agent that holds the
+	// answer, the request, and the event's sequence. A caller that reconnects
+	// sends the last id it saw, to any entry host.
 	streamID struct {
 		Agent       netip.AddrPort
 		Incarnation uint64
@@ -23,9 +23,9 @@
 		Sequence    uint64
 	}
 
-	// streamSigner authenticates stream ids. Without it a caller could alter
-	// an id and read another workspace's answer; with it every altered id, and
-	// every id of another workspace, is refused before any agent is asked.
+	// streamSigner authenticates stream ids. Without it a caller could alter an id
+	// and read another workspace's answer; with it altered ids and ids of other
+	// workspaces are refused before any agent is called.
 	streamSigner struct {
 		key []byte
 	}
@@ -43,9 +43,9 @@
 	return &streamSigner{key: key[:]}
 }
 
-// format gives an id's text. The prefix up to the sequence is the same for a
-// whole stream; the signature covers it and the workspace, and the sequence
-// follows in the clear, since a caller may read its own stream from anywhere.
+// format encodes an id. The prefix before the sequence is the same for the
+// whole stream and is signed together with the workspace. The sequence follows
+// unsigned, since a caller may read its own stream from any position.
 func (s *streamSigner) format(workspace string, id streamID) string {
 	return s.prefix(workspace, id) + idSeparator + fmt.Sprint(id.Sequence)
 }
--- a/internal/process/beechentry/streamid_test.go
+++ b/internal/process/beechentry/streamid_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// A caller alters an event id, or gives one it saw in another workspace's
-// logs. If that worked it would read a stranger's answer; it must get an
-// error, whichever character it changed.
+// A caller that alters an event id, or uses one from another workspace's logs,
+// must get an error whichever character it changed; otherwise it could read
+// another workspace's answer.
 func TestAlteredStreamIDsAreRefused(t *testing.T) {
 	is := is.New(t)
 	signer := newStreamSigner("0123456789abcdef")
--- a/internal/process/beechentry/writer.go
+++ b/internal/process/beechentry/writer.go
@@ -13,39 +13,40 @@
 )
 
 type (
-	// answerWriter gives an answer to the caller. Streamed answers go out piece
-	// by piece; plain ones are held until they are whole, so that a server that
-	// dies in the middle leaves the caller nothing half.
+	// answerWriter sends an answer to the caller. Streamed answers are sent piece
+	// by piece. Plain ones are buffered until they are complete, so that the
+	// caller never gets a part of an answer from a server that crashed.
 	answerWriter interface {
-		// restart begins another attempt.
+		// restart discards the buffered output of an earlier attempt.
 		restart()
-		head(h answerHead)
-		piece(sequence uint64, data []byte) error
+		writeHead(h answerHead)
+		writePiece(sequence uint64, data []byte) error
 		end() error
 		fail(f *failure)
-		// fresh tells whether the caller has been given nothing yet.
-		fresh() bool
+		// nothingSent reports whether the caller has received nothing yet.
+		nothingSent() bool
 	}
 
-	// answerHead is what an answer begins with, and where it is held.
+	// answerHead is the status line and headers of an answer, and the generation
+	// that it comes from.
 	answerHead struct {
 		status      int
 		contentType string
 		headers     []beechwire.Header
-		at          placed
+		source      generationRef
 	}
 
 	streamWriter struct {
-		out       http.ResponseWriter
-		control   *http.ResponseController
-		signer    *streamSigner
-		workspace string
-		writeTime time.Duration
-		prefix    string // of the event ids
-		skip      uint64 // the caller has these already
-		started   bool
-		raw       bool // not events, as in an engine's refusal of a parameter
-		buffer    []byte
+		out         http.ResponseWriter
+		control     *http.ResponseController
+		signer      *streamSigner
+		workspace   string
+		writeTime   time.Duration
+		prefix      string // of the event ids, up to the sequence
+		skipThrough uint64 // the caller already has the events up to this sequence
+		started     bool
+		raw         bool // not an event stream, as an engine's rejection of a parameter
+		buffer      []byte
 	}
 
 	plainWriter struct {
@@ -61,8 +62,8 @@
 )
 
 const (
-	eventStream = "text/event-stream"
-	partBytes   = 64 << 10
+	eventStream     = "text/event-stream"
+	writeChunkBytes = 64 << 10
 )
 
 func newAnswerWriter(w http.ResponseWriter, j *job, signer *streamSigner, writeTime time.Duration) answerWriter {
@@ -78,10 +79,10 @@
 	}
 }
 
-// head starts the caller's stream at the first attempt that is answered. Later
-// attempts only change where the event ids point.
-func (s *streamWriter) head(h answerHead) {
-	s.prefix = s.signer.prefix(s.workspace, streamID{Agent: h.at.agent, Incarnation: h.at.incarnation, RequestID: h.at.requestID})
+// writeHead starts the caller's stream with the first attempt that is answered.
+// For later attempts it only changes which generation the event ids refer to.
+func (s *streamWriter) writeHead(h answerHead) {
+	s.prefix = s.signer.prefix(s.workspace, streamID{Agent: h.source.agent, Incarnation: h.source.incarnation, RequestID: h.source.requestID})
 	if s.started {
 		return
 	}
@@ -94,10 +95,11 @@
 	s.out.WriteHeader(h.status)
 }
 
-// piece writes one event. A caller that reads too slowly for too long is given
-// up on by the write's deadline; it can come back with the last event's id.
-func (s *streamWriter) piece(sequence uint64, data []byte) error {
-	if sequence <= s.skip {
+// writePiece writes one event. The write deadline ends the stream of a caller
+// that reads too slowly; such a caller can reconnect with the id of its last
+// event.
+func (s *streamWriter) writePiece(sequence uint64, data []byte) error {
+	if sequence <= s.skipThrough {
 		return nil
 	}
 	if s.raw {
@@ -132,8 +134,8 @@
 
 func (s *streamWriter) restart() {}
 
-// fail ends a stream that has begun with an error event, so that no caller
-// takes half an answer for a whole one.
+// fail sends an error event if the stream has started, so that no caller takes
+// a partial answer for a complete one.
 func (s *streamWriter) fail(f *failure) {
 	if !s.started {
 		f.write(s.out)
@@ -143,18 +145,18 @@
 	_ = s.write(append(b, "\n\n"...))
 }
 
-func (s *streamWriter) fresh() bool { return !s.started }
+func (s *streamWriter) nothingSent() bool { return !s.started }
 
-// restart drops what an earlier attempt left.
+// restart discards the body of an earlier attempt.
 func (p *plainWriter) restart() { p.body = p.body[:0] }
 
-func (p *plainWriter) head(h answerHead) {
+func (p *plainWriter) writeHead(h answerHead) {
 	p.status = h.status
 	p.contentType = h.contentType
 	p.headers = h.headers
 }
 
-func (p *plainWriter) piece(_ uint64, data []byte) error {
+func (p *plainWriter) writePiece(_ uint64, data []byte) error {
 	p.body = append(p.body, data...)
 	return nil
 }
@@ -171,13 +173,13 @@
 	return p.writeBody()
 }
 
-// writeBody gives each part of the body a deadline of its own: one for the whole
-// would cut off callers on slow links, none would let one that has stopped
-// reading hold its answer for ever.
+// writeBody sets a write deadline for each chunk of the body: one deadline for
+// the whole body would cut off callers on slow links, and without any a caller
+// that stops reading would hold its answer in memory forever.
 func (p *plainWriter) writeBody() error {
-	for start := 0; start < len(p.body); start += partBytes {
+	for start := 0; start < len(p.body); start += writeChunkBytes {
 		_ = p.control.SetWriteDeadline(time.Now().Add(p.writeTime))
-		if _, err := p.out.Write(p.body[start:min(start+partBytes, len(p.body))]); err != nil {
+		if _, err := p.out.Write(p.body[start:min(start+writeChunkBytes, len(p.body))]); err != nil {
 			return err
 		}
 	}
@@ -190,16 +192,16 @@
 	}
 }
 
-func (p *plainWriter) fresh() bool { return !p.written }
+func (p *plainWriter) nothingSent() bool { return !p.written }
 
-// discard is the caller of an answer that nobody waits for any more.
-type discard struct{}
+// discardWriter is the response writer of an answer whose caller is gone.
+type discardWriter struct{}
 
 // Header implements http.ResponseWriter.
-func (discard) Header() http.Header { return http.Header{} }
+func (discardWriter) Header() http.Header { return http.Header{} }
 
 // Write implements http.ResponseWriter.
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (discard) WriteHeader(int) {}
+func (discardWriter) WriteHeader(int) {}
