--- a/internal/process/beechburn/burn.go
+++ b/internal/process/beechburn/burn.go
@@ -10,35 +10,36 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// copiedAtOnce is how many workspaces a snapshot copies before it lets requests
-// be counted again. Copying thousands at once held them up for 20 ms and more,
-// which callers saw as late first tokens whenever somebody read the report.
-const copiedAtOnce = 64
+// snapshotBatch is how many workspaces a snapshot copies while it holds the
+// lock. Copying thousands at once blocked Observe for 20 ms and more, which
+// delayed first tokens whenever the report was read.
+const snapshotBatch = 64
 
 type (
-	// Burn counts the outcomes that one process sees. Make it by New. It is
+	// Burn counts the outcomes that one process sees. Create one with New. It is
 	// safe for concurrent use.
 	Burn struct {
-		mu         sync.Mutex
-		clock      clockwork.Clock
-		start      time.Time
-		objectives Objectives
-		workspaces int
-		histograms int
+		mu            sync.Mutex
+		clock         clockwork.Clock
+		start         time.Time
+		objectives    Objectives
+		maxWorkspaces int
+		maxHistograms int
 
-		all       series
-		latencies [windowCount]latencyRing
-		named     map[string]*workspace
-		recents   int // workspaces that have percentiles
+		all         series
+		latencies   [windowCount]latencyRing
+		byWorkspace map[string]*workspace
+		recentCount int // workspaces that have histograms
 	}
 
 	workspace struct {
 		series
-		recent *recent
+		recent *recentLatencies
 	}
 
-	// latencies are histograms to be encoded into a window.
-	latencies struct {
+	// latencyCopy holds copied histograms, to be encoded into a window without
+	// holding the lock.
+	latencyCopy struct {
 		window *Window
 		first  encodable
 		total  encodable
@@ -48,24 +49,24 @@
 // New returns an empty Burn.
 func New(s Settings, clock clockwork.Clock) *Burn {
 	b := &Burn{
-		clock:      clock,
-		start:      clock.Now(),
-		objectives: s.Objectives,
-		workspaces: s.Workspaces,
-		histograms: s.Histograms,
-		named:      map[string]*workspace{},
+		clock:         clock,
+		start:         clock.Now(),
+		objectives:    s.Objectives,
+		maxWorkspaces: s.Workspaces,
+		maxHistograms: s.Histograms,
+		byWorkspace:   map[string]*workspace{},
 	}
-	if b.workspaces <= 0 {
-		b.workspaces = DefaultWorkspaces
+	if b.maxWorkspaces <= 0 {
+		b.maxWorkspaces = DefaultWorkspaces
 	}
-	if b.histograms <= 0 {
-		b.histograms = DefaultHistograms
+	if b.maxHistograms <= 0 {
+		b.maxHistograms = DefaultHistograms
 	}
 	return b
 }
 
-// SetObjectives changes what counts as late from now on. What was counted before
-// stays as it was.
+// SetObjectives sets the objectives for requests observed from now on. Earlier
+// counts do not change.
 func (b *Burn) SetObjectives(o Objectives) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,79 +91,80 @@
 	b.observeRecent(w, elapsed, o)
 }
 
-// elapsed counts from the start, so that a step of the wall clock moves nothing
-// where the clock has a monotonic reading, and is never negative.
+// elapsed returns the time since the start. It is never negative, and a clock
+// with a monotonic reading is not affected by steps of the wall clock.
 func (b *Burn) elapsed() time.Duration {
 	return max(b.clock.Since(b.start), 0)
 }
 
 func (b *Burn) workspace(name string, elapsed time.Duration) *workspace {
-	if w, ok := b.named[name]; ok {
+	if w, ok := b.byWorkspace[name]; ok {
 		return w
 	}
-	if len(b.named) >= b.workspaces {
-		b.sweep(elapsed)
+	if len(b.byWorkspace) >= b.maxWorkspaces {
+		b.removeExpired(elapsed)
 	}
-	if len(b.named) >= b.workspaces {
+	if len(b.byWorkspace) >= b.maxWorkspaces {
 		name = OtherWorkspaces
 	}
-	w, ok := b.named[name]
+	w, ok := b.byWorkspace[name]
 	if !ok {
 		w = &workspace{}
-		b.named[name] = w
+		b.byWorkspace[name] = w
 	}
 	return w
 }
 
 func (b *Burn) observeRecent(w *workspace, elapsed time.Duration, o Outcome) {
-	half := halfHour(elapsed)
+	half := halfHourAt(elapsed)
 	if w.recent == nil {
-		if b.recents >= b.histograms || !enough(w, elapsed) {
+		if b.recentCount >= b.maxHistograms || !hasEnoughForPercentiles(w, elapsed) {
 			return
 		}
 		w.recent = newRecent(half)
-		b.recents++
+		b.recentCount++
 	}
 	w.recent.add(half, o)
 }
 
-func enough(w *workspace, elapsed time.Duration) bool {
+func hasEnoughForPercentiles(w *workspace, elapsed time.Duration) bool {
 	c := w.rings[hourWindow].sum(windows[hourWindow].bucketAt(elapsed))
-	return c.Served >= enoughForPercentiles
+	return c.Served >= minForPercentiles
 }
 
-// sweep frees what has expired. Without it a workspace seen once would hold its
-// place for as long as the process runs.
-func (b *Burn) sweep(elapsed time.Duration) {
-	for name, w := range b.named {
-		b.free(name, w, elapsed)
+// removeExpired removes expired data. Without it a workspace seen once would
+// take up memory for as long as the process runs.
+func (b *Burn) removeExpired(elapsed time.Duration) {
+	for name, w := range b.byWorkspace {
+		b.removeIfExpired(name, w, elapsed)
 	}
 }
 
-// free drops a workspace's percentiles once they have expired, and the workspace
-// once all has. It tells whether the workspace is gone.
-func (b *Burn) free(name string, w *workspace, elapsed time.Duration) bool {
-	gone := w.idle(elapsed)
-	if w.recent != nil && (gone || w.recent.empty(halfHour(elapsed))) {
+// removeIfExpired removes a workspace's histograms once they have expired, and
+// the workspace once everything has. It reports whether the workspace was
+// removed.
+func (b *Burn) removeIfExpired(name string, w *workspace, elapsed time.Duration) bool {
+	gone := w.empty(elapsed)
+	if w.recent != nil && (gone || w.recent.empty(halfHourAt(elapsed))) {
 		w.recent = nil
-		b.recents--
+		b.recentCount--
 	}
 	if gone {
-		delete(b.named, name)
+		delete(b.byWorkspace, name)
 	}
 	return gone
 }
 
-// Snapshot returns the counts of all windows, by workspace and over all. What is
-// observed meanwhile may be in some of its rows and not in others.
+// Snapshot returns the counts of all windows, by workspace and in total.
+// Requests observed while it runs may be in some of its rows and not in others.
 func (b *Burn) Snapshot() Snapshot {
-	s, names := b.copyAll()
-	var copies []latencies
+	s, names := b.copyTotals()
+	var copies []latencyCopy
 	for i := range s.All.Windows {
-		copies = append(copies, b.copyLatencies(i, &s.All.Windows[i]))
+		copies = append(copies, b.copyTotalLatencies(i, &s.All.Windows[i]))
 	}
 	s.Workspaces = make([]Series, 0, len(names))
-	for chunk := range slices.Chunk(names, copiedAtOnce) {
+	for chunk := range slices.Chunk(names, snapshotBatch) {
 		rows, more := b.copyWorkspaces(chunk)
 		s.Workspaces = append(s.Workspaces, rows...)
 		copies = append(copies, more...)
@@ -175,40 +177,40 @@
 	return s
 }
 
-func (b *Burn) copyAll() (Snapshot, []string) {
+func (b *Burn) copyTotals() (Snapshot, []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := Snapshot{At: b.clock.Now(), Since: b.start, Hosts: 1, Objectives: b.objectives, All: b.all.snapshot("", b.elapsed())}
-	return s, slices.Collect(maps.Keys(b.named))
+	return s, slices.Collect(maps.Keys(b.byWorkspace))
 }
 
-func (b *Burn) copyLatencies(i int, into *Window) latencies {
+func (b *Burn) copyTotalLatencies(i int, into *Window) latencyCopy {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first, total := b.latencies[i].merged(windows[i].bucketAt(b.elapsed()))
-	return latencies{into, first, total}
+	return latencyCopy{into, first, total}
 }
 
-func (b *Burn) copyWorkspaces(names []string) (rows []Series, copies []latencies) {
+func (b *Burn) copyWorkspaces(names []string) (rows []Series, copies []latencyCopy) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	elapsed := b.elapsed()
 	for _, name := range names {
-		w, ok := b.named[name]
-		if !ok || b.free(name, w, elapsed) {
+		w, ok := b.byWorkspace[name]
+		if !ok || b.removeIfExpired(name, w, elapsed) {
 			continue
 		}
 		row := w.snapshot(name, elapsed)
 		rows = append(rows, row)
 		if w.recent != nil {
-			sum := w.recent.merged(halfHour(elapsed))
-			copies = append(copies, latencies{&row.Windows[hourWindow], sum.first, sum.total})
+			sum := w.recent.merged(halfHourAt(elapsed))
+			copies = append(copies, latencyCopy{&row.Windows[hourWindow], sum.first, sum.total})
 		}
 	}
 	return rows, copies
 }
 
-// Report is the snapshot's.
+// Report returns the report of a new snapshot.
 func (b *Burn) Report() Report {
 	return b.Snapshot().Report()
 }
--- a/internal/process/beechburn/doc.go
+++ b/internal/process/beechburn/doc.go
@@ -1,27 +1,31 @@
-// Package beechburn keeps service-level burn: how fast requests use up what the
-// objectives allow to go wrong, by workspace and over all.
+// Package beechburn computes error-budget burn rates of service-level
+// objectives, by workspace and in total.
 //
-// A burn of 1 uses up exactly what is allowed; 10 uses it up ten times as fast.
-// Each request can spend three allowances: it was not served, its first token
-// came late, its whole answer came late. Burn is the worst of the three.
+// A burn rate of 1 spends exactly the error budget of the objective; 10 spends
+// it ten times as fast. There are three objectives: a request is served, its
+// first token is in time, its complete answer is in time. The burn rate is the
+// highest of the three.
 //
-// Four windows are kept, because one alone misleads. A short one reacts within
-// minutes and also to a blip; a long one tells what lasts, and tells it late. An
-// alert therefore needs a long and a short window at once: the long one shows
-// that it matters, the short one that it still goes on. The pairs and rates are
-// the usual ones for an allowance of 30 days: 14.4 over an hour and five minutes
-// spends 2% of the month in that hour, 6 over six hours spends 5%, 1 over three
+// Four windows are kept, because a single one misleads. A short window reacts
+// within minutes, but also to a brief disturbance; a long one shows only what
+// lasts, and shows it late. An alert therefore requires a high burn rate in a
+// long and a short window at once: the long one shows that it is significant,
+// the short one that it is still going on. The pairs and rates are the common
+// ones for a budget of 30 days: 14.4 over an hour and five minutes spends 2% of
+// the month's budget in that hour, 6 over six hours spends 5%, 1 over three
 // days spends a tenth of it.
 //
-// Memory is bounded. Each workspace has counts in six buckets a window, and only
-// for buckets in which it sent something. Percentiles need histograms, which are
-// larger: over all there is one for each bucket, for a workspace only of the last
-// hour, once it sent enough for a percentile to mean something, and for a bounded
-// number of workspaces. Workspaces beyond the limit are counted together under
-// OtherWorkspaces.
+// Memory is bounded. Each workspace has counts in six buckets a window, and
+// only for buckets in which it sent requests. Percentiles need histograms,
+// which are larger. For the total there is one histogram per bucket and
+// latency. A workspace has histograms for the last hour only, once it has sent
+// enough requests for percentiles to be meaningful, and only a bounded number
+// of workspaces have them. Workspaces beyond the limit are counted together
+// under OtherWorkspaces.
 //
-// Each entry host sees a share of the requests. Merge adds up their snapshots:
-// counts and histograms, never percentiles, whose mean is no percentile.
+// Each entry host sees a share of the requests. Merge adds up the counts and
+// histograms of their snapshots; percentiles are computed afterwards, since the
+// mean of percentiles is not a percentile.
 //
 // # Usage
 //
--- a/internal/process/beechburn/latency.go
+++ b/internal/process/beechburn/latency.go
@@ -7,71 +7,73 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Geometry of the histograms. Values are counted in steps of 10 microseconds
-// up to an hour. Over all, two digits keep an error within 1%; a workspace's
-// percentiles are within 10%, for a small part of the memory.
+// Resolution of the histograms. Values are counted in steps of 10 microseconds
+// up to an hour. For the total, two significant digits keep the error within
+// 1%; a workspace's percentiles are within 10%, for a small fraction of the
+// memory.
 const (
 	latencyStep     = 10 * time.Microsecond
-	latencyMost     = int64(time.Hour / latencyStep)
-	allDigits       = 2
+	maxLatencySteps = int64(time.Hour / latencyStep)
+	totalDigits     = 2
 	workspaceDigits = 1
 )
 
-// enoughForPercentiles is how many requests a workspace must send in an hour to
-// get percentiles. Below it the 99th is merely the largest.
-const enoughForPercentiles = 20
+// minForPercentiles is how many requests of a workspace must have been served
+// in an hour before it gets percentiles. With fewer, the 99th percentile is
+// simply the maximum.
+const minForPercentiles = 20
 
 type (
-	// latencyBucket is the latencies of one bucket of a window over all.
+	// latencyBucket holds the latencies of one bucket of a window of the total.
 	latencyBucket struct {
 		number int32
 		first  *hdrhistogram.Histogram
 		total  *hdrhistogram.Histogram
 	}
 
-	// latencyRing is a window's buckets over all, the oldest first.
+	// latencyRing holds a window's latency buckets of the total, the oldest first.
 	latencyRing []latencyBucket
 
-	// recent is a workspace's latencies of the hour, in two halves, so that an
-	// old half can be dropped as a whole.
-	recent struct {
-		half    int32
-		current packedPair
-		before  packedPair
+	// recentLatencies holds a workspace's latencies of the last hour in two
+	// half-hours, so that the older one can be dropped as a whole.
+	recentLatencies struct {
+		half     int32
+		current  latencyPair
+		previous latencyPair
 	}
 
-	packedPair struct {
+	latencyPair struct {
 		first *hdrhistogram.PackedHistogram
 		total *hdrhistogram.PackedHistogram
 	}
 
-	// encodable is either kind of histogram.
+	// encodable is implemented by both kinds of histogram.
 	encodable interface {
 		TotalCount() int64
 		EncodeV2() ([]byte, error)
 	}
 
-	// histogram is one encoded in HDR's own V2 format.
+	// histogram is a histogram encoded in the V2 format of HdrHistogram.
 	histogram string
 )
 
-func steps(d time.Duration) int64 {
-	return min(max(int64(d/latencyStep), 1), latencyMost)
+func toSteps(d time.Duration) int64 {
+	return min(max(int64(d/latencyStep), 1), maxLatencySteps)
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, latencyMost, allDigits)
+	return hdrhistogram.New(1, maxLatencySteps, totalDigits)
 }
 
-func newPackedPair() packedPair {
-	return packedPair{
-		first: hdrhistogram.NewPacked(1, latencyMost, workspaceDigits),
-		total: hdrhistogram.NewPacked(1, latencyMost, workspaceDigits),
+func newLatencyPair() latencyPair {
+	return latencyPair{
+		first: hdrhistogram.NewPacked(1, maxLatencySteps, workspaceDigits),
+		total: hdrhistogram.NewPacked(1, maxLatencySteps, workspaceDigits),
 	}
 }
 
-// add records into the running bucket. Steps are within the histogram's range,
-// so recording cannot fail.
+// add records into the current bucket. toSteps keeps values within the histogram's
+// range, so recording cannot fail.
 func (r *latencyRing) add(number int32, o Outcome) {
 	r.expire(number)
 	last := len(*r) - 1
@@ -81,9 +83,9 @@
 	}
 	b := (*r)[last]
 	if o.FirstToken > 0 {
-		_ = b.first.RecordValue(steps(o.FirstToken))
+		_ = b.first.RecordValue(toSteps(o.FirstToken))
 	}
-	_ = b.total.RecordValue(steps(o.Total))
+	_ = b.total.RecordValue(toSteps(o.Total))
 }
 
 func (r *latencyRing) expire(number int32) {
@@ -102,52 +104,53 @@
 	return first, total
 }
 
-func halfHour(elapsed time.Duration) int32 {
+func halfHourAt(elapsed time.Duration) int32 {
 	return int32(elapsed / (windows[hourWindow].span / 2))
 }
 
-func newRecent(half int32) *recent {
-	return &recent{half: half, current: newPackedPair(), before: newPackedPair()}
+func newRecent(half int32) *recentLatencies {
+	return &recentLatencies{half: half, current: newLatencyPair(), previous: newLatencyPair()}
 }
 
-// turn drops what is older than the half before this one.
-func (r *recent) turn(half int32) {
+// rotate makes half the current half-hour and drops what is older than the one
+// before it.
+func (r *recentLatencies) rotate(half int32) {
 	switch {
 	case half <= r.half:
 		return
 	case half == r.half+1:
-		r.before = r.current
+		r.previous = r.current
 	default:
-		r.before = newPackedPair()
+		r.previous = newLatencyPair()
 	}
-	r.current = newPackedPair()
+	r.current = newLatencyPair()
 	r.half = half
 }
 
-func (r *recent) add(half int32, o Outcome) {
-	r.turn(half)
+func (r *recentLatencies) add(half int32, o Outcome) {
+	r.rotate(half)
 	if o.FirstToken > 0 {
-		_ = r.current.first.RecordValue(steps(o.FirstToken))
+		_ = r.current.first.RecordValue(toSteps(o.FirstToken))
 	}
-	_ = r.current.total.RecordValue(steps(o.Total))
+	_ = r.current.total.RecordValue(toSteps(o.Total))
 }
 
-func (r *recent) empty(half int32) bool {
-	r.turn(half)
-	return r.current.total.TotalCount() == 0 && r.before.total.TotalCount() == 0
+func (r *recentLatencies) empty(half int32) bool {
+	r.rotate(half)
+	return r.current.total.TotalCount() == 0 && r.previous.total.TotalCount() == 0
 }
 
-// merged is a copy of the last hour's.
-func (r *recent) merged(half int32) packedPair {
-	r.turn(half)
-	sum := packedPair{first: r.before.first.Clone(), total: r.before.total.Clone()}
+// merged returns a copy of the latencies of the last hour.
+func (r *recentLatencies) merged(half int32) latencyPair {
+	r.rotate(half)
+	sum := latencyPair{first: r.previous.first.Clone(), total: r.previous.total.Clone()}
 	sum.first.Merge(r.current.first)
 	sum.total.Merge(r.current.total)
 	return sum
 }
 
-// encode returns "" for an empty histogram. Encoding fails for none that this
-// package makes; a failure would show as a histogram that cannot be decoded.
+// encode returns "" for an empty histogram. Encoding does not fail for
+// histograms of this package; if it did, the result could not be decoded.
 func encode(h encodable) histogram {
 	if h.TotalCount() == 0 {
 		return ""
@@ -190,7 +193,8 @@
 	return encode(into), nil
 }
 
-// quantile is in percent. It is 0 for an empty or unreadable histogram.
+// quantile takes a percentage. It returns 0 for an empty or unreadable
+// histogram.
 func (h histogram) quantile(percent float64) time.Duration {
 	decoded, err := h.decode()
 	if err != nil {
--- a/internal/process/beechburn/report.go
+++ b/internal/process/beechburn/report.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// What an operator is told to do.
+// Alerts, by urgency.
 const (
 	AlertNone   Alert = ""
-	AlertTicket Alert = "ticket" // look at it today
-	AlertPage   Alert = "page"   // look at it now
+	AlertTicket Alert = "ticket" // investigate today
+	AlertPage   Alert = "page"   // investigate now
 )
 
-// leastBad is how many requests must have gone wrong in the long window before
-// an alert. One failure among three requests at night is a burn of hundreds and
-// no reason to wake anybody.
-const leastBad = 10
+// minBadRequests is how many requests in the long window must have missed an
+// objective before there is an alert. One failure among three requests at night
+// is a burn rate of hundreds, but does not justify an alert.
+const minBadRequests = 10
 
 // Indexes into windows.
 const (
@@ -26,25 +26,27 @@
 	threeDays
 )
 
-// rules are tried in order; the package comment says where the rates come from.
-var rules = []rule{
+// alertRules are tried in order; the package comment explains the rates.
+var alertRules = []alertRule{
 	{long: oneHour, short: fiveMinutes, rate: 14.4, alert: AlertPage},
 	{long: sixHours, short: oneHour, rate: 6, alert: AlertPage},
 	{long: threeDays, short: sixHours, rate: 1, alert: AlertTicket},
 }
 
 type (
-	// Alert is what an operator is told to do.
+	// Alert tells an operator how urgent it is to look at a workspace or the
+	// total.
 	Alert string
 
-	rule struct {
+	alertRule struct {
 		long  int
 		short int
 		rate  float64
 		alert Alert
 	}
 
-	// Report is what an operator reads. Workspaces come with the worst first.
+	// Report is the report for operators. Workspaces are sorted by severity, the
+	// worst first.
 	Report struct {
 		At         time.Time  `json:"at"`
 		Since      time.Time  `json:"since"`
@@ -54,15 +56,15 @@
 		Workspaces []Row      `json:"workspaces"`
 	}
 
-	// Row is one workspace, or all.
+	// Row is the report of one workspace, or of the total.
 	Row struct {
 		Workspace string      `json:"workspace,omitempty"`
 		Alert     Alert       `json:"alert,omitempty"`
 		Windows   []WindowRow `json:"windows"`
 	}
 
-	// WindowRow is one span. Burn is the worst of the three that follow it.
-	// Times are 0 where they are not kept.
+	// WindowRow is the report of one window. Burn is the highest of the three burn
+	// rates that follow it. Latencies are 0 if they are not kept.
 	WindowRow struct {
 		Window      string        `json:"window"`
 		Burn        float64       `json:"burn"`
@@ -74,8 +76,8 @@
 		FirstP99    time.Duration `json:"first_token_p99_nanos"`
 		TotalP50    time.Duration `json:"total_p50_nanos"`
 		TotalP99    time.Duration `json:"total_p99_nanos"`
-		HitRate     float64       `json:"hit_rate"`     // cached over prompt tokens
-		WastedShare float64       `json:"wasted_share"` // wasted over prompt tokens
+		HitRate     float64       `json:"hit_rate"`     // cached divided by prompt tokens
+		WastedShare float64       `json:"wasted_share"` // wasted divided by prompt tokens
 		Counts
 	}
 )
@@ -118,14 +120,15 @@
 	return r
 }
 
-// burnRate is the part that went wrong over the part that may. A share of 1
-// allows nothing; it is taken as a millionth, so that the rate stays finite.
-func burnRate(bad, all uint64, promised float64) float64 {
-	if promised <= 0 || all == 0 {
+// burnRate is the share of bad requests divided by the share that the objective
+// allows. An objective of 1 allows none; a millionth is used instead, so that
+// the rate stays finite.
+func burnRate(bad, all uint64, objective float64) float64 {
+	if objective <= 0 || all == 0 {
 		return 0
 	}
-	const leastAllowed = 1e-6
-	return share(bad, all) / max(1-promised, leastAllowed)
+	const minAllowed = 1e-6
+	return share(bad, all) / max(1-objective, minAllowed)
 }
 
 func share(part, whole uint64) float64 {
@@ -135,7 +138,8 @@
 	return float64(part) / float64(whole)
 }
 
-// bad is how many requests spent an allowance in some way.
+// bad returns how many requests missed the objective that was missed most
+// often.
 func (r WindowRow) bad() uint64 {
 	return max(r.Refused+r.Failed, r.LateFirst, r.LateTotal)
 }
@@ -144,17 +148,17 @@
 	if len(r.Windows) != windowCount {
 		return AlertNone
 	}
-	for _, u := range rules {
+	for _, u := range alertRules {
 		long, short := r.Windows[u.long], r.Windows[u.short]
-		if long.Burn >= u.rate && short.Burn >= u.rate && long.bad() >= leastBad {
+		if long.Burn >= u.rate && short.Burn >= u.rate && long.bad() >= minBadRequests {
 			return u.alert
 		}
 	}
 	return AlertNone
 }
 
-// worstFirst orders by alert, then by the burn of the last hour, then by
-// requests.
+// worstFirst sorts by alert, then by the burn rate of the last hour, then by
+// the number of served requests.
 func worstFirst(a, b Row) int {
 	order := cmp.Compare(severity(b.Alert), severity(a.Alert))
 	if order != 0 || len(a.Windows) != windowCount || len(b.Windows) != windowCount {
--- a/internal/process/beechburn/snapshot.go
+++ b/internal/process/beechburn/snapshot.go
@@ -6,13 +6,12 @@
 	"time"
 )
 
-// errNoSnapshot is a merge of nothing.
 var errNoSnapshot = errors.New("no snapshot to merge")
 
 type (
-	// Snapshot is what one process has counted, or several together. Its JSON
-	// is what entry hosts hand to the burn command. Since is when the youngest
-	// of the processes started: windows that reach back further miss its share.
+	// Snapshot holds the counts of one process, or the sum of several. Entry hosts
+	// send it to the burn command as JSON. Since is when the most recently started
+	// of the processes started: windows that reach back further lack its share.
 	Snapshot struct {
 		At         time.Time  `json:"at"`
 		Since      time.Time  `json:"since"`
@@ -22,14 +21,13 @@
 		Workspaces []Series   `json:"workspaces"`
 	}
 
-	// Series is one workspace's windows, or those over all.
+	// Series holds the windows of one workspace, or of the total.
 	Series struct {
 		Workspace string   `json:"workspace,omitempty"`
 		Windows   []Window `json:"windows"`
 	}
 
-	// Window is what was counted in one span, with its latencies where they
-	// are kept.
+	// Window holds the counts of one window, and its latencies if they are kept.
 	Window struct {
 		Name string `json:"name"`
 		Counts
@@ -38,8 +36,9 @@
 	}
 )
 
-// Merge adds up the snapshots of several processes. Objectives are those of the
-// newest, since hosts may for some seconds have different configurations.
+// Merge adds up the snapshots of several processes. It uses the objectives of
+// the newest snapshot, since hosts may have different configurations for some
+// seconds.
 func Merge(snapshots []Snapshot) (Snapshot, error) {
 	if len(snapshots) == 0 {
 		return Snapshot{}, errNoSnapshot
@@ -56,9 +55,9 @@
 		}
 		merged.Hosts += s.Hosts
 		if err := merged.All.merge(s.All); err != nil {
-			return Snapshot{}, fmt.Errorf("merge burn over all: %w", err)
+			return Snapshot{}, fmt.Errorf("merge totals: %w", err)
 		}
-		if err := mergeNamed(named, s.Workspaces); err != nil {
+		if err := mergeWorkspaces(named, s.Workspaces); err != nil {
 			return Snapshot{}, err
 		}
 	}
@@ -69,14 +68,14 @@
 	return merged, nil
 }
 
-func mergeNamed(into map[string]Series, from []Series) error {
+func mergeWorkspaces(into map[string]Series, from []Series) error {
 	for _, s := range from {
 		sum, ok := into[s.Workspace]
 		if !ok {
 			sum = Series{Workspace: s.Workspace, Windows: emptyWindows()}
 		}
 		if err := sum.merge(s); err != nil {
-			return fmt.Errorf("merge burn of workspace %s: %w", s.Workspace, err)
+			return fmt.Errorf("merge workspace %s: %w", s.Workspace, err)
 		}
 		into[s.Workspace] = sum
 	}
@@ -91,8 +90,8 @@
 	return empty
 }
 
-// merge goes by the windows' names, so that a host of another version with
-// other windows adds what both know.
+// merge matches windows by name, so that a host of another version with other
+// windows contributes those that both know.
 func (s *Series) merge(o Series) error {
 	for _, from := range o.Windows {
 		for i := range s.Windows {
--- a/internal/process/beechburn/types.go
+++ b/internal/process/beechburn/types.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// How a request ended, as far as an objective is concerned.
+// How a request ended, and whether it spends the error budget.
 const (
-	Served    Result = iota // the caller got its whole answer
-	Refused                 // turned away for want of room: spends the allowance
-	Failed                  // begun and not finished, or outcome unknown: spends it
-	Limited                 // beyond the workspace's own limits: not counted
-	Invalid                 // the caller's error: not counted
-	Cancelled               // the caller went away: not counted
+	Served    Result = iota // the caller got its complete answer
+	Refused                 // rejected for lack of capacity: spends the budget
+	Failed                  // started and not finished, or outcome unknown: spends the budget
+	Limited                 // over the workspace's own limits: excluded
+	Invalid                 // the caller's error: excluded
+	Cancelled               // the caller disconnected: excluded
 )
 
 // OtherWorkspaces is the name under which workspaces beyond the limit are
 // counted together.
 const OtherWorkspaces = "(other)"
 
-// What a Settings field of zero stands for.
+// Defaults of Settings fields that are zero.
 const (
 	DefaultWorkspaces = 10_000
 	DefaultHistograms = 512
@@ -26,8 +26,9 @@
 	// Result is how a request ended.
 	Result int
 
-	// Objectives are what the deployment promises. A share is the part of
-	// requests that must keep to it, as 0.95; 0 or a target of 0 switches one off.
+	// Objectives are the service-level objectives of the deployment. A share is
+	// the fraction of requests that must meet the objective, such as 0.95. A share
+	// or a target of 0 disables the objective.
 	Objectives struct {
 		ServedShare     float64       `json:"served_share"`
 		FirstToken      time.Duration `json:"first_token_nanos"`
@@ -36,16 +37,16 @@
 		TotalShare      float64       `json:"total_share"`
 	}
 
-	// Settings are the objectives and the bounds of memory.
+	// Settings are the objectives and the limits of memory.
 	Settings struct {
 		Objectives Objectives
-		Workspaces int // workspaces counted apart
+		Workspaces int // workspaces counted separately
 		Histograms int // workspaces with percentiles
 	}
 
-	// Outcome is one request. FirstToken is 0 for what has none, as a plain
-	// service's call. Wasted is prompt tokens that were computed although a
-	// live engine held them.
+	// Outcome is the outcome of one request. FirstToken is 0 for requests without
+	// one, such as a plain service's call. Wasted is the number of prompt tokens
+	// that were computed although a live engine held them.
 	Outcome struct {
 		Workspace  string
 		Result     Result
@@ -56,7 +57,7 @@
 		Wasted     int
 	}
 
-	// Counts add up outcomes.
+	// Counts are sums over outcomes.
 	Counts struct {
 		Served    uint64 `json:"served,omitempty"`
 		Refused   uint64 `json:"refused,omitempty"`
@@ -71,7 +72,7 @@
 	}
 )
 
-// add is the sum of both.
+// add returns the sum of both.
 func (c Counts) add(o Counts) Counts {
 	c.Served += o.Served
 	c.Refused += o.Refused
@@ -86,19 +87,19 @@
 	return c
 }
 
-// count is what one outcome adds.
+// count returns the counts of one outcome.
 func (o Objectives) count(v Outcome) Counts {
 	c := Counts{
-		Prompt: natural(v.Prompt),
-		Cached: natural(v.Cached),
-		Wasted: natural(v.Wasted),
+		Prompt: nonNegative(v.Prompt),
+		Cached: nonNegative(v.Cached),
+		Wasted: nonNegative(v.Wasted),
 	}
 	switch v.Result {
 	case Served:
 		c.Served = 1
-		c.WithFirst = one(v.FirstToken > 0)
-		c.LateFirst = one(o.FirstToken > 0 && v.FirstToken > o.FirstToken)
-		c.LateTotal = one(o.Total > 0 && v.Total > o.Total)
+		c.WithFirst = boolToCount(v.FirstToken > 0)
+		c.LateFirst = boolToCount(o.FirstToken > 0 && v.FirstToken > o.FirstToken)
+		c.LateTotal = boolToCount(o.Total > 0 && v.Total > o.Total)
 	case Refused:
 		c.Refused = 1
 	case Failed:
@@ -109,13 +110,13 @@
 	return c
 }
 
-// natural keeps a negative count, which only a fault could make, from turning
-// into a huge one.
-func natural(n int) uint64 {
+// nonNegative converts a count. A negative count, which only a bug could
+// produce, becomes 0 instead of a huge number.
+func nonNegative(n int) uint64 {
 	return uint64(max(n, 0))
 }
 
-func one(condition bool) uint64 {
+func boolToCount(condition bool) uint64 {
 	if condition {
 		return 1
 	}
--- a/internal/process/beechburn/window.go
+++ b/internal/process/beechburn/window.go
@@ -4,11 +4,11 @@
 
 const (
 	windowCount   = 4
-	windowBuckets = 6 // a window covers six whole buckets and the running one
-	hourWindow    = 1 // the window for which workspaces have percentiles
+	windowBuckets = 6 // a window covers six full buckets and the current one
+	hourWindow    = 1 // index of the window for which workspaces have percentiles
 )
 
-// windows are the spans that burn is kept for, the shortest first.
+// windows are the windows that are kept, the shortest first.
 var windows = [windowCount]window{
 	{"5m", 5 * time.Minute},
 	{"1h", time.Hour},
@@ -22,17 +22,17 @@
 		span time.Duration
 	}
 
-	// bucket is the counts of one stretch of time, numbered from the start. It
-	// is a Counts with narrow numbers, since there are 28 of them to a
-	// workspace and thousands of workspaces. No bucket is longer than half a
-	// day, in which a host sees far less than 4 billion requests.
+	// bucket holds the counts of one interval, numbered from the start. It stores
+	// Counts in narrower types, since there are 28 buckets per workspace and
+	// thousands of workspaces. No bucket covers more than half a day, in which a
+	// host sees far fewer than 4 billion requests.
 	bucket struct {
 		number    int32
 		served    uint32
 		refused   uint32
 		failed    uint32
 		excluded  uint32
-		first     uint32
+		withFirst uint32
 		lateFirst uint32
 		lateTotal uint32
 		prompt    uint64
@@ -40,23 +40,23 @@
 		wasted    uint64
 	}
 
-	// ring is the buckets of a window that are not empty, the oldest first.
-	ring []bucket
+	// bucketRing holds the non-empty buckets of a window, the oldest first.
+	bucketRing []bucket
 
-	// series is one workspace, or all.
+	// series holds the counts of one workspace, or the total.
 	series struct {
-		rings [windowCount]ring
+		rings [windowCount]bucketRing
 	}
 )
 
-// bucketAt numbers the bucket at a time since the start.
+// bucketAt returns the number of the bucket at a time since the start.
 func (w window) bucketAt(elapsed time.Duration) int32 {
 	return int32(elapsed / (w.span / windowBuckets))
 }
 
-// add counts into the running bucket. A clock that steps back goes on counting
-// into the newest bucket.
-func (r *ring) add(number int32, c Counts) {
+// add counts into the current bucket. If the clock steps back, the newest
+// bucket is used.
+func (r *bucketRing) add(number int32, c Counts) {
 	r.expire(number)
 	last := len(*r) - 1
 	if last < 0 || (*r)[last].number < number {
@@ -71,7 +71,7 @@
 	b.refused += uint32(c.Refused)
 	b.failed += uint32(c.Failed)
 	b.excluded += uint32(c.Excluded)
-	b.first += uint32(c.WithFirst)
+	b.withFirst += uint32(c.WithFirst)
 	b.lateFirst += uint32(c.LateFirst)
 	b.lateTotal += uint32(c.LateTotal)
 	b.prompt += c.Prompt
@@ -85,7 +85,7 @@
 		Refused:   uint64(b.refused),
 		Failed:    uint64(b.failed),
 		Excluded:  uint64(b.excluded),
-		WithFirst: uint64(b.first),
+		WithFirst: uint64(b.withFirst),
 		LateFirst: uint64(b.lateFirst),
 		LateTotal: uint64(b.lateTotal),
 		Prompt:    b.prompt,
@@ -94,7 +94,7 @@
 	}
 }
 
-func (r *ring) expire(number int32) {
+func (r *bucketRing) expire(number int32) {
 	gone := 0
 	for gone < len(*r) && (*r)[gone].number < number-windowBuckets {
 		gone++
@@ -104,7 +104,7 @@
 	}
 }
 
-func (r *ring) sum(number int32) Counts {
+func (r *bucketRing) sum(number int32) Counts {
 	r.expire(number)
 	var total Counts
 	for i := range *r {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (s *series) idle(elapsed time.Duration) bool {
+func (s *series) empty(elapsed time.Duration) bool {
 	for i, w := range windows {
 		s.rings[i].expire(w.bucketAt(elapsed))
 		if len(s.rings[i]) > 0 {
