--- a/internal/process/beechgate/admit.go
+++ b/internal/process/beechgate/admit.go
@@ -82,14 +82,14 @@
 		return Undecided{After: undecidedRetryAfter}
 	}
 	age := g.freshness.Age()
-	route, ok := c.Find(request.Host, request.Path)
+	route, ok := c.FindRoute(request.Host, request.Path)
 	if !ok {
 		if age > denyMaxAge {
 			return Undecided{After: undecidedRetryAfter}
 		}
 		return NoRoute{}
 	}
-	admitted := Admitted{Route: route, Service: route.Pick(rand.Float64()), Version: c.Version, BodyBytes: c.Limits.BodyBytes, Workspace: beechcall.Workspace{Priority: -1}}
+	admitted := Admitted{Route: route, Service: route.PickService(rand.Float64()), Version: c.Version, BodyBytes: c.Limits.BodyBytes, Workspace: beechcall.Workspace{Priority: -1}}
 	if route.Public || c.Workspaces == nil {
 		return admitted
 	}
--- a/internal/process/beechgate/configuration.go
+++ b/internal/process/beechgate/configuration.go
@@ -12,7 +12,7 @@
 
 // announcedVersion is a version of a model's weights that operators announced.
 type announcedVersion struct {
-	beechcall.Named
+	beechcall.WeightsVersion
 	learnedAt  time.Time // when this gate learned of it
 	lateLogged bool      // a warning that not all engines can load it in time was logged
 }
@@ -44,7 +44,7 @@
 			continue
 		}
 		g.mu.Lock()
-		g.announced[version.Model] = announcedVersion{Named: version, learnedAt: g.clock.Now()}
+		g.announced[version.Model] = announcedVersion{WeightsVersion: version, learnedAt: g.clock.Now()}
 		g.mu.Unlock()
 		g.log.Info("weights named", zap.String("model", version.Model), zap.Uint64("version", version.Version), zap.Uint64("revision", version.Revision))
 		g.requestFollow()
--- a/internal/process/beechgate/idle.go
+++ b/internal/process/beechgate/idle.go
@@ -53,8 +53,8 @@
 
 // idleTimeout returns the operators' timeout, or defaultIdleTimeout if they set none.
 func (g *Gate) idleTimeout() time.Duration {
-	if c := g.configuration.Load(); c != nil && c.Limits.IdleTime > 0 {
-		return c.Limits.IdleTime
+	if c := g.configuration.Load(); c != nil && c.Limits.IdleTimeout > 0 {
+		return c.Limits.IdleTimeout
 	}
 	return defaultIdleTimeout
 }
