--- a/internal/process/beechshare/doc.go
+++ b/internal/process/beechshare/doc.go
@@ -1,8 +1,9 @@
-// Package beechshare turns what processes tell one another to and from the
-// wire's messages, the same way in entry and agent.
+// Package beechshare converts suspect records and HTTP headers to and from wire
+// messages. It is used by every process that exchanges them, so that all
+// convert them in the same way.
 //
 // # Usage
 //
-//	heartbeat.Suspects = beechshare.WireSuspects(register.List())
-//	register.Merge(beechshare.SuspectRecords(heartbeat.Suspects))
+//	heartbeat.Suspects = beechshare.WireSuspects(registry.List())
+//	registry.Merge(beechshare.SuspectRecords(heartbeat.Suspects))
 package beechshare
--- a/internal/process/beechshare/headers.go
+++ b/internal/process/beechshare/headers.go
@@ -10,32 +10,34 @@
 	"github.com/beechring/beechring/internal/link/beechwire"
 )
 
-// connectionHeaders belong to one connection or are set anew at each hop.
+// connectionHeaders apply to a single connection or are set again at each hop.
 var connectionHeaders = []string{
 	"Connection", "Content-Length", "Content-Type", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// keptFromServices are headers of callers that no service sees: the workspace's
-// key, what net/http would resend a request by, and what could make a
-// service take a call for another method than the one that was checked against
-// the calls that may not be repeated.
-var keptFromServices = []string{
+// hiddenRequestHeaders are request headers that are never forwarded to a
+// service: the workspace's key, headers that would make net/http resend a
+// request, and headers that could make a service treat a call as another method
+// than the one that was checked for being repeatable.
+var hiddenRequestHeaders = []string{
 	"Authorization", "Expect", "Host", "Idempotency-Key", "X-Idempotency-Key", "Last-Event-Id", "X-Request-Id",
 	"X-Http-Method", "X-Http-Method-Override", "X-Method-Override", "X-Request-Timeout-Ms",
 }
 
-// WireRequestHeaders are a caller's headers that a plain service may see.
+// WireRequestHeaders returns the request headers that are forwarded to a plain
+// service.
 func WireRequestHeaders(header http.Header) []beechwire.Header {
-	return wireHeaders(header, keptFromServices)
+	return wireHeaders(header, hiddenRequestHeaders)
 }
 
-// WireAnswerHeaders are a plain service's headers that its caller may see.
+// WireAnswerHeaders returns the response headers of a plain service that are
+// forwarded to the caller.
 func WireAnswerHeaders(header http.Header) []beechwire.Header {
 	return wireHeaders(header, []string{"X-Request-Id", "X-Ran"})
 }
 
-// Header makes an HTTP header of the wire's lines.
+// Header converts wire headers to an HTTP header.
 func Header(lines []beechwire.Header) http.Header {
 	header := http.Header{}
 	for _, l := range lines {
@@ -44,11 +46,11 @@
 	return header
 }
 
-func wireHeaders(header http.Header, kept []string) []beechwire.Header {
+func wireHeaders(header http.Header, excluded []string) []beechwire.Header {
 	var lines []beechwire.Header
-	named := header.Values("Connection")
+	connection := header.Values("Connection")
 	for _, name := range slices.Sorted(maps.Keys(header)) {
-		if slices.Contains(connectionHeaders, name) || slices.Contains(kept, name) || isNamed(named, name) {
+		if slices.Contains(connectionHeaders, name) || slices.Contains(excluded, name) || listedInConnection(connection, name) {
 			continue
 		}
 		for _, value := range header[name] {
@@ -58,8 +60,9 @@
 	return lines
 }
 
-// isNamed tells whether a Connection header names another as its own.
-func isNamed(connection []string, name string) bool {
+// listedInConnection reports whether a Connection header lists name as a
+// hop-by-hop header.
+func listedInConnection(connection []string, name string) bool {
 	for _, value := range connection {
 		for _, token := range strings.Split(value, ",") {
 			if textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(token)) == name {
--- a/internal/process/beechshare/headers_test.go
+++ b/internal/process/beechshare/headers_test.go
@@ -7,10 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// A caller sends a GET that asks the service to take it for a POST, or names
-// its key's header as one of the connection's. A call that may not be repeated
-// would then run without a claim, or a service would learn a workspace's key.
-func TestServicesSeeOnlyWhatTheyMay(t *testing.T) {
+// A caller can ask a service to treat a GET as a POST through an override
+// header, or list other headers in Connection. If these were forwarded, a call
+// that may not be repeated would run without a claim, or a service would
+// receive a workspace's key.
+func TestServicesNeverReceiveKeysOrMethodOverrides(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{}
 	for name, value := range map[string]string{
@@ -24,7 +25,7 @@
 	is.Equal(got, http.Header{"Accept": {"text/csv"}, "If-None-Match": {"v1"}, "X-Own": {"kept"}})
 }
 
-func TestAnswersKeepTheirHeaders(t *testing.T) {
+func TestResponseHeadersReachTheCaller(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{"Location": {"/b/1"}, "Set-Cookie": {"a=1", "b=2"}, "X-Ran": {"no"}, "Content-Type": {"text/plain"}}
 	is.Equal(Header(WireAnswerHeaders(header)), http.Header{"Location": {"/b/1"}, "Set-Cookie": {"a=1", "b=2"}})
--- a/internal/process/beechshare/suspects.go
+++ b/internal/process/beechshare/suspects.go
@@ -9,7 +9,7 @@
 	"github.com/beechring/beechring/internal/link/beechwire"
 )
 
-// WireSuspects makes messages of a register's records.
+// WireSuspects converts suspect records to wire messages.
 func WireSuspects(records []beechsuspect.Record) []beechwire.Suspect {
 	out := make([]beechwire.Suspect, 0, len(records))
 	for _, r := range records {
@@ -20,21 +20,21 @@
 	return out
 }
 
-// Worst gives the records that matter most to others, the most crashes first,
-// as many as a datagram that is sent often may carry. When many engines crash
-// at once all that they ran is suspect; told in full, again and again, that
-// filled the links of small entry hosts.
+// Worst returns the records with the most crashes, and the newest among equals,
+// at most as many as a frequently sent datagram may carry. When many engines
+// crash at once, everything they were running is suspect; sending all of it
+// repeatedly filled the links of small entry hosts.
 func Worst(records []beechsuspect.Record) []beechsuspect.Record {
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(x, y beechsuspect.Record) int {
 		return cmp.Or(cmp.Compare(y.Crashes, x.Crashes), cmp.Compare(x.Age, y.Age))
 	})
-	return sorted[:min(len(sorted), worstMost)]
+	return sorted[:min(len(sorted), maxSentRecords)]
 }
 
-const worstMost = 6
+const maxSentRecords = 6
 
-// SuspectRecords makes records of messages.
+// SuspectRecords converts wire messages to suspect records.
 func SuspectRecords(suspects []beechwire.Suspect) []beechsuspect.Record {
 	out := make([]beechsuspect.Record, 0, len(suspects))
 	for _, s := range suspects {
