--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -89,7 +89,7 @@
 	r := &t.generation.request
 	if r.Service != "" {
 		return t.agent.service.Relay(ctx, beechbackend.Relay{
-			RequestID: r.ID, Method: r.Method, Path: r.Path, ContentType: r.ContentType, Header: beechshare.Header(r.Headers), Body: body,
+			RequestID: r.ID, Method: r.Method, Path: r.Path, ContentType: r.ContentType, Header: beechshare.HTTPHeader(r.Headers), Body: body,
 		})
 	}
 	return t.agent.engine.Generate(ctx, beechbackend.Generate{
--- a/internal/process/beechentry/writer.go
+++ b/internal/process/beechentry/writer.go
@@ -164,7 +164,7 @@
 func (p *plainWriter) end() error {
 	p.written = true
 	header := p.out.Header()
-	maps.Copy(header, beechshare.Header(p.headers))
+	maps.Copy(header, beechshare.HTTPHeader(p.headers))
 	if p.contentType != "" {
 		header.Set("Content-Type", p.contentType)
 	}
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -46,7 +46,7 @@
 // followRound contacts the keepers of this zone, or of all zones.
 func (g *Gate) followRound(farthest beechbeat.Way) {
 	targets := g.targets()
-	suspects := beechshare.WireSuspects(beechshare.Worst(g.suspects.RecentChanges()))
+	suspects := beechshare.WireSuspects(beechshare.MostCrashes(g.suspects.RecentChanges()))
 	for _, s := range g.keeperServers() {
 		if farthest == beechbeat.Far || g.wayTo(s) == beechbeat.Near || g.placer.KeeperSilent(s.ID) {
 			g.sendFollow(s, targets[s.ID], suspects)
--- a/internal/process/beechshare/headers.go
+++ b/internal/process/beechshare/headers.go
@@ -37,8 +37,8 @@
 	return wireHeaders(header, []string{"X-Request-Id", "X-Ran"})
 }
 
-// Header converts wire headers to an HTTP header.
-func Header(lines []beechwire.Header) http.Header {
+// HTTPHeader converts wire headers to an HTTP header.
+func HTTPHeader(lines []beechwire.Header) http.Header {
 	header := http.Header{}
 	for _, l := range lines {
 		header.Add(l.Name, l.Value)
--- a/internal/process/beechshare/headers_test.go
+++ b/internal/process/beechshare/headers_test.go
@@ -21,12 +21,12 @@
 	} {
 		header.Set(name, value)
 	}
-	got := Header(WireRequestHeaders(header))
+	got := HTTPHeader(WireRequestHeaders(header))
 	is.Equal(got, http.Header{"Accept": {"text/csv"}, "If-None-Match": {"v1"}, "X-Own": {"kept"}})
 }
 
 func TestResponseHeadersReachTheCaller(t *testing.T) {
 	is := is.New(t)
 	header := http.Header{"Location": {"/b/1"}, "Set-Cookie": {"a=1", "b=2"}, "X-Ran": {"no"}, "Content-Type": {"text/plain"}}
-	is.Equal(Header(WireAnswerHeaders(header)), http.Header{"Location": {"/b/1"}, "Set-Cookie": {"a=1", "b=2"}})
+	is.Equal(HTTPHeader(WireAnswerHeaders(header)), http.Header{"Location": {"/b/1"}, "Set-Cookie": {"a=1", "b=2"}})
 }
