--- a/internal/process/beechburn/latency.go
+++ b/internal/process/beechburn/latency.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// add records into the current bucket. toSteps keeps values within the histogram's
-// range, so recording cannot fail.
+// add records into the current bucket. toSteps keeps values within the
+// histogram's range, so recording cannot fail.
 func (r *latencyRing) add(number int32, o Outcome) {
 	r.expire(number)
 	last := len(*r) - 1
--- a/internal/process/beechentry/share.go
+++ b/internal/process/beechentry/share.go
@@ -149,10 +149,10 @@
 	return beechtask.Every(ctx, e.clock, shareInterval, func() { e.shareOnce(ctx, last) })
 }
 
-// shareOnce sends the members only if they or the agents changed, or if they
-// were last sent membersInterval ago. Sent every time, the members of 400 hosts
-// would be most of an idle entry host's traffic. Agents keep the members they
-// have if a message contains none.
+// shareOnce sends the members only if they changed, if an agent may not have
+// them, or if they were last sent membersInterval ago. Sent every time, the
+// members of 400 hosts would be most of an idle entry host's traffic. Agents
+// keep the members they have if a message contains none.
 func (e *Entry) shareOnce(ctx context.Context, last *sharedState) {
 	now := sharedState{members: e.wireMembers(), targets: e.shareTargets(), at: e.clock.Now()}
 	if len(now.members) == 0 {
--- a/internal/process/beechshare/suspects.go
+++ b/internal/process/beechshare/suspects.go
@@ -20,10 +20,10 @@
 	return out
 }
 
-// MostCrashes returns the records with the most crashes, and the newest among equals,
-// at most as many as a frequently sent datagram may carry. When many engines
-// crash at once, everything they were running is suspect; sending all of it
-// repeatedly filled the links of small entry hosts.
+// MostCrashes returns the records with the most crashes, and the newest among
+// equals, at most as many as a frequently sent datagram may carry. When many
+// engines crash at once, everything they were running is suspect; sending all
+// of it repeatedly filled the links of small entry hosts.
 func MostCrashes(records []beechsuspect.Record) []beechsuspect.Record {
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(x, y beechsuspect.Record) int {
