--- a/internal/command/beechscenario/idle_test.go
+++ b/internal/command/beechscenario/idle_test.go
@@ -34,7 +34,7 @@
 	beats       atomic.Int64
 }
 
-func (q *quietAgent) Beat() beechwire.Heartbeat {
+func (q *quietAgent) CurrentHeartbeat() beechwire.Heartbeat {
 	n := int(q.beats.Add(1))
 	return beechwire.Heartbeat{
 		Incarnation: q.incarnation, Generation: 1, Ready: true, Entries: 1, Models: []string{"fit-advisor@1"},
@@ -82,7 +82,7 @@
 			b.Fatal(err)
 		}
 		q := &quietAgent{address: netip.MustParseAddrPort(listener.Addr().String()), incarnation: uint64(i + 1)}
-		server := beechlink.New(beechlink.Settings{Key: secret}, q.hello, q, q, q, q, nil, clockwork.NewRealClock())
+		server := beechlink.NewServer(beechlink.Settings{Key: secret}, q.hello, q, q, q, q, nil, clockwork.NewRealClock())
 		go func() { _ = server.Serve(context.Background(), listener) }()
 		b.Cleanup(server.Close)
 		w.hosts = append(w.hosts, beechstore.Host{Name: fmt.Sprint("quiet-", i), Address: q.address, Zone: "zone-a", Role: beechwire.RoleAgent})
--- a/internal/link/beechlink/bench_test.go
+++ b/internal/link/beechlink/bench_test.go
@@ -36,7 +36,7 @@
 	rounds int
 }
 
-func (p *changingPulse) Beat() beechwire.Heartbeat {
+func (p *changingPulse) CurrentHeartbeat() beechwire.Heartbeat {
 	p.rounds++
 	return beechwire.Heartbeat{
 		Ready:      true,
@@ -49,7 +49,7 @@
 // ends.
 func serveAgents(count int) {
 	pulse := &changingPulse{}
-	s := New(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, pulse, nil, realClock)
+	s := NewServer(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, pulse, nil, realClock)
 	for range count {
 		l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
@@ -274,10 +274,10 @@
 		state beechwire.Heartbeat
 		frame []byte
 	)
-	w.taken(pulse.Beat(), 0)
+	w.taken(pulse.CurrentHeartbeat(), 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		h := pulse.Beat()
+		h := pulse.CurrentHeartbeat()
 		beat, _ := w.next(h, 0)
 		w.taken(h, 0)
 		frame, _ = appendFrame(frame[:0], 1<<20, kindBeat, &beat)
--- a/internal/link/beechlink/client.go
+++ b/internal/link/beechlink/client.go
@@ -21,7 +21,7 @@
 	Dialer struct {
 		settings Settings
 		self     func() beechwire.Hello
-		caller   Caller
+		caller   CallHandler
 		tls      *tls.Config
 		clock    clockwork.Clock
 		counters counters
@@ -58,7 +58,7 @@
 // NewDialer makes the entry's side. Self is asked at each handshake, pulse
 // every half Heartbeat. Key is sent in Hello; with tlsConfig, which may be nil,
 // it should hold this side's certificate and the roots of the agents'.
-func NewDialer(settings Settings, self func() beechwire.Hello, events Events, caller Caller, pulse Pulse, tlsConfig *tls.Config, clock clockwork.Clock) *Dialer {
+func NewDialer(settings Settings, self func() beechwire.Hello, events Events, caller CallHandler, pulse HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Dialer {
 	s := settings.filled()
 	return &Dialer{
 		settings: s,
@@ -75,8 +75,8 @@
 // Counters returns those of all links.
 func (d *Dialer) Counters() Counters { return d.counters.snapshot() }
 
-// Push sends at once what has changed in the heartbeat, as Server.Push does.
-func (d *Dialer) Push() { d.pacer.push() }
+// PushHeartbeat sends at once what has changed in the heartbeat, as Server.PushHeartbeat does.
+func (d *Dialer) PushHeartbeat() { d.pacer.push() }
 
 // Close closes all links.
 func (d *Dialer) Close() {
--- a/internal/link/beechlink/client_test.go
+++ b/internal/link/beechlink/client_test.go
@@ -126,7 +126,7 @@
 	var m beechwire.Cancel
 	f.await(kindCancel, &m)
 	got, _, err := collect(context.Background(), s)
-	is.True(errors.Is(err, ErrCredit))
+	is.True(errors.Is(err, ErrCreditExceeded))
 	is.Equal(len(got), 4*1024)
 }
 
@@ -255,7 +255,7 @@
 	advance := func() {
 		clock.Advance(d.settings.Heartbeat / 2)
 		<-pulse.polls
-		d.Push() // the next round's poll shows that this one is over
+		d.PushHeartbeat() // the next round's poll shows that this one is over
 		<-pulse.polls
 	}
 	for range 10 { // idle, silent and not missed
@@ -281,7 +281,7 @@
 // countingPulse tells of each poll.
 type countingPulse struct{ polls chan struct{} }
 
-func (p *countingPulse) Beat() beechwire.Heartbeat {
+func (p *countingPulse) CurrentHeartbeat() beechwire.Heartbeat {
 	p.polls <- struct{}{}
 	return beechwire.Heartbeat{}
 }
--- a/internal/link/beechlink/connection.go
+++ b/internal/link/beechlink/connection.go
@@ -24,7 +24,7 @@
 		settings Settings
 		counters *counters
 		pacer    *pacer
-		caller   Caller
+		caller   CallHandler
 		roster   *roster
 		end      end
 		out      *outbox
@@ -380,7 +380,7 @@
 	}
 }
 
-func newConnection(conn net.Conn, peer Peer, key sessionKey, s Settings, k *counters, p *pacer, caller Caller, r *roster, e end) *connection {
+func newConnection(conn net.Conn, peer Peer, key sessionKey, s Settings, k *counters, p *pacer, caller CallHandler, r *roster, e end) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &connection{
 		conn:     conn,
--- a/internal/link/beechlink/doc.go
+++ b/internal/link/beechlink/doc.go
@@ -6,7 +6,7 @@
 //
 // An entry makes one Dialer and a Client for each agent:
 //
-//	dialer := beechlink.NewDialer(settings, self, events, caller, pulse, nil, clockwork.NewRealClock())
+//	dialer := beechlink.NewDialer(settings, self, events, caller, heartbeats, nil, clockwork.NewRealClock())
 //	client := dialer.Dial(netip.MustParseAddrPort("10.1.2.3:7300"))
 //	stream, err := client.Open(ctx, request, body)
 //	defer stream.Close(false)
@@ -18,7 +18,7 @@
 // An agent makes one Server:
 //
 //	listener, err := beechlink.Listen(netip.MustParseAddrPort("10.1.2.3:7300"))
-//	server := beechlink.New(settings, self, handler, caller, events, pulse, nil, clockwork.NewRealClock())
+//	server := beechlink.NewServer(settings, self, handler, caller, events, heartbeats, nil, clockwork.NewRealClock())
 //	go server.Serve(ctx, listener)
 //	...
 //	err = server.Drain(ctx)
--- a/internal/link/beechlink/errors.go
+++ b/internal/link/beechlink/errors.go
@@ -57,11 +57,11 @@
 	ErrBusy = errors.New("every connection carries its most streams")
 	// ErrClosed is the cause after Close or Drain.
 	ErrClosed = errors.New("closed")
-	// ErrStreamOver is returned by Send after the last reply, or after the
+	// ErrStreamClosed is returned by Send after the last reply, or after the
 	// entry cancelled the stream.
-	ErrStreamOver = errors.New("stream is over")
-	// ErrCredit is the cause where the peer sent more than it had credit for.
-	ErrCredit = errors.New("peer sent more than its credit")
+	ErrStreamClosed = errors.New("stream is over")
+	// ErrCreditExceeded is the cause where the peer sent more than it had credit for.
+	ErrCreditExceeded = errors.New("peer sent more than its credit")
 
 	errSilent = errors.New("peer was silent for longer than the deadline")
 	errSlow   = errors.New("peer did not finish the handshake in time")
--- a/internal/link/beechlink/frame_test.go
+++ b/internal/link/beechlink/frame_test.go
@@ -127,7 +127,7 @@
 	}
 }
 
-var fuzzServer = New(Settings{}, nil, handlerFuncs{
+var fuzzServer = NewServer(Settings{}, nil, handlerFuncs{
 	open:     echo,
 	reattach: func(context.Context, ServerStream, beechwire.Reattach) {},
 }, answerFunc(echoCall), &recorder{}, &recorder{}, nil, realClock)
--- a/internal/link/beechlink/pacer.go
+++ b/internal/link/beechlink/pacer.go
@@ -15,7 +15,7 @@
 	pacer struct {
 		clock    clockwork.Clock
 		settings Settings
-		pulse    Pulse
+		pulse    HeartbeatSource
 		stop     chan struct{}
 		soon     chan struct{} // room for one; asks for a round now
 
@@ -34,7 +34,7 @@
 	}
 )
 
-func newPacer(s Settings, pulse Pulse, clock clockwork.Clock) *pacer {
+func newPacer(s Settings, pulse HeartbeatSource, clock clockwork.Clock) *pacer {
 	p := &pacer{
 		clock:       clock,
 		settings:    s,
@@ -76,7 +76,7 @@
 }
 
 func (p *pacer) round(now time.Time, late bool) {
-	h := p.pulse.Beat()
+	h := p.pulse.CurrentHeartbeat()
 	p.mu.Lock()
 	p.latest = h
 	p.polled = true
@@ -94,7 +94,7 @@
 // idleLocked stretches the period with the number of connections, so that
 // the sum over all of them stays the same.
 func (p *pacer) idleLocked() time.Duration {
-	return max(p.settings.Heartbeat, time.Duration(len(p.connections))*p.settings.IdleSpread)
+	return max(p.settings.Heartbeat, time.Duration(len(p.connections))*p.settings.IdleIntervalPerConnection)
 }
 
 func (p *pacer) add(c *connection) {
@@ -116,7 +116,7 @@
 	polled := p.polled
 	p.mu.Unlock()
 	if !polled {
-		h := p.pulse.Beat()
+		h := p.pulse.CurrentHeartbeat()
 		p.mu.Lock()
 		p.latest = h
 		p.polled = true
--- a/internal/link/beechlink/pair_test.go
+++ b/internal/link/beechlink/pair_test.go
@@ -69,7 +69,7 @@
 	r.beats++
 }
 
-func (r *recorder) Beat() beechwire.Heartbeat {
+func (r *recorder) CurrentHeartbeat() beechwire.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.beat
@@ -130,7 +130,7 @@
 }
 
 func newServer(s Settings, h StreamHandler, r *recorder, config *tls.Config, clock clockwork.Clock) *Server {
-	return New(s, hello(beechwire.RoleAgent, 7), h, answerFunc(echoCall), r, r, config, clock)
+	return NewServer(s, hello(beechwire.RoleAgent, 7), h, answerFunc(echoCall), r, r, config, clock)
 }
 
 func newDialer(s Settings, r *recorder, config *tls.Config, clock clockwork.Clock) *Dialer {
--- a/internal/link/beechlink/server.go
+++ b/internal/link/beechlink/server.go
@@ -19,7 +19,7 @@
 		settings Settings
 		self     func() beechwire.Hello
 		handler  StreamHandler
-		caller   Caller
+		caller   CallHandler
 		tls      *tls.Config
 		clock    clockwork.Clock
 		counters counters
@@ -41,10 +41,10 @@
 // handshakes is how many peers may be shaking hands at once; more are closed.
 const handshakes = 1024
 
-// New makes the agent's side. Self is asked at each handshake, pulse every
+// NewServer makes the agent's side. Self is asked at each handshake, pulse every
 // half Heartbeat. tlsConfig may be nil; it should ask for the entries'
 // certificates.
-func New(settings Settings, self func() beechwire.Hello, handler StreamHandler, caller Caller, events Events, pulse Pulse, tlsConfig *tls.Config, clock clockwork.Clock) *Server {
+func NewServer(settings Settings, self func() beechwire.Hello, handler StreamHandler, caller CallHandler, events Events, pulse HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Server {
 	s := settings.filled()
 	return &Server{
 		settings:  s,
@@ -284,9 +284,9 @@
 	s.roster.close()
 }
 
-// Push sends at once what has changed in the heartbeat and must be known soon:
+// PushHeartbeat sends at once what has changed in the heartbeat and must be known soon:
 // leaving, generation, models, suspects.
-func (s *Server) Push() { s.pacer.push() }
+func (s *Server) PushHeartbeat() { s.pacer.push() }
 
 // Peers returns the processes linked now.
 func (s *Server) Peers() []Peer { return s.roster.peers() }
--- a/internal/link/beechlink/server_test.go
+++ b/internal/link/beechlink/server_test.go
@@ -188,7 +188,7 @@
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 		_ = s.Send(ctx, HeadReply{})
 		<-ctx.Done()
-		is.Equal(s.Send(context.Background(), EndReply{}), ErrStreamOver)
+		is.Equal(s.Send(context.Background(), EndReply{}), ErrStreamClosed)
 		detached <- s.Detached()
 	}})
 	for _, want := range []bool{false, true} {
--- a/internal/link/beechlink/serverstream.go
+++ b/internal/link/beechlink/serverstream.go
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	if s.over {
 		s.mu.Unlock()
-		return ErrStreamOver
+		return ErrStreamClosed
 	}
 	err := queue(s.end.c.out)
 	s.over = last && err == nil
@@ -127,7 +127,7 @@
 		s.mu.Lock()
 		if s.over {
 			s.mu.Unlock()
-			return ErrStreamOver
+			return ErrStreamClosed
 		}
 		if s.credit > 0 {
 			s.credit -= cost
@@ -138,7 +138,7 @@
 		select {
 		case <-s.more:
 		case <-s.context.Done():
-			return ErrStreamOver
+			return ErrStreamClosed
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/link/beechlink/settings.go
+++ b/internal/link/beechlink/settings.go
@@ -49,15 +49,15 @@
 // DefaultSettings are those of both deployments.
 func DefaultSettings() Settings {
 	return Settings{
-		Connections: 2,
-		Credit:      32 << 10,
-		MaxFrame:    256 << 10,
-		MaxBody:     8 << 20,
-		Heartbeat:   500 * time.Millisecond,
-		Deadline:    1500 * time.Millisecond,
-		IdleSpread:  35 * time.Millisecond,
-		DialTimeout: time.Second,
-		MaxStreams:  4096,
+		Connections:               2,
+		Credit:                    32 << 10,
+		MaxFrame:                  256 << 10,
+		MaxBody:                   8 << 20,
+		Heartbeat:                 500 * time.Millisecond,
+		Deadline:                  1500 * time.Millisecond,
+		IdleIntervalPerConnection: 35 * time.Millisecond,
+		DialTimeout:               time.Second,
+		MaxStreams:                4096,
 	}
 }
 
@@ -71,7 +71,7 @@
 	s.MaxStreams = orDefault(s.MaxStreams, d.MaxStreams)
 	s.Heartbeat = orDefault(s.Heartbeat, d.Heartbeat)
 	s.Deadline = orDefault(s.Deadline, d.Deadline)
-	s.IdleSpread = orDefault(s.IdleSpread, d.IdleSpread)
+	s.IdleIntervalPerConnection = orDefault(s.IdleIntervalPerConnection, d.IdleIntervalPerConnection)
 	s.DialTimeout = orDefault(s.DialTimeout, d.DialTimeout)
 	return s
 }
--- a/internal/link/beechlink/stream.go
+++ b/internal/link/beechlink/stream.go
@@ -184,7 +184,7 @@
 		return s.gap(m.Sequence)
 	}
 	if s.credit <= 0 {
-		return ErrCredit
+		return ErrCreditExceeded
 	}
 	s.credit -= costOf(m.Data)
 	s.next++
--- a/internal/link/beechlink/types.go
+++ b/internal/link/beechlink/types.go
@@ -47,14 +47,14 @@
 		Heartbeat(p Peer, h beechwire.Heartbeat)
 	}
 
-	// Caller answers the other side's calls; method is a Method constant.
-	Caller interface {
+	// CallHandler answers the other side's calls; method is a Method constant.
+	CallHandler interface {
 		Answer(ctx context.Context, p Peer, method string, payload []byte) ([]byte, error)
 	}
 
-	// Pulse gives the heartbeat to send.
-	Pulse interface {
-		Beat() beechwire.Heartbeat
+	// HeartbeatSource gives the heartbeat to send.
+	HeartbeatSource interface {
+		CurrentHeartbeat() beechwire.Heartbeat
 	}
 
 	// StreamHandler serves streams at the agent, each in its goroutine.
@@ -93,16 +93,16 @@
 	// Settings of links. Key is shared by all processes of a deployment where
 	// no TLS authenticates them.
 	Settings struct {
-		Connections int           // per peer
-		Credit      int           // bytes of Data ahead of the reader, per stream
-		MaxFrame    int           // bytes
-		MaxBody     int           // bytes
-		Heartbeat   time.Duration // between beats while work is outstanding
-		Deadline    time.Duration // silence after which a peer is lost while work is outstanding
-		IdleSpread  time.Duration // idle connections beat once in IdleSpread x their number
-		DialTimeout time.Duration // for dialing and the handshake each
-		MaxStreams  int           // per connection
-		Key         string
+		Connections               int           // per peer
+		Credit                    int           // bytes of Data ahead of the reader, per stream
+		MaxFrame                  int           // bytes
+		MaxBody                   int           // bytes
+		Heartbeat                 time.Duration // between beats while work is outstanding
+		Deadline                  time.Duration // silence after which a peer is lost while work is outstanding
+		IdleIntervalPerConnection time.Duration // idle connections beat once in this time x their number
+		DialTimeout               time.Duration // for dialing and the handshake each
+		MaxStreams                int           // per connection
+		Key                       string
 	}
 )
 
--- a/internal/process/beechagent/agent.go
+++ b/internal/process/beechagent/agent.go
@@ -116,7 +116,7 @@
 	}
 	a.view = newBackendView()
 	a.scheduler = newScheduler(a.queueSettings(nil), d.Clock, a.view.queueLoad)
-	a.server = beechlink.New(
+	a.server = beechlink.NewServer(
 		beechlink.Settings{Key: settings.Secret}, a.hello, a, a, a, a, d.LinkTLS, d.Clock)
 	if err := a.supervise(); err != nil {
 		listener.Close()
@@ -174,7 +174,7 @@
 // not run, and goes elsewhere.
 func (a *Agent) drain() error {
 	a.leaving.Store(true)
-	a.server.Push()
+	a.server.PushHeartbeat()
 	a.log.Info("agent leaves", beechlog.Step("drain"))
 	a.clock.Sleep(leavingNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -31,7 +31,7 @@
 
 var errMethod = errors.New("no such method")
 
-// Answer implements beechlink.Caller: the questions of entry hosts.
+// Answer implements beechlink.CallHandler for the calls of entry hosts.
 func (a *Agent) Answer(ctx context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
 	switch method {
 	case beechwire.MethodConfiguration:
--- a/internal/process/beechagent/configuration.go
+++ b/internal/process/beechagent/configuration.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if taken {
-		a.server.Push()
+		a.server.PushHeartbeat()
 		a.log.Info("configuration in force", beechlog.Generation(generation), beechlog.Peer(p.Address))
 	}
 }
--- a/internal/process/beechagent/fleet.go
+++ b/internal/process/beechagent/fleet.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Beat implements beechlink.Pulse: the agent's own word.
-func (a *Agent) Beat() beechwire.Heartbeat {
+// CurrentHeartbeat implements beechlink.HeartbeatSource.
+func (a *Agent) CurrentHeartbeat() beechwire.Heartbeat {
 	return beechwire.Heartbeat{
 		Incarnation: a.incarnation,
 		Generation:  a.holder.Generation(),
--- a/internal/process/beechagent/view.go
+++ b/internal/process/beechagent/view.go
@@ -241,7 +241,7 @@
 	a.numbers.Crashes.Add(1)
 	a.suspects.RecordCrash(fingerprints)
 	a.scheduler.queue.CacheLost()
-	a.server.Push()
+	a.server.PushHeartbeat()
 	a.log.Warn("engine crashed", beechlog.Step("report"), beechlog.Peer(a.settings.Backend), zap.Int("running", len(fingerprints)))
 }
 
--- a/internal/process/beechentry/configuration.go
+++ b/internal/process/beechentry/configuration.go
@@ -78,7 +78,7 @@
 	for _, w := range c.Manifest.Workspaces {
 		limits[w.Name] = beechlimit.Limit{Requests: w.RequestsPerMin, Tokens: w.TokensPerMin, Concurrent: w.MaxConcurrent}
 	}
-	e.fleet.dialer.Push()
+	e.fleet.dialer.PushHeartbeat()
 	e.limiter.SetLimits(limits)
 	e.fleet.router.SetWasteWeight(c.Manifest.Targets.WasteWeight)
 	e.burn.SetObjectives(beechburn.Objectives{
@@ -118,7 +118,7 @@
 	}
 }
 
-// Answer implements beechlink.Caller: the questions of agents.
+// Answer implements beechlink.CallHandler for the calls of agents.
 func (e *Entry) Answer(_ context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
 	if method != beechwire.MethodConfiguration {
 		return nil, fmt.Errorf("no such method: %s", method)
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -178,7 +178,7 @@
 // still served.
 func (e *Entry) drain() error {
 	e.leaving.Store(true)
-	e.fleet.dialer.Push()
+	e.fleet.dialer.PushHeartbeat()
 	e.log.Info("entry leaves", beechlog.Step("drain"))
 	e.clock.Sleep(balancerNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), drainLimit)
--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// Beat implements beechlink.Pulse.
-func (f *fleet) Beat() beechwire.Heartbeat {
+// CurrentHeartbeat implements beechlink.HeartbeatSource.
+func (f *fleet) CurrentHeartbeat() beechwire.Heartbeat {
 	return beechwire.Heartbeat{
 		Incarnation: f.entry.incarnation,
 		Generation:  f.entry.holder.Generation(),
--- a/internal/process/beechentry/learn.go
+++ b/internal/process/beechentry/learn.go
@@ -67,7 +67,7 @@
 	if r.Crashed {
 		j.request.Crashes++
 		e.suspects.Merge([]beechsuspect.Record{{Fingerprint: j.request.Fingerprint, Crashes: j.request.Crashes}})
-		e.fleet.dialer.Push()
+		e.fleet.dialer.PushHeartbeat()
 	}
 	return interrupted{ran: ranOf(r.Ran), crashed: r.Crashed, reason: r.Reason}
 }
