--- a/internal/link/beechlink/beat.go
+++ b/internal/link/beechlink/beat.go
@@ -9,18 +9,18 @@
 type (
 	// beatWriter makes Beats out of heartbeats: each carries only what changed
 	// since the one before on its connection.
-	beatWriter struct {
-		sent  beechwire.Heartbeat
-		every int64
-		began bool
+	beatEncoder struct {
+		sent           beechwire.Heartbeat
+		intervalMillis int64
+		started        bool
 	}
 )
 
 // next returns the beat from what was sent to h. Urgent tells that it carries
 // what routing must learn within a heartbeat: everything but load and number
 // of entries.
-func (w *beatWriter) next(h beechwire.Heartbeat, every int64) (b beechwire.Beat, urgent bool) {
-	first := !w.began
+func (w *beatEncoder) delta(h beechwire.Heartbeat, every int64) (b beechwire.Beat, urgent bool) {
+	first := !w.started
 	last := w.sent
 	if first || h.Incarnation != last.Incarnation {
 		b.Incarnation = &h.Incarnation
@@ -42,7 +42,7 @@
 		b.Models = &beechwire.Names{Names: h.Models}
 		urgent = true
 	}
-	if len(h.Suspects) > 0 && !sameSuspects(h.Suspects, last.Suspects) {
+	if len(h.Suspects) > 0 && !equalSuspects(h.Suspects, last.Suspects) {
 		b.Suspects = h.Suspects
 		urgent = true
 	}
@@ -52,20 +52,20 @@
 	if first || h.Load != last.Load {
 		b.Load = &h.Load
 	}
-	if every != w.every {
+	if every != w.intervalMillis {
 		b.EveryMillis = &every
 	}
 	return b, urgent
 }
 
-func (w *beatWriter) taken(h beechwire.Heartbeat, every int64) {
+func (w *beatEncoder) commit(h beechwire.Heartbeat, every int64) {
 	w.sent = h
-	w.every = every
-	w.began = true
+	w.intervalMillis = every
+	w.started = true
 }
 
 // sameSuspects passes over the ages, which always change.
-func sameSuspects(a, b []beechwire.Suspect) bool {
+func equalSuspects(a, b []beechwire.Suspect) bool {
 	return slices.EqualFunc(a, b, func(x, y beechwire.Suspect) bool {
 		return x.Fingerprint == y.Fingerprint && x.Crashes == y.Crashes && x.Cleared == y.Cleared
 	})
@@ -73,20 +73,20 @@
 
 // merge adds a beat to the peer's heartbeat. Suspects are only those of this
 // beat: told twice, their ages would begin anew.
-func merge(h *beechwire.Heartbeat, b *beechwire.Beat) {
-	setIf(&h.Incarnation, b.Incarnation)
-	setIf(&h.Generation, b.Generation)
-	setIf(&h.Leaving, b.Leaving)
-	setIf(&h.Ready, b.Ready)
-	setIf(&h.Entries, b.Entries)
-	setIf(&h.Load, b.Load)
+func mergeBeat(h *beechwire.Heartbeat, b *beechwire.Beat) {
+	setIfPresent(&h.Incarnation, b.Incarnation)
+	setIfPresent(&h.Generation, b.Generation)
+	setIfPresent(&h.Leaving, b.Leaving)
+	setIfPresent(&h.Ready, b.Ready)
+	setIfPresent(&h.Entries, b.Entries)
+	setIfPresent(&h.Load, b.Load)
 	if b.Models != nil {
 		h.Models = b.Models.Names
 	}
 	h.Suspects = b.Suspects
 }
 
-func setIf[T any](target, value *T) {
+func setIfPresent[T any](target, value *T) {
 	if value != nil {
 		*target = *value
 	}
--- a/internal/link/beechlink/bench_test.go
+++ b/internal/link/beechlink/bench_test.go
@@ -31,12 +31,12 @@
 }
 
 // changingPulse gives another load at each poll.
-type changingPulse struct {
+type changingLoadSource struct {
 	recorder
 	rounds int
 }
 
-func (p *changingPulse) CurrentHeartbeat() beechwire.Heartbeat {
+func (p *changingLoadSource) CurrentHeartbeat() beechwire.Heartbeat {
 	p.rounds++
 	return beechwire.Heartbeat{
 		Ready:      true,
@@ -48,7 +48,7 @@
 // serveAgents prints an address for each agent and serves until its input
 // ends.
 func serveAgents(count int) {
-	pulse := &changingPulse{}
+	pulse := &changingLoadSource{}
 	s := NewServer(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, pulse, nil, realClock)
 	for range count {
 		l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -109,7 +109,7 @@
 }
 
 // processorTime is what this process has used.
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -118,7 +118,7 @@
 }
 
 // resident is the process's memory in bytes, after a collection.
-func resident() int64 {
+func residentBytes() int64 {
 	runtime.GC()
 	b, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -134,7 +134,7 @@
 }
 
 // inUse is the memory of heap and stacks in bytes, after a collection.
-func inUse() int64 {
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -162,7 +162,7 @@
 					b.Error(err)
 				}
 			}
-			began := processorTime()
+			began := cpuTime()
 			b.ResetTimer()
 			if callers == 1 {
 				for b.Loop() {
@@ -176,7 +176,7 @@
 				})
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
-			b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
 			k := p.dialer.Counters()
 			b.ReportMetric(float64(k.FramesOut)/float64(max(1, k.Writes)), "frames/write")
 		})
@@ -185,10 +185,10 @@
 
 // BenchmarkTokens streams tokens of 200 bytes, as a generation does.
 func BenchmarkTokens(b *testing.B) {
-	p := newPair(b, Settings{}, handlerFuncs{open: answerIn(1000, 200)})
+	p := newPair(b, Settings{}, handlerFuncs{open: answerInChunks(1000, 200)})
 	ctx := context.Background()
 	b.ReportAllocs()
-	began := processorTime()
+	began := cpuTime()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -203,7 +203,7 @@
 		}
 	})
 	b.ReportMetric(float64(b.N)*1000/b.Elapsed().Seconds(), "tokens/s")
-	b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N)/1000, "cpu-ns/token")
+	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N)/1000, "cpu-ns/token")
 }
 
 // BenchmarkOpenStreams holds 5,000 streams whose answer has begun, both sides
@@ -218,7 +218,7 @@
 			_ = s.Send(ctx, DataReply{Data: beechwire.Data{Sequence: 1, Data: []byte("first")}})
 			<-ctx.Done()
 		}})
-		before := inUse()
+		before := memoryInUse()
 		b.StartTimer()
 		first := make(chan struct{}, streams)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -244,7 +244,7 @@
 			<-first
 		}
 		b.StopTimer()
-		b.ReportMetric(float64(inUse()-before)/streams, "B/stream")
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
 		cancel()
 		b.StartTimer()
 	}
@@ -254,7 +254,7 @@
 // whose load changes all the time, and carries no requests.
 func BenchmarkIdleLinks(b *testing.B) {
 	for _, links := range []int{100, 400} {
-		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) { heldLinks(b, links, "") })
+		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) { benchmarkLinks(b, links, "") })
 	}
 }
 
@@ -262,36 +262,36 @@
 // its first token, or brings one every 71 ms.
 func BenchmarkBusyLinks(b *testing.B) {
 	for _, stream := range []string{"wait", "tokens"} {
-		b.Run(stream, func(b *testing.B) { heldLinks(b, 400, stream) })
+		b.Run(stream, func(b *testing.B) { benchmarkLinks(b, 400, stream) })
 	}
 }
 
 // BenchmarkBeat makes a beat with a changed load, and takes it.
 func BenchmarkBeat(b *testing.B) {
 	var (
-		w     beatWriter
-		pulse changingPulse
+		w     beatEncoder
+		pulse changingLoadSource
 		state beechwire.Heartbeat
 		frame []byte
 	)
-	w.taken(pulse.CurrentHeartbeat(), 0)
+	w.commit(pulse.CurrentHeartbeat(), 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		h := pulse.CurrentHeartbeat()
-		beat, _ := w.next(h, 0)
-		w.taken(h, 0)
+		beat, _ := w.delta(h, 0)
+		w.commit(h, 0)
 		frame, _ = appendFrame(frame[:0], 1<<20, kindBeat, &beat)
 		var got beechwire.Beat
-		if _, err := got.UnmarshalMsg(frame[headBytes:]); err != nil {
+		if _, err := got.UnmarshalMsg(frame[headerBytes:]); err != nil {
 			b.Fatal(err)
 		}
-		merge(&state, &got)
+		mergeBeat(&state, &got)
 	}
 	b.ReportMetric(float64(len(frame)), "B/beat")
 }
 
 // hold reads a stream until its end.
-func hold(ctx context.Context, b *testing.B, c *Client, id string) {
+func readUntilEnd(ctx context.Context, b *testing.B, c *Client, id string) {
 	s, err := c.Open(ctx, request(id), nil)
 	if err != nil {
 		b.Error(err)
@@ -309,7 +309,7 @@
 
 // heldLinks measures an entry with links to agents, and with a stream on each
 // link where stream is the id of its request.
-func heldLinks(b *testing.B, links int, stream string) {
+func benchmarkLinks(b *testing.B, links int, stream string) {
 	const (
 		settle = 5 * time.Second
 		span   = 20 * time.Second
@@ -319,25 +319,25 @@
 	)
 	addresses := startAgents(b, links)
 	for b.Loop() {
-		before := resident()
+		before := residentBytes()
 		dialer := newDialer(Settings{}, &recorder{}, nil, realClock)
 		clients := make([]*Client, 0, links)
 		for _, a := range addresses {
 			clients = append(clients, dialer.Dial(a))
 		}
 		for _, c := range clients {
-			until(b, "all links are up", c.Ready)
+			waitFor(b, "all links are up", c.Ready)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		for _, c := range clients {
 			if stream != "" {
-				hold(ctx, b, c, stream)
+				readUntilEnd(ctx, b, c, stream)
 			}
 		}
 		time.Sleep(settle)
-		from, cpu := dialer.Counters(), processorTime()
+		from, cpu := dialer.Counters(), cpuTime()
 		time.Sleep(span)
-		to, used := dialer.Counters(), processorTime()-cpu
+		to, used := dialer.Counters(), cpuTime()-cpu
 		seconds := span.Seconds()
 		beats := float64(to.BeatsOut - from.BeatsOut)
 		payload := float64(to.BytesIn + to.BytesOut - from.BytesIn - from.BytesOut)
@@ -349,7 +349,7 @@
 		b.ReportMetric(beats/seconds, "beats-out/s")
 		b.ReportMetric(float64(to.BeatsIn-from.BeatsIn)/seconds, "beats-in/s")
 		b.ReportMetric(payload/max(1, beats), "B/exchange")
-		b.ReportMetric(float64(resident()-before)/(1<<20), "MB")
+		b.ReportMetric(float64(residentBytes()-before)/(1<<20), "MB")
 		b.ReportMetric(float64(to.Lost), "lost")
 		cancel()
 		dialer.Close()
--- a/internal/link/beechlink/call.go
+++ b/internal/link/beechlink/call.go
@@ -10,56 +10,56 @@
 
 type (
 	// askTable holds this side's calls that wait for a result.
-	askTable struct {
+	outgoingCalls struct {
 		mu      sync.Mutex
-		last    uint64
-		waiting map[uint64]*ask
+		lastID  uint64
+		waiting map[uint64]*outgoingCall
 		err     error
 	}
 
-	ask struct {
+	outgoingCall struct {
 		method  string
 		payload []byte
 		done    chan error // room for one
 	}
 
 	// answerTable holds the peer's calls that are not answered yet.
-	answerTable struct {
-		mu      sync.Mutex
-		partial map[uint64][]byte
-		running int
-		pending int
+	incomingCalls struct {
+		mu           sync.Mutex
+		partial      map[uint64][]byte
+		running      int
+		pendingBytes int
 	}
 )
 
-func (t *askTable) add(method string) (uint64, *ask, error) {
+func (t *outgoingCalls) add(method string) (uint64, *outgoingCall, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.err != nil {
 		return 0, nil, t.err
 	}
 	if t.waiting == nil {
-		t.waiting = map[uint64]*ask{}
+		t.waiting = map[uint64]*outgoingCall{}
 	}
-	t.last++
-	a := &ask{method: method, done: make(chan error, 1)}
-	t.waiting[t.last] = a
-	return t.last, a, nil
+	t.lastID++
+	a := &outgoingCall{method: method, done: make(chan error, 1)}
+	t.waiting[t.lastID] = a
+	return t.lastID, a, nil
 }
 
-func (t *askTable) remove(id uint64) {
+func (t *outgoingCalls) remove(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.waiting, id)
 }
 
-func (t *askTable) count() int {
+func (t *outgoingCalls) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.waiting)
 }
 
-func (t *askTable) failAll(err error) {
+func (t *outgoingCalls) failAll(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.err = err
@@ -75,20 +75,20 @@
 	if len(payload) > c.settings.MaxBody {
 		return nil, &OpenError{Peer: c.peer.Address, Err: fmt.Errorf("call %s: payload of %d bytes is over %d", method, len(payload), c.settings.MaxBody)}
 	}
-	id, a, err := c.asks.add(method)
+	id, a, err := c.outgoing.add(method)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.out.start(&transfer{kind: kindCall, id: id, method: method, rest: payload}); err != nil {
-		c.asks.remove(id)
+	if err := c.out.startTransfer(&transfer{kind: kindCall, id: id, method: method, remaining: payload}); err != nil {
+		c.outgoing.remove(id)
 		return nil, &LostError{Peer: c.peer.Address, Err: err}
 	}
 	select {
 	case err := <-a.done:
 		return a.payload, err
 	case <-ctx.Done():
-		c.asks.remove(id)
-		c.out.stop(kindCall, id)
+		c.outgoing.remove(id)
+		c.out.cancelTransfer(kindCall, id)
 		return nil, fmt.Errorf("call %s at %s: %w", method, c.peer.Address, ctx.Err())
 	}
 }
@@ -98,7 +98,7 @@
 	if _, err := m.UnmarshalMsg(body); err != nil {
 		return malformed(err)
 	}
-	t := &c.asks
+	t := &c.outgoing
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	a, ok := t.waiting[m.Call]
@@ -131,41 +131,41 @@
 	if _, err := m.UnmarshalMsg(body); err != nil {
 		return malformed(err)
 	}
-	payload, whole, err := c.answers.collect(&m, c.settings)
+	payload, whole, err := c.incoming.assemble(&m, c.settings)
 	if err != nil {
 		return err
 	}
 	if !whole {
 		return nil
 	}
-	if !c.answers.begin() {
-		c.refuseCall(m.Call, "too many calls at once")
+	if !c.incoming.tryBegin() {
+		c.sendCallError(m.Call, "too many calls at once")
 		return nil
 	}
 	go func() {
-		defer c.answers.finish()
-		result, err := c.caller.Answer(c.context, c.known(), m.Method, payload)
+		defer c.incoming.finish()
+		result, err := c.callHandler.Answer(c.context, c.currentPeer(), m.Method, payload)
 		if err != nil {
-			c.refuseCall(m.Call, err.Error())
+			c.sendCallError(m.Call, err.Error())
 			return
 		}
 		if len(result) > c.settings.MaxBody {
-			c.refuseCall(m.Call, fmt.Sprintf("result of %d bytes is over %d", len(result), c.settings.MaxBody))
+			c.sendCallError(m.Call, fmt.Sprintf("result of %d bytes is over %d", len(result), c.settings.MaxBody))
 			return
 		}
 		// An error means that the connection ends; the peer learns from that.
-		_ = c.out.start(&transfer{kind: kindResult, id: m.Call, rest: result})
+		_ = c.out.startTransfer(&transfer{kind: kindResult, id: m.Call, remaining: result})
 	}()
 	return nil
 }
 
-func (c *connection) refuseCall(id uint64, reason string) {
+func (c *connection) sendCallError(id uint64, reason string) {
 	_ = c.out.send(kindResult, &beechwire.Result{Call: id, Error: reason})
 }
 
 // collect puts the pieces of a call together. What a peer may leave unfinished
 // is bounded: otherwise a faulty one could fill the memory.
-func (t *answerTable) collect(m *beechwire.Call, s Settings) (payload []byte, whole bool, err error) {
+func (t *incomingCalls) assemble(m *beechwire.Call, s Settings) (payload []byte, whole bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.partial == nil {
@@ -181,28 +181,28 @@
 	}
 	if !m.More {
 		delete(t.partial, m.Call)
-		t.pending -= len(earlier)
+		t.pendingBytes -= len(earlier)
 		return payload, true, nil
 	}
 	t.partial[m.Call] = payload
-	t.pending += len(m.Payload)
-	if t.pending > pendingLimit*s.MaxBody {
+	t.pendingBytes += len(m.Payload)
+	if t.pendingBytes > pendingBodyFactor*s.MaxBody {
 		return nil, false, &FrameError{Problem: "too many unfinished calls"}
 	}
 	return payload, false, nil
 }
 
-func (t *answerTable) begin() bool {
+func (t *incomingCalls) tryBegin() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running >= callLimit {
+	if t.running >= maxConcurrentCalls {
 		return false
 	}
 	t.running++
 	return true
 }
 
-func (t *answerTable) finish() {
+func (t *incomingCalls) finish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
--- a/internal/link/beechlink/client.go
+++ b/internal/link/beechlink/client.go
@@ -19,14 +19,14 @@
 	// Dialer holds what all links of an entry share: settings, counters and
 	// the pacing of heartbeats.
 	Dialer struct {
-		settings Settings
-		self     func() beechwire.Hello
-		caller   CallHandler
-		tls      *tls.Config
-		clock    clockwork.Clock
-		counters counters
-		pacer    *pacer
-		roster   *roster
+		settings    Settings
+		self        func() beechwire.Hello
+		callHandler CallHandler
+		tls         *tls.Config
+		clock       clockwork.Clock
+		counters    counters
+		scheduler   *heartbeatScheduler
+		sessions    *sessionTable
 
 		mu      sync.Mutex
 		clients map[*Client]struct{}
@@ -42,33 +42,33 @@
 		cancel  context.CancelFunc
 		running sync.WaitGroup
 
-		mu      sync.Mutex
-		ends    []*clientEnd
-		peer    Peer
-		cause   error // of the last failure
-		growing bool  // a spare connection is being opened
+		mu           sync.Mutex
+		endpoints    []*clientEndpoint
+		peer         Peer
+		lastFailure  error // of the last failure
+		openingExtra bool  // a spare connection is being opened
 	}
 )
 
 const (
-	backoffFirst = 50 * time.Millisecond
-	backoffMost  = 4 * time.Second
+	backoffMin = 50 * time.Millisecond
+	backoffMax = 4 * time.Second
 )
 
 // NewDialer makes the entry's side. Self is asked at each handshake, pulse
 // every half Heartbeat. Key is sent in Hello; with tlsConfig, which may be nil,
 // it should hold this side's certificate and the roots of the agents'.
-func NewDialer(settings Settings, self func() beechwire.Hello, events Events, caller CallHandler, pulse HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Dialer {
-	s := settings.filled()
+func NewDialer(settings Settings, self func() beechwire.Hello, events Events, callHandler CallHandler, heartbeats HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Dialer {
+	s := settings.withDefaults()
 	return &Dialer{
-		settings: s,
-		self:     self,
-		caller:   caller,
-		tls:      tlsConfig,
-		clock:    clock,
-		pacer:    newPacer(s, pulse, clock),
-		roster:   newRoster(events),
-		clients:  map[*Client]struct{}{},
+		settings:    s,
+		self:        self,
+		callHandler: callHandler,
+		tls:         tlsConfig,
+		clock:       clock,
+		scheduler:   newHeartbeatScheduler(s, heartbeats, clock),
+		sessions:    newSessionTable(events),
+		clients:     map[*Client]struct{}{},
 	}
 }
 
@@ -76,7 +76,7 @@
 func (d *Dialer) Counters() Counters { return d.counters.snapshot() }
 
 // PushHeartbeat sends at once what has changed in the heartbeat, as Server.PushHeartbeat does.
-func (d *Dialer) PushHeartbeat() { d.pacer.push() }
+func (d *Dialer) PushHeartbeat() { d.scheduler.runNow() }
 
 // Close closes all links.
 func (d *Dialer) Close() {
@@ -92,8 +92,8 @@
 	for c := range clients {
 		c.Close()
 	}
-	d.pacer.close()
-	d.roster.close()
+	d.scheduler.close()
+	d.sessions.close()
 }
 
 // Dial starts a link to the agent at peer and returns at once; Events tell
@@ -101,12 +101,12 @@
 func (d *Dialer) Dial(peer netip.AddrPort) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{
-		dialer:  d,
-		address: peer,
-		context: ctx,
-		cancel:  cancel,
-		peer:    Peer{Address: peer},
-		cause:   errors.New("not yet dialed"),
+		dialer:      d,
+		address:     peer,
+		context:     ctx,
+		cancel:      cancel,
+		peer:        Peer{Address: peer},
+		lastFailure: errors.New("not yet dialed"),
 	}
 	d.mu.Lock()
 	closed := d.closed
@@ -119,7 +119,7 @@
 	c.running.Add(1)
 	go func() {
 		defer c.running.Done()
-		c.keep()
+		c.maintain()
 	}()
 	return c
 }
@@ -128,15 +128,15 @@
 func (c *Client) Close() {
 	c.cancel()
 	c.mu.Lock()
-	ends := append([]*clientEnd(nil), c.ends...)
+	endpoints := append([]*clientEndpoint(nil), c.endpoints...)
 	c.mu.Unlock()
-	for _, e := range ends {
-		e.c.out.dropTransfers()
-		e.c.finish(byeClosed)
+	for _, e := range endpoints {
+		e.connection.out.dropTransfers()
+		e.connection.sendBye(byeClosed)
 	}
-	for _, e := range ends {
-		e.c.waitWritten(c.dialer.settings.DialTimeout)
-		e.c.fail(ErrClosed)
+	for _, e := range endpoints {
+		e.connection.waitWriterDone(c.dialer.settings.DialTimeout)
+		e.connection.fail(ErrClosed)
 	}
 	c.running.Wait()
 	c.dialer.mu.Lock()
@@ -154,7 +154,7 @@
 
 // Ready tells whether a stream can be opened now.
 func (c *Client) Ready() bool {
-	e, err := c.choose()
+	e, err := c.selectEndpoint()
 	return err == nil && e.usable()
 }
 
@@ -167,7 +167,7 @@
 	if len(body) > c.dialer.settings.MaxBody {
 		return nil, &OpenError{Peer: c.address, Err: fmt.Errorf("body of %d bytes is over %d", len(body), c.dialer.settings.MaxBody)}
 	}
-	e, err := c.choose()
+	e, err := c.selectEndpoint()
 	if err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
 	}
@@ -184,7 +184,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
 	}
-	e, err := c.choose()
+	e, err := c.selectEndpoint()
 	if err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
 	}
@@ -198,89 +198,89 @@
 // Call asks the agent one question. *OpenError means that nothing was sent,
 // *CallError is the agent's answer, *LostError that it may have acted on it.
 func (c *Client) Call(ctx context.Context, method string, payload []byte) ([]byte, error) {
-	e, err := c.choose()
+	e, err := c.selectEndpoint()
 	if err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
 	}
-	return e.c.call(ctx, method, payload)
+	return e.connection.call(ctx, method, payload)
 }
 
 // choose returns the connection with the fewest streams, and sees to a
 // further one if these are many.
-func (c *Client) choose() (*clientEnd, error) {
+func (c *Client) selectEndpoint() (*clientEndpoint, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var best *clientEnd
+	var best *clientEndpoint
 	fewest := 0
-	for _, e := range c.ends {
+	for _, e := range c.endpoints {
 		if !e.usable() {
 			continue
 		}
-		n := e.streams()
+		n := e.streamCount()
 		if best == nil || n < fewest {
 			best = e
 			fewest = n
 		}
 	}
 	if best == nil {
-		return nil, fmt.Errorf("%w (%w)", ErrDown, c.cause)
+		return nil, fmt.Errorf("%w (%w)", ErrDown, c.lastFailure)
 	}
-	if fewest >= spareStreams && !c.growing && len(c.ends) < c.dialer.settings.Connections && c.context.Err() == nil {
-		c.grow()
+	if fewest >= extraConnectionThreshold && !c.openingExtra && len(c.endpoints) < c.dialer.settings.Connections && c.context.Err() == nil {
+		c.openExtra()
 	}
 	return best, nil
 }
 
 // grow opens a spare connection. It is called with the lock held.
-func (c *Client) grow() {
-	c.growing = true
+func (c *Client) openExtra() {
+	c.openingExtra = true
 	c.running.Add(1)
 	go func() {
 		defer c.running.Done()
-		_ = c.once(true) // the kept connection tells what is wrong with the agent
+		_ = c.connectOnce(true) // the kept connection tells what is wrong with the agent
 		c.mu.Lock()
-		c.growing = false
+		c.openingExtra = false
 		c.mu.Unlock()
 	}()
 }
 
 // keep holds one connection up.
-func (c *Client) keep() {
+func (c *Client) maintain() {
 	failures := 0
 	for {
 		began := c.dialer.clock.Now()
-		err := c.once(false)
+		err := c.connectOnce(false)
 		if c.context.Err() != nil {
 			return
 		}
-		c.noteFailure(err)
+		c.setLastFailure(err)
 		failures++
-		if c.dialer.clock.Since(began) > backoffMost {
+		if c.dialer.clock.Since(began) > backoffMax {
 			failures = 0
 		}
-		if !c.pause(backoff(failures)) {
+		if !c.sleep(backoff(failures)) {
 			return
 		}
 	}
 }
 
-func (c *Client) noteFailure(err error) {
+func (c *Client) setLastFailure(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cause = err
+	c.lastFailure = err
 }
 
 // backoff doubles with each failure. Half of it is random: entries that lost
 // an agent together would otherwise dial it together when it is back.
 func backoff(failures int) time.Duration {
-	d := backoffMost
+	d := backoffMax
 	if failures < 8 {
-		d = min(backoffMost, backoffFirst<<failures)
+		d = min(backoffMax, backoffMin<<failures)
 	}
 	return d/2 + rand.N(d/2)
 }
 
-func (c *Client) pause(d time.Duration) bool {
+func (c *Client) sleep(d time.Duration) bool {
 	timer := c.dialer.clock.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -292,57 +292,57 @@
 }
 
 // once makes a connection and returns when it has ended.
-func (c *Client) once(spare bool) error {
+func (c *Client) connectOnce(extra bool) error {
 	d := c.dialer
 	conn, frames, hello, err := c.connect()
 	if err != nil {
 		d.counters.rejected.Add(1)
 		return err
 	}
-	peer, key := peerOf(hello, conn.RemoteAddr())
+	peer, key := peerFromHello(hello, conn.RemoteAddr())
 	peer.Address = c.address
 	key.address = c.address
-	e := newClientEnd()
-	e.spare = spare
+	e := newClientEndpoint()
+	e.extra = extra
 	frames.limit = d.settings.MaxFrame
-	k := newConnection(conn, peer, key, d.settings, &d.counters, d.pacer, d.caller, d.roster, e)
-	k.beats = true
-	e.c = k
-	c.join(e)
+	k := newConnection(conn, peer, key, d.settings, &d.counters, d.scheduler, d.callHandler, d.sessions, e)
+	k.probesIdle = true
+	e.connection = k
+	c.addEndpoint(e)
 	err = k.run(frames)
-	k.count(err)
-	c.leave(e, err)
+	k.countEnd(err)
+	c.removeEndpoint(e, err)
 	return &LostError{Peer: c.address, Err: err}
 }
 
-func (c *Client) join(e *clientEnd) {
+func (c *Client) addEndpoint(e *clientEndpoint) {
 	d := c.dialer
 	d.counters.up.Add(1)
-	replaced := fmt.Errorf("replaced by incarnation %d", e.c.peer.Incarnation)
-	for _, old := range d.roster.retire(e.c, replaced) {
+	replaced := fmt.Errorf("replaced by incarnation %d", e.connection.peer.Incarnation)
+	for _, old := range d.sessions.removeOtherIncarnations(e.connection, replaced) {
 		old.fail(replaced)
 	}
 	c.mu.Lock()
-	c.ends = append(c.ends, e)
-	c.growing = c.growing && !e.spare
-	c.peer = e.c.peer
+	c.endpoints = append(c.endpoints, e)
+	c.openingExtra = c.openingExtra && !e.extra
+	c.peer = e.connection.peer
 	c.mu.Unlock()
-	d.roster.join(e.c)
+	d.sessions.add(e.connection)
 	if c.context.Err() != nil {
-		e.c.fail(ErrClosed)
+		e.connection.fail(ErrClosed)
 	}
 }
 
-func (c *Client) leave(e *clientEnd, err error) {
+func (c *Client) removeEndpoint(e *clientEndpoint, err error) {
 	c.mu.Lock()
-	for i, other := range c.ends {
+	for i, other := range c.endpoints {
 		if other == e {
-			c.ends = append(c.ends[:i], c.ends[i+1:]...)
+			c.endpoints = append(c.endpoints[:i], c.endpoints[i+1:]...)
 			break
 		}
 	}
 	c.mu.Unlock()
-	c.dialer.roster.leave(e.c, err)
+	c.dialer.sessions.remove(e.connection, err)
 }
 
 // connect dials and shakes hands.
@@ -350,15 +350,15 @@
 	d := c.dialer
 	ctx, cancel := context.WithCancelCause(c.context)
 	defer cancel(nil)
-	timer := d.clock.AfterFunc(2*d.settings.DialTimeout, func() { cancel(errSlow) })
+	timer := d.clock.AfterFunc(2*d.settings.DialTimeout, func() { cancel(errHandshakeTimeout) })
 	defer timer.Stop()
 	dialer := net.Dialer{KeepAlive: -1}
 	raw, err := dialer.DialContext(ctx, "tcp", c.address.String())
 	if err != nil {
-		return nil, nil, beechwire.Hello{}, fmt.Errorf("dial %s: %w", c.address, orCause(ctx, err))
+		return nil, nil, beechwire.Hello{}, fmt.Errorf("dial %s: %w", c.address, causeOr(ctx, err))
 	}
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
-	conn, frames, hello, err := c.greet(ctx, raw)
+	conn, frames, hello, err := c.handshake(ctx, raw)
 	if !stop() {
 		err = context.Cause(ctx)
 	}
@@ -370,15 +370,15 @@
 }
 
 // orCause prefers the reason for which ctx was ended to what came of it.
-func orCause(ctx context.Context, err error) error {
+func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-func (c *Client) greet(ctx context.Context, raw net.Conn) (net.Conn, *frameReader, beechwire.Hello, error) {
-	conn, err := c.secure(ctx, raw)
+func (c *Client) handshake(ctx context.Context, raw net.Conn) (net.Conn, *frameReader, beechwire.Hello, error) {
+	conn, err := c.startTLS(ctx, raw)
 	if err != nil {
 		return nil, nil, beechwire.Hello{}, err
 	}
@@ -389,12 +389,12 @@
 	if err := readPreamble(conn); err != nil {
 		return nil, nil, beechwire.Hello{}, err
 	}
-	frames := newFrameReader(conn, helloLimit)
+	frames := newFrameReader(conn, maxHelloBytes)
 	hello, err := readHello(frames, key)
 	return conn, frames, hello, err
 }
 
-func (c *Client) secure(ctx context.Context, raw net.Conn) (net.Conn, error) {
+func (c *Client) startTLS(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	if c.dialer.tls == nil {
 		return raw, nil
 	}
--- a/internal/link/beechlink/client_test.go
+++ b/internal/link/beechlink/client_test.go
@@ -20,15 +20,15 @@
 	return s
 }
 
-func head(stream uint64, id string) *beechwire.Head {
+func headMessage(stream uint64, id string) *beechwire.Head {
 	return &beechwire.Head{Stream: stream, RequestID: id, Attempt: 1, Status: 200}
 }
 
-func data(stream, sequence uint64, text string) *beechwire.Data {
+func dataMessage(stream, sequence uint64, text string) *beechwire.Data {
 	return &beechwire.Data{Stream: stream, Sequence: sequence, Data: []byte(text)}
 }
 
-func end1(stream uint64, id string, last uint64) *beechwire.End {
+func endMessage(stream uint64, id string, last uint64) *beechwire.End {
 	return &beechwire.End{Stream: stream, RequestID: id, Attempt: 1, Last: last}
 }
 
@@ -37,7 +37,7 @@
 // request. A member of the cooperative would read a neighbour's answer, or
 // words twice. Such replies are dropped and counted; the right ones still make
 // the whole answer.
-func TestStrayRepliesAreDropped(t *testing.T) {
+func TestLateDuplicateAndMisroutedRepliesAreDropped(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{})
 	a := openStream(t, c, "a")
@@ -46,25 +46,25 @@
 	f.await(kindBody, &m)
 	f.await(kindBody, &m)
 
-	f.send(kindHead, head(2, "a")) // a's head on b's stream
-	f.send(kindHead, head(1, "a"))
-	f.send(kindHead, head(1, "a"))
+	f.send(kindHead, headMessage(2, "a")) // a's head on b's stream
+	f.send(kindHead, headMessage(1, "a"))
+	f.send(kindHead, headMessage(1, "a"))
 	f.send(kindData, &beechwire.Data{Stream: 1, Sequence: 1, Tag: beechwire.Tag("b", 1), Data: []byte("b's")})
 	f.send(kindData, &beechwire.Data{Stream: 1, Sequence: 1, Tag: beechwire.Tag("a", 2), Data: []byte("another attempt's")})
 	f.send(kindData, &beechwire.Data{Stream: 1, Sequence: 1, Tag: beechwire.Tag("a", 1), Data: []byte("one ")})
-	f.send(kindData, data(1, 1, "one "))
-	f.send(kindData, data(9, 1, "nobody's"))
-	f.send(kindEnd, end1(1, "b", 0))                                                              // b's end on a's stream
+	f.send(kindData, dataMessage(1, 1, "one "))
+	f.send(kindData, dataMessage(9, 1, "nobody's"))
+	f.send(kindEnd, endMessage(1, "b", 0))                                                        // b's end on a's stream
 	f.send(kindEnd, &beechwire.End{Stream: 1, RequestID: "a", Attempt: 2, Last: 1})               // another attempt
 	f.send(kindRefused, &beechwire.Refused{Stream: 1, RequestID: "b", Attempt: 1})                // b's refusal
 	f.send(kindFailed, &beechwire.Failed{Stream: 1, RequestID: "a", Attempt: 3, Reason: "crash"}) // a third one's failure
-	f.send(kindData, data(1, 2, "two"))
-	f.send(kindEnd, end1(1, "a", 2))
-	f.send(kindData, data(1, 3, "late"))
-	f.send(kindEnd, end1(1, "a", 2))
+	f.send(kindData, dataMessage(1, 2, "two"))
+	f.send(kindEnd, endMessage(1, "a", 2))
+	f.send(kindData, dataMessage(1, 3, "late"))
+	f.send(kindEnd, endMessage(1, "a", 2))
 	f.send(kindResult, &beechwire.Result{Call: 3, Payload: []byte("unasked")})
-	f.send(kindHead, head(2, "b"))
-	f.send(kindEnd, end1(2, "b", 0))
+	f.send(kindHead, headMessage(2, "b"))
+	f.send(kindEnd, endMessage(2, "b", 0))
 
 	got, _, err := collect(context.Background(), a)
 	is.NoErr(err)
@@ -83,20 +83,20 @@
 // read a text with a hole that looks whole. The stream fails instead, after
 // what came before the hole, and the agent is told to keep the generation for
 // the caller's return; other streams go on.
-func TestGapsFailTheStream(t *testing.T) {
+func TestMissingReplyFailsStream(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{})
 	for i, tell := range []func(id uint64, name string){
-		func(id uint64, _ string) { f.send(kindData, data(id, 3, "three")) },
-		func(id uint64, name string) { f.send(kindEnd, end1(id, name, 2)) },
-		func(id uint64, name string) { f.send(kindEnd, end1(id, name, 0)) },
+		func(id uint64, _ string) { f.send(kindData, dataMessage(id, 3, "three")) },
+		func(id uint64, name string) { f.send(kindEnd, endMessage(id, name, 2)) },
+		func(id uint64, name string) { f.send(kindEnd, endMessage(id, name, 0)) },
 	} {
 		name := fmt.Sprint(i)
 		id := uint64(2*i + 1)
 		s := openStream(t, c, name)
 		other := openStream(t, c, "other")
-		f.send(kindHead, head(id, name))
-		f.send(kindData, data(id, 1, "one"))
+		f.send(kindHead, headMessage(id, name))
+		f.send(kindData, dataMessage(id, 1, "one"))
 		tell(id, name)
 		got, _, err := collect(context.Background(), s)
 		is.Equal(string(got), "one")
@@ -105,7 +105,7 @@
 		var m beechwire.Cancel
 		f.await(kindCancel, &m)
 		is.Equal(m, beechwire.Cancel{Stream: id, Detached: true})
-		f.send(kindEnd, end1(id+1, "other", 0))
+		f.send(kindEnd, endMessage(id+1, "other", 0))
 		_, _, err = collect(context.Background(), other)
 		is.NoErr(err)
 	}
@@ -118,11 +118,11 @@
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{Credit: 4096})
 	s := openStream(t, c, "b")
-	f.send(kindHead, head(1, "b"))
+	f.send(kindHead, headMessage(1, "b"))
 	for i := range uint64(5) {
-		f.send(kindData, data(1, i+1, strings.Repeat("x", 1024)))
+		f.send(kindData, dataMessage(1, i+1, strings.Repeat("x", 1024)))
 	}
-	f.send(kindEnd, end1(1, "b", 5))
+	f.send(kindEnd, endMessage(1, "b", 5))
 	var m beechwire.Cancel
 	f.await(kindCancel, &m)
 	got, _, err := collect(context.Background(), s)
@@ -132,7 +132,7 @@
 
 // The port of an agent is wrong in the settings, or its program is of another
 // version or deployment. The operator sees which of these it is.
-func TestHandshakeErrorsAreClear(t *testing.T) {
+func TestHandshakeErrorsNameTheCause(t *testing.T) {
 	is := is.New(t)
 	frame := func(h beechwire.Hello) []byte {
 		return append([]byte(preamble), frameOf(t, kindHello, &h)...)
@@ -143,9 +143,9 @@
 	}{
 		{[]byte("HTTP/1.1 400 Bad Request\r\n\r\n"), errProtocol.Error()},
 		{frame(beechwire.Hello{Version: 99, Role: beechwire.RoleAgent}), "version 99 is not spoken here"},
-		{frame(beechwire.Hello{Version: beechwire.Version, Role: beechwire.RoleAgent, Key: "other"}), errKey.Error()},
+		{frame(beechwire.Hello{Version: beechwire.Version, Role: beechwire.RoleAgent, Key: "other"}), errKeyMismatch.Error()},
 		{frame(beechwire.Hello{Version: beechwire.Version, Role: "cook", Key: "k"}), `role "cook" is not known`},
-		{append([]byte(preamble), frameOf(t, kindData, data(1, 1, ""))...), "instead of a hello"},
+		{append([]byte(preamble), frameOf(t, kindData, dataMessage(1, 1, ""))...), "instead of a hello"},
 		{append([]byte(preamble), 0xff, 0xff, 0xff, 0xff, 1), "malformed frame"},
 		{append([]byte(preamble), frameOf(t, kindBye, &beechwire.Bye{Reason: "full"})...), "refused by peer: full"},
 	} {
@@ -157,15 +157,15 @@
 					return
 				}
 				_, _ = conn.Write(v.reply)
-				refuse(conn, errProtocol) // reads on, so that the reply arrives
+				reject(conn, errProtocol) // reads on, so that the reply arrives
 				conn.Close()
 			}
 		}()
 		d := newDialer(Settings{Key: "k"}, &recorder{}, nil, realClock)
 		c := d.Dial(addressOf(l.Addr()))
-		until(t, "the handshake fails", func() bool { return d.Counters().Rejected > 0 })
+		waitFor(t, "the handshake fails", func() bool { return d.Counters().Rejected > 0 })
 		var err error
-		until(t, "the cause is known", func() bool {
+		waitFor(t, "the cause is known", func() bool {
 			_, err = c.Open(context.Background(), request("a"), nil)
 			return strings.Contains(err.Error(), v.want)
 		})
@@ -179,7 +179,7 @@
 // A connection may be cut after any byte. Wherever that is, the entry either
 // has the whole answer or is told of the loss; it never takes a part for the
 // whole, and the next request goes over a new connection.
-func TestCutAtEveryByte(t *testing.T) {
+func TestConnectionCutMidTransfer(t *testing.T) {
 	is := is.New(t)
 	answer := func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 		_ = s.Send(ctx, HeadReply{})
@@ -189,11 +189,11 @@
 	}
 	p := newPair(t, Settings{}, handlerFuncs{open: answer})
 	for _, replies := range []bool{false, true} {
-		cut := newCutter(t, p.address.String(), replies, 32<<10)
+		cut := newCuttingProxy(t, p.address.String(), replies, 32<<10)
 		whole, lost := 0, 0
 		for limit := int64(0); whole < 20; limit += 3 {
 			cut.limit.Store(limit)
-			if oneCutRequest(t, cut) {
+			if requestThroughProxy(t, cut) {
 				whole++
 			} else {
 				lost++
@@ -201,18 +201,18 @@
 		}
 		is.True(lost > 50)
 		cut.limit.Store(-1)
-		is.True(oneCutRequest(t, cut))
+		is.True(requestThroughProxy(t, cut))
 		cut.close()
 	}
 }
 
 // oneCutRequest tells whether the answer was whole.
-func oneCutRequest(t *testing.T, cut *cutter) bool {
+func requestThroughProxy(t *testing.T, cut *cuttingProxy) bool {
 	is := is.New(t)
 	d := newDialer(Settings{Connections: 1}, &recorder{}, nil, realClock)
 	defer d.Close()
 	c := d.Dial(addressOf(cut.listener.Addr()))
-	until(t, "the handshake is over", func() bool {
+	waitFor(t, "the handshake is over", func() bool {
 		k := d.Counters()
 		return c.Ready() || k.Rejected+k.Lost+k.Up > 0
 	})
@@ -238,18 +238,18 @@
 // The host of an agent loses power: no packet ends the connection, it just
 // falls silent. A caller whose answer was under way must not wait for TCP's
 // own limits, which are minutes.
-func TestSilentAgentIsNoticed(t *testing.T) {
+func TestSilentAgentIsDetected(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
 	l := loopback(t)
 	defer l.Close()
 	r := &recorder{}
-	pulse := &countingPulse{polls: make(chan struct{}, 1)}
+	pulse := &notifyingSource{polls: make(chan struct{}, 1)}
 	d := NewDialer(Settings{Connections: 1}, hello(beechwire.RoleEntry, 5), r, answerFunc(echoCall), pulse, nil, clock)
 	defer d.Close()
 	c := d.Dial(addressOf(l.Addr()))
 	acceptAsAgent(t, l)
-	until(t, "the link is up", c.Ready)
+	waitFor(t, "the link is up", c.Ready)
 
 	<-pulse.polls // the one for the first beat
 	advance := func() {
@@ -270,18 +270,18 @@
 	_, err := s.Next(context.Background())
 	var lost *LostError
 	is.True(errors.As(err, &lost))
-	is.True(errors.Is(err, errSilent))
+	is.True(errors.Is(err, errPeerTimeout))
 	is.True(clock.Since(began) <= 2*time.Second)
-	until(t, "the owner is told", func() bool {
+	waitFor(t, "the owner is told", func() bool {
 		_, downs, _ := r.counts()
 		return downs == 1
 	})
 }
 
 // countingPulse tells of each poll.
-type countingPulse struct{ polls chan struct{} }
+type notifyingSource struct{ polls chan struct{} }
 
-func (p *countingPulse) CurrentHeartbeat() beechwire.Heartbeat {
+func (p *notifyingSource) CurrentHeartbeat() beechwire.Heartbeat {
 	p.polls <- struct{}{}
 	return beechwire.Heartbeat{}
 }
@@ -289,7 +289,7 @@
 // An agent is replaced on the same address while its old connections look
 // alive. Work sent to the old one would be lost; the owner must hear that the
 // old process is gone before it hears of the new one.
-func TestNewIncarnationReplacesTheOld(t *testing.T) {
+func TestNewIncarnationReplacesOld(t *testing.T) {
 	is := is.New(t)
 	l := loopback(t)
 	defer l.Close()
@@ -298,9 +298,9 @@
 	defer d.Close()
 	c := d.Dial(addressOf(l.Addr()))
 	acceptAsAgent(t, l)
-	until(t, "the old one is up", c.Ready)
+	waitFor(t, "the old one is up", c.Ready)
 	s := openStream(t, c, "a")
-	for range spareStreams { // so that a second connection is made
+	for range extraConnectionThreshold { // so that a second connection is made
 		openStream(t, c, "b")
 	}
 	conn, err := l.Accept()
@@ -311,14 +311,14 @@
 	var lost *LostError
 	is.True(errors.As(err, &lost))
 	is.True(strings.Contains(err.Error(), "replaced by incarnation 8"))
-	until(t, "the owner was told in order", func() bool {
+	waitFor(t, "the owner was told in order", func() bool {
 		ups, downs, _ := r.counts()
 		return ups == 2 && downs == 1
 	})
 	is.Equal(c.Peer().Incarnation, uint64(8))
 }
 
-func TestCallsEndWithTheirContextAndLink(t *testing.T) {
+func TestCallsEndWithContextOrConnection(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -330,7 +330,7 @@
 	_, err := c.Call(ctx, "m", nil)
 	is.True(errors.Is(err, context.Canceled))
 	f.send(kindResult, &beechwire.Result{Call: 1})
-	until(t, "the late result is counted", func() bool { return c.dialer.Counters().Late == 1 })
+	waitFor(t, "the late result is counted", func() bool { return c.dialer.Counters().Late == 1 })
 	go func() {
 		var m beechwire.Call
 		f.await(kindCall, &m)
@@ -346,37 +346,37 @@
 
 // A burst needs a further connection; kept for ever, those of hundreds of
 // agents would cost an idle entry memory and beats.
-func TestSpareConnectionsComeAndGo(t *testing.T) {
+func TestExtraConnectionsOpenAndClose(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{Connections: 3}, handlerFuncs{open: func(ctx context.Context, _ ServerStream, _ beechwire.Request, _ []byte) { <-ctx.Done() }})
 	var streams []Stream
-	for len(streams) < spareStreams {
+	for len(streams) < extraConnectionThreshold {
 		streams = append(streams, openStream(t, p.client, "a"))
 	}
 	is.Equal(p.dialer.Counters().Up, uint64(1))
 	streams = append(streams, openStream(t, p.client, "a"))
-	until(t, "a second is up", func() bool { return len(p.dialer.roster.all()) == 2 })
+	waitFor(t, "a second is up", func() bool { return len(p.dialer.sessions.allConnections()) == 2 })
 	p.client.mu.Lock()
-	kept, spare := p.client.ends[0], p.client.ends[1]
+	kept, spare := p.client.endpoints[0], p.client.endpoints[1]
 	p.client.mu.Unlock()
 	s := openStream(t, p.client, "a")
-	is.Equal(spare.streams(), 1)
+	is.Equal(spare.streamCount(), 1)
 	later := func(d time.Duration) {
-		for _, e := range []*clientEnd{kept, spare} {
-			e.rest(e.c, time.Now().Add(d))
+		for _, e := range []*clientEndpoint{kept, spare} {
+			e.checkIdle(e.connection, time.Now().Add(d))
 		}
 	}
 	later(0)
-	later(2 * spareTime)
+	later(2 * extraIdleTimeout)
 	is.True(spare.usable())
 	s.Close(false)
-	later(3 * spareTime)
+	later(3 * extraIdleTimeout)
 	is.True(!spare.usable())
-	until(t, "the second is closed", func() bool { return len(p.dialer.roster.all()) == 1 })
+	waitFor(t, "the second is closed", func() bool { return len(p.dialer.sessions.allConnections()) == 1 })
 	for _, s := range streams {
 		s.Close(false)
 	}
-	later(9 * spareTime)
+	later(9 * extraIdleTimeout)
 	is.True(kept.usable())
 	is.Equal(p.dialer.Counters().Lost, uint64(0))
 }
--- a/internal/link/beechlink/opening_test.go
+++ b/internal/link/beechlink/concurrent_open_test.go
@@ -12,7 +12,7 @@
 // Many callers arrive at an entry host at the same moment, as in every busy
 // second. Two streams that were numbered in one order and sent in the other
 // made the agent close the connection, and every caller on it lost its answer.
-func TestManyOpenAtOnceOnOneConnection(t *testing.T) {
+func TestConcurrentOpensOnOneConnection(t *testing.T) {
 	const callers, each = 64, 50
 	is := is.New(t)
 	p := newPair(t, Settings{Connections: 1}, handlerFuncs{open: echo})
--- a/internal/link/beechlink/connection.go
+++ b/internal/link/beechlink/connection.go
@@ -18,58 +18,58 @@
 	// connection is one TCP connection after its handshake. The client's and
 	// the server's part is its end.
 	connection struct {
-		conn     net.Conn
-		peer     Peer
-		key      sessionKey
-		settings Settings
-		counters *counters
-		pacer    *pacer
-		caller   CallHandler
-		roster   *roster
-		end      end
-		out      *outbox
-		asks     askTable
-		answers  answerTable
-		context  context.Context
-		cancel   context.CancelFunc
-		beats    bool // this side starts the beats of an idle connection
-
-		heard atomic.Bool
-
-		mu        sync.Mutex
-		writer    beatWriter
-		lastHeard time.Time
-		lastBeat  time.Time
-		lastAsk   time.Time
-		busySince time.Time // zero while idle
-		idle      time.Duration
-		peerIdle  time.Duration
-		state     beechwire.Heartbeat
-		failure   error
+		conn        net.Conn
+		peer        Peer
+		key         sessionKey
+		settings    Settings
+		counters    *counters
+		scheduler   *heartbeatScheduler
+		callHandler CallHandler
+		sessions    *sessionTable
+		endpoint    endpoint
+		out         *outbox
+		outgoing    outgoingCalls
+		incoming    incomingCalls
+		context     context.Context
+		cancel      context.CancelFunc
+		probesIdle  bool // this side starts the beats of an idle connection
+
+		received atomic.Bool
+
+		mu               sync.Mutex
+		encoder          beatEncoder
+		lastReceived     time.Time
+		lastBeatSent     time.Time
+		lastProbe        time.Time
+		busySince        time.Time // zero while idle
+		idleInterval     time.Duration
+		peerIdleInterval time.Duration
+		peerState        beechwire.Heartbeat
+		failure          error
 	}
 
 	// demand says what is wanted of a beat beside what is due.
-	demand int
+	beatMode int
 
 	// end is what differs between the two sides of a connection.
-	end interface {
+	endpoint interface {
 		// receive takes a frame that is not the connection's own business.
 		receive(c *connection, k kind, body []byte) error
 		// streams is the number of open ones.
-		streams() int
+		streamCount() int
 		// lost ends all streams.
-		lost(c *connection, err error)
+		connectionLost(c *connection, err error)
 		// rest is called each round, for what follows from a time of no work.
-		rest(c *connection, now time.Time)
+		checkIdle(c *connection, now time.Time)
 		// bye takes the peer's word that it closes on purpose.
-		bye(c *connection, reason string)
+		receiveBye(c *connection, reason string)
 	}
 )
 
 const (
-	demandNone   demand = iota
-	demandBeat          // send one
-	demandAnswer        // send one that asks for an answer
+	beatIfDue beatMode = iota
+	beatNow            // send one
+	beatProbe          // send one that asks for an answer
 )
 
 const (
@@ -79,15 +79,15 @@
 	// idleMissed is how many beats of an idle entry may be missing before the
 	// agent takes it for dead. Nothing waits for it, so being slow costs
 	// little; being quick would drop many links after a short pause.
-	idleMissed = 2
+	idleMissedBeats = 2
 
 	// idlePatience is by how much more than Deadline an idle peer may take to
 	// answer a beat, for the same reason.
-	idlePatience = 2
+	idleDeadlineFactor = 2
 
 	// loadShare is how often in an idle period a changed load is told on a
 	// connection with streams. Each closing reply tells it too.
-	loadShare = 4
+	loadUpdatesPerIdleInterval = 4
 )
 
 // run reads until the connection ends and returns why; nil after an orderly
@@ -96,21 +96,21 @@
 	writerDone := make(chan struct{})
 	go func() {
 		defer close(writerDone)
-		if err := c.out.write(c.conn); err != nil {
+		if err := c.out.writeLoop(c.conn); err != nil {
 			c.fail(err)
 		}
 	}()
-	c.pacer.add(c)
+	c.scheduler.add(c)
 	err := c.read(frames)
-	c.pacer.remove(c)
+	c.scheduler.remove(c)
 	c.fail(err)
 	<-writerDone
-	failure := c.reason()
-	c.asks.failAll(&LostError{Peer: c.peer.Address, Err: failure})
+	failure := c.failureCause()
+	c.outgoing.failAll(&LostError{Peer: c.peer.Address, Err: failure})
 	// Streams are told before their contexts end: a handler that saw its
 	// context end first would take a lost link for a caller who gave up, and
 	// cancel a generation that should wait for the caller's return.
-	c.end.lost(c, failure)
+	c.endpoint.connectionLost(c, failure)
 	c.cancel()
 	return failure
 }
@@ -122,13 +122,13 @@
 		if err != nil {
 			return err
 		}
-		if !c.heard.Load() {
-			c.heard.Store(true)
+		if !c.received.Load() {
+			c.received.Store(true)
 		}
 		c.counters.framesIn.Add(1)
-		if frames.read != counted {
-			c.counters.bytesIn.Add(frames.read - counted)
-			counted = frames.read
+		if frames.bytesRead != counted {
+			c.counters.bytesIn.Add(frames.bytesRead - counted)
+			counted = frames.bytesRead
 		}
 		if err := c.receive(k, body); err != nil {
 			return fmt.Errorf("frame of type %d: %w", k, err)
@@ -149,12 +149,12 @@
 		if _, err := m.UnmarshalMsg(body); err != nil {
 			return malformed(err)
 		}
-		c.end.bye(c, m.Reason)
+		c.endpoint.receiveBye(c, m.Reason)
 		return nil
 	case kindHello:
 		return &FrameError{Problem: "second hello"}
 	default:
-		return c.end.receive(c, k, body)
+		return c.endpoint.receive(c, k, body)
 	}
 }
 
@@ -175,7 +175,7 @@
 	c.conn.Close()
 }
 
-func (c *connection) reason() error {
+func (c *connection) failureCause() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failure
@@ -184,15 +184,15 @@
 // finish sends what is queued and then a last Bye; the other side then ends
 // the connection. Closing here instead could make the kernel reset the
 // connection and destroy replies that are still on their way.
-func (c *connection) finish(reason string) {
+func (c *connection) sendBye(reason string) {
 	if c.out.send(kindBye, &beechwire.Bye{Reason: reason}) == nil {
 		c.out.finish()
 	}
 }
 
 // waitWritten returns once the writer has ended, or after limit.
-func (c *connection) waitWritten(limit time.Duration) {
-	timer := c.pacer.clock.NewTimer(limit)
+func (c *connection) waitWriterDone(limit time.Duration) {
+	timer := c.scheduler.clock.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-c.out.done:
@@ -203,142 +203,142 @@
 // leave ends the connection after everything queued. A peer that does not
 // end its direction within the deadline is cut, so that a frozen entry cannot
 // hold up an agent's shutdown.
-func (c *connection) leave(reason string) {
-	c.finish(reason)
+func (c *connection) closeGracefully(reason string) {
+	c.sendBye(reason)
 	go func() {
 		select {
 		case <-c.out.done:
 		case <-c.context.Done():
 			return
 		}
-		timer := c.pacer.clock.NewTimer(c.settings.Deadline)
+		timer := c.scheduler.clock.NewTimer(c.settings.Deadline)
 		defer timer.Stop()
 		select {
 		case <-timer.Chan():
-			c.fail(errSilent)
+			c.fail(errPeerTimeout)
 		case <-c.context.Done():
 		}
 	}()
 }
 
 func (c *connection) busy() bool {
-	return c.end.streams() > 0 || c.asks.count() > 0
+	return c.endpoint.streamCount() > 0 || c.outgoing.count() > 0
 }
 
 // check is called by the pacer each round: it beats when it is time and ends
 // the connection when the peer was silent for too long.
-func (c *connection) check(m moment) {
-	if c.silent(m) {
+func (c *connection) check(m tick) {
+	if c.peerTimedOut(m) {
 		c.counters.silent.Add(1)
 		// The other connections to a dead host die with this one.
-		for _, other := range c.roster.siblings(c) {
-			other.beat(m, demandAnswer)
+		for _, other := range c.sessions.otherConnections(c) {
+			other.sendBeat(m, beatProbe)
 		}
-		c.fail(errSilent)
+		c.fail(errPeerTimeout)
 		return
 	}
-	c.beat(m, demandNone)
-	c.end.rest(c, m.now)
+	c.sendBeat(m, beatIfDue)
+	c.endpoint.checkIdle(c, m.now)
 }
 
 // silent tells whether the peer must be taken for dead. Silence counts from
 // the last frame, but not from before work became outstanding, since an idle
 // peer owes nothing; and not from before a pause of this process, during which
 // the peer's frames could not be read.
-func (c *connection) silent(m moment) bool {
+func (c *connection) peerTimedOut(m tick) bool {
 	busy := c.busy()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.heard.Swap(false) || m.late || c.lastHeard.IsZero() {
-		c.lastHeard = m.now
+	if c.received.Swap(false) || m.delayed || c.lastReceived.IsZero() {
+		c.lastReceived = m.now
 	}
 	if !busy {
 		c.busySince = time.Time{}
-		return c.silentIdle(m.now)
+		return c.idlePeerTimedOut(m.now)
 	}
 	if c.busySince.IsZero() {
 		c.busySince = m.now
 	}
-	since := c.lastHeard
+	since := c.lastReceived
 	if c.busySince.After(since) {
 		since = c.busySince
 	}
 	return m.now.Sub(since) > c.settings.Deadline
 }
 
-func (c *connection) silentIdle(now time.Time) bool {
-	patience := idlePatience * c.settings.Deadline
-	owed := !c.lastAsk.IsZero() && !c.lastHeard.After(c.lastAsk)
-	if owed && now.Sub(c.lastAsk) > patience {
+func (c *connection) idlePeerTimedOut(now time.Time) bool {
+	timeout := idleDeadlineFactor * c.settings.Deadline
+	replyDue := !c.lastProbe.IsZero() && !c.lastReceived.After(c.lastProbe)
+	if replyDue && now.Sub(c.lastProbe) > timeout {
 		return true
 	}
-	missed := idleMissed * max(c.idle, c.peerIdle)
-	return now.Sub(c.lastHeard) > missed+patience
+	missedTime := idleMissedBeats * max(c.idleInterval, c.peerIdleInterval)
+	return now.Sub(c.lastReceived) > missedTime+timeout
 }
 
 // beat sends a beat if one is due or demanded.
-func (c *connection) beat(m moment, d demand) {
-	if c.out.queued() > queueLimit {
+func (c *connection) sendBeat(m tick, mode beatMode) {
+	if c.out.queuedBytes() > maxQueuedBytes {
 		return
 	}
 	busy := c.busy()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idle = m.idle
-	every := c.announced(m.idle)
-	b, urgent := c.writer.next(m.heartbeat, every)
-	ask := d == demandAnswer || c.askDue(m.now, busy)
-	load := busy && b.Load != nil && m.now.Sub(c.lastBeat) >= c.loadPeriod()
-	if !urgent && !ask && !load && d == demandNone {
+	c.idleInterval = m.idleInterval
+	interval := c.announcedIntervalMillis(m.idleInterval)
+	b, urgent := c.encoder.delta(m.heartbeat, interval)
+	probe := mode == beatProbe || c.probeDue(m.now, busy)
+	load := busy && b.Load != nil && m.now.Sub(c.lastBeatSent) >= c.loadInterval()
+	if !urgent && !probe && !load && mode == beatIfDue {
 		return
 	}
-	if ask {
-		b.Ask = &ask
+	if probe {
+		b.Ask = &probe
 	}
 	if c.out.send(kindBeat, &b) != nil {
 		return
 	}
 	c.counters.beatsOut.Add(1)
-	c.writer.taken(m.heartbeat, every)
-	c.lastBeat = m.now
-	if ask {
-		c.lastAsk = m.now
+	c.encoder.commit(m.heartbeat, interval)
+	c.lastBeatSent = m.now
+	if probe {
+		c.lastProbe = m.now
 	}
 }
 
 // askDue tells whether the peer should show that it lives: on a connection
 // with work outstanding when nothing was heard for a heartbeat, on an idle one
 // of the client's once in the idle period.
-func (c *connection) askDue(now time.Time, busy bool) bool {
+func (c *connection) probeDue(now time.Time, busy bool) bool {
 	if busy {
-		return now.Sub(c.lastHeard) >= c.settings.Heartbeat && now.Sub(c.lastAsk) >= c.settings.Heartbeat
+		return now.Sub(c.lastReceived) >= c.settings.Heartbeat && now.Sub(c.lastProbe) >= c.settings.Heartbeat
 	}
-	if !c.beats {
+	if !c.probesIdle {
 		return false
 	}
-	if c.lastAsk.IsZero() {
-		c.lastAsk = now.Add(-rand.N(c.idle)) // spreads the links over the period
-		c.lastHeard = now.Add(1)             // nothing is owed for it
+	if c.lastProbe.IsZero() {
+		c.lastProbe = now.Add(-rand.N(c.idleInterval)) // spreads the links over the period
+		c.lastReceived = now.Add(1)                    // nothing is owed for it
 		return false
 	}
-	return now.Sub(c.lastAsk) >= c.idle
+	return now.Sub(c.lastProbe) >= c.idleInterval
 }
 
 // announced is the idle period that the peer is told, in milliseconds; a
 // shrinking fleet need not be told at once.
-func (c *connection) announced(idle time.Duration) int64 {
-	if !c.beats {
+func (c *connection) announcedIntervalMillis(idle time.Duration) int64 {
+	if !c.probesIdle {
 		return 0
 	}
-	every := idle.Milliseconds()
-	if every <= c.writer.every && 2*every > c.writer.every {
-		return c.writer.every
+	interval := idle.Milliseconds()
+	if interval <= c.encoder.intervalMillis && 2*interval > c.encoder.intervalMillis {
+		return c.encoder.intervalMillis
 	}
-	return every
+	return interval
 }
 
-func (c *connection) loadPeriod() time.Duration {
-	return max(c.settings.Heartbeat, c.idle/loadShare, c.peerIdle/loadShare)
+func (c *connection) loadInterval() time.Duration {
+	return max(c.settings.Heartbeat, c.idleInterval/loadUpdatesPerIdleInterval, c.peerIdleInterval/loadUpdatesPerIdleInterval)
 }
 
 func (c *connection) receiveBeat(body []byte) error {
@@ -348,29 +348,29 @@
 	}
 	c.counters.beatsIn.Add(1)
 	c.mu.Lock()
-	merge(&c.state, &b)
-	h := c.state
+	mergeBeat(&c.peerState, &b)
+	h := c.peerState
 	if b.EveryMillis != nil {
-		c.peerIdle = time.Duration(*b.EveryMillis) * time.Millisecond
+		c.peerIdleInterval = time.Duration(*b.EveryMillis) * time.Millisecond
 	}
 	c.mu.Unlock()
 	if b.Ask != nil && *b.Ask {
-		c.beat(c.pacer.moment(), demandBeat)
+		c.sendBeat(c.scheduler.currentTick(), beatNow)
 	}
-	c.roster.heartbeat(c, h)
+	c.sessions.enqueueHeartbeat(c, h)
 	return nil
 }
 
 // known is the peer with the generation it last told.
-func (c *connection) known() Peer {
+func (c *connection) currentPeer() Peer {
 	p := c.peer
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p.Generation = max(p.Generation, c.state.Generation)
+	p.Generation = max(p.Generation, c.peerState.Generation)
 	return p
 }
 
-func (c *connection) count(err error) {
+func (c *connection) countEnd(err error) {
 	var frame *FrameError
 	if errors.As(err, &frame) {
 		c.counters.malformed.Add(1)
@@ -380,20 +380,20 @@
 	}
 }
 
-func newConnection(conn net.Conn, peer Peer, key sessionKey, s Settings, k *counters, p *pacer, caller CallHandler, r *roster, e end) *connection {
+func newConnection(conn net.Conn, peer Peer, key sessionKey, s Settings, counters *counters, scheduler *heartbeatScheduler, callHandler CallHandler, sessions *sessionTable, endpoint endpoint) *connection {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &connection{
-		conn:     conn,
-		peer:     peer,
-		key:      key,
-		settings: s,
-		counters: k,
-		pacer:    p,
-		caller:   caller,
-		roster:   r,
-		end:      e,
-		out:      newOutbox(s.MaxFrame, k),
-		context:  ctx,
-		cancel:   cancel,
+		conn:        conn,
+		peer:        peer,
+		key:         key,
+		settings:    s,
+		counters:    counters,
+		scheduler:   scheduler,
+		callHandler: callHandler,
+		sessions:    sessions,
+		endpoint:    endpoint,
+		out:         newOutbox(s.MaxFrame, counters),
+		context:     ctx,
+		cancel:      cancel,
 	}
 }
--- a/internal/link/beechlink/errors.go
+++ b/internal/link/beechlink/errors.go
@@ -63,9 +63,9 @@
 	// ErrCreditExceeded is the cause where the peer sent more than it had credit for.
 	ErrCreditExceeded = errors.New("peer sent more than its credit")
 
-	errSilent = errors.New("peer was silent for longer than the deadline")
-	errSlow   = errors.New("peer did not finish the handshake in time")
-	errKey    = errors.New("link key differs")
+	errPeerTimeout      = errors.New("peer was silent for longer than the deadline")
+	errHandshakeTimeout = errors.New("peer did not finish the handshake in time")
+	errKeyMismatch      = errors.New("link key differs")
 )
 
 func (e *FrameError) Error() string { return "malformed frame: " + e.Problem }
--- a/internal/link/beechlink/fake_test.go
+++ b/internal/link/beechlink/fake_test.go
@@ -22,7 +22,7 @@
 
 	// cutter relays connections and cuts each after a number of bytes of one
 	// direction.
-	cutter struct {
+	cuttingProxy struct {
 		listener net.Listener
 		target   string
 		limit    atomic.Int64 // bytes; negative is none
@@ -105,13 +105,13 @@
 	t.Cleanup(d.Close)
 	c := d.Dial(addressOf(l.Addr()))
 	f := acceptAsAgent(t, l)
-	until(t, "the link is up", c.Ready)
+	waitFor(t, "the link is up", c.Ready)
 	return c, f
 }
 
-func newCutter(t testing.TB, target string, replies bool, chunk int) *cutter {
+func newCuttingProxy(t testing.TB, target string, replies bool, chunk int) *cuttingProxy {
 	t.Helper()
-	c := &cutter{listener: loopback(t), target: target, replies: replies, chunk: chunk}
+	c := &cuttingProxy{listener: loopback(t), target: target, replies: replies, chunk: chunk}
 	c.limit.Store(-1)
 	c.running.Add(1)
 	go func() {
@@ -131,12 +131,12 @@
 	return c
 }
 
-func (c *cutter) close() {
+func (c *cuttingProxy) close() {
 	c.listener.Close()
 	c.running.Wait()
 }
 
-func (c *cutter) relay(near net.Conn) {
+func (c *cuttingProxy) relay(near net.Conn) {
 	defer near.Close()
 	far, err := net.Dial("tcp", c.target)
 	if err != nil {
@@ -157,7 +157,7 @@
 	<-done
 }
 
-func (c *cutter) copy(to io.Writer, from io.Reader, limit int64) {
+func (c *cuttingProxy) copy(to io.Writer, from io.Reader, limit int64) {
 	if limit >= 0 {
 		from = io.LimitReader(from, limit)
 	}
--- a/internal/link/beechlink/frame.go
+++ b/internal/link/beechlink/frame.go
@@ -15,12 +15,12 @@
 	// frameReader cuts a byte stream into frames. A frame's body is only
 	// valid until the next call.
 	frameReader struct {
-		source io.Reader
-		limit  int
-		buffer []byte
-		start  int
-		end    int
-		read   uint64
+		source    io.Reader
+		limit     int
+		buffer    []byte
+		start     int
+		end       int
+		bytesRead uint64
 	}
 )
 
@@ -45,7 +45,7 @@
 
 const (
 	lengthBytes = 4
-	headBytes   = lengthBytes + 1
+	headerBytes = lengthBytes + 1
 
 	smallBuffer = 2 << 10
 	largeBuffer = 16 << 10
@@ -59,7 +59,7 @@
 // frames, io.ErrUnexpectedEOF inside one, *FrameError that the bytes are no
 // frame.
 func (r *frameReader) next() (kind, []byte, error) {
-	if err := r.fill(headBytes); err != nil {
+	if err := r.fill(headerBytes); err != nil {
 		return 0, nil, err
 	}
 	length := int64(binary.BigEndian.Uint32(r.buffer[r.start:]))
@@ -77,7 +77,7 @@
 		}
 		return 0, nil, err
 	}
-	body := r.buffer[r.start+headBytes : r.start+whole]
+	body := r.buffer[r.start+headerBytes : r.start+whole]
 	r.start += whole
 	return k, body, nil
 }
@@ -91,7 +91,7 @@
 	for r.end-r.start < count {
 		n, err := r.source.Read(r.buffer[r.end:])
 		r.end += n
-		r.read += uint64(n)
+		r.bytesRead += uint64(n)
 		if r.end-r.start >= count {
 			return nil
 		}
--- a/internal/link/beechlink/frame_test.go
+++ b/internal/link/beechlink/frame_test.go
@@ -31,7 +31,7 @@
 
 // A weak network hands a frame over in pieces, or several at once. A reader
 // that took a piece for a frame would give callers bytes of other answers.
-func TestFramesAreTheSameInPieces(t *testing.T) {
+func TestFramesReadInPieces(t *testing.T) {
 	is := is.New(t)
 	var b []byte
 	sizes := []int{0, 1, smallBuffer, largeBuffer, 3 * largeBuffer, 5}
@@ -96,25 +96,25 @@
 			if kinds[i] != pieceKinds[i] || !bytes.Equal(body, pieces[i]) {
 				t.Fatalf("frame %d differs", i)
 			}
-			total += headBytes + len(body)
+			total += headerBytes + len(body)
 		}
 		if total > len(b) || (err == io.EOF && total != len(b)) {
 			t.Fatalf("frames of %d bytes from %d", total, len(b))
 		}
-		feedEnds(kinds, whole)
+		feedEndpoints(kinds, whole)
 	})
 }
 
 // feedEnds has both ends take the frames, as far as they accept them.
-func feedEnds(kinds []kind, bodies [][]byte) {
-	s := Settings{MaxBody: 1 << 10, MaxFrame: 64 << 10}.filled()
-	client := newClientEnd()
-	server := newServerEnd(fuzzServer)
-	for _, e := range []end{client, server} {
-		c := newConnection(nil, Peer{}, sessionKey{}, s, &counters{}, fuzzServer.pacer, answerFunc(echoCall), fuzzServer.roster, e)
-		client.c, server.c = c, c
+func feedEndpoints(kinds []kind, bodies [][]byte) {
+	s := Settings{MaxBody: 1 << 10, MaxFrame: 64 << 10}.withDefaults()
+	client := newClientEndpoint()
+	server := newServerEndpoint(fuzzServer)
+	for _, e := range []endpoint{client, server} {
+		c := newConnection(nil, Peer{}, sessionKey{}, s, &counters{}, fuzzServer.scheduler, answerFunc(echoCall), fuzzServer.sessions, e)
+		client.connection, server.connection = c, c
 		// A stream with id 1, for replies to find.
-		if _, err := client.add(&clientStream{requestID: "a", attempt: 1, next: 1}); e == end(client) && err != nil {
+		if _, err := client.add(&clientStream{requestID: "a", attempt: 1, nextSequence: 1}); e == endpoint(client) && err != nil {
 			panic(err)
 		}
 		for i, k := range kinds {
@@ -122,7 +122,7 @@
 				break
 			}
 		}
-		e.lost(c, io.EOF)
+		e.connectionLost(c, io.EOF)
 		c.cancel()
 	}
 }
--- a/internal/link/beechlink/handshake.go
+++ b/internal/link/beechlink/handshake.go
@@ -17,11 +17,11 @@
 	// so in text, instead of having its bytes read as a frame's length.
 	preamble = "BEECHLNK"
 
-	wrongProtocol = "this port speaks beechring's link protocol only\r\n"
+	wrongProtocolText = "this port speaks beechring's link protocol only\r\n"
 
 	// refusedBytes is how much of a refused peer's input is read, so that the
 	// refusal is not destroyed by a reset.
-	refusedBytes = 64 << 10
+	maxDrainBytes = 64 << 10
 )
 
 var errProtocol = errors.New("peer does not speak the link protocol")
@@ -30,7 +30,7 @@
 func sendHello(conn net.Conn, h beechwire.Hello, key string) error {
 	h.Version = beechwire.Version
 	h.Key = key
-	frame, err := appendFrame([]byte(preamble), helloLimit, kindHello, &h)
+	frame, err := appendFrame([]byte(preamble), maxHelloBytes, kindHello, &h)
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 	if h.Version != beechwire.Version {
 		return h, fmt.Errorf("version %d is not spoken here, version %d is", h.Version, beechwire.Version)
 	}
-	if !sameKey(h.Key, key) {
-		return h, errKey
+	if !equalKeys(h.Key, key) {
+		return h, errKeyMismatch
 	}
 	switch h.Role {
 	case beechwire.RoleEntry, beechwire.RoleAgent, beechwire.RoleTool:
@@ -84,7 +84,7 @@
 }
 
 // sameKey takes the same time whatever the keys, also for their lengths.
-func sameKey(a, b string) bool {
+func equalKeys(a, b string) bool {
 	x := sha256.Sum256([]byte(a))
 	y := sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
@@ -93,10 +93,10 @@
 // refuse tells a peer why it is not accepted. What it still sends is read: a
 // close with unread input would reset the connection, and the peer would see
 // the reset instead of the reason.
-func refuse(conn net.Conn, reason error) {
-	text := []byte(wrongProtocol)
+func reject(conn net.Conn, reason error) {
+	text := []byte(wrongProtocolText)
 	if !errors.Is(reason, errProtocol) {
-		frame, err := appendFrame([]byte(preamble), helloLimit, kindBye, &beechwire.Bye{Reason: reason.Error()})
+		frame, err := appendFrame([]byte(preamble), maxHelloBytes, kindBye, &beechwire.Bye{Reason: reason.Error()})
 		if err != nil {
 			return
 		}
@@ -106,13 +106,13 @@
 		return
 	}
 	if half, ok := conn.(closeWriter); ok && half.CloseWrite() == nil {
-		_, _ = io.CopyN(io.Discard, conn, refusedBytes)
+		_, _ = io.CopyN(io.Discard, conn, maxDrainBytes)
 	}
 }
 
 // peerOf uses the address that the peer gives, or else that of its
 // connection.
-func peerOf(h beechwire.Hello, remote net.Addr) (Peer, sessionKey) {
+func peerFromHello(h beechwire.Hello, remote net.Addr) (Peer, sessionKey) {
 	key := sessionKey{incarnation: h.Incarnation}
 	given, err := netip.ParseAddrPort(h.Address)
 	if err == nil {
--- a/internal/link/beechlink/outbox.go
+++ b/internal/link/beechlink/outbox.go
@@ -21,7 +21,7 @@
 		done     chan struct{} // closed once the writer has ended
 
 		mu        sync.Mutex
-		waiting   []byte
+		queue     []byte
 		frames    uint64
 		transfers []*transfer
 		room      chan struct{} // closed when there is room again; nil while there is
@@ -31,21 +31,21 @@
 
 	// transfer is a body or payload that goes out in pieces.
 	transfer struct {
-		kind   kind
-		id     uint64 // stream or call
-		method string
-		rest   []byte
+		kind      kind
+		id        uint64 // stream or call
+		method    string
+		remaining []byte
 	}
 
 	closeWriter interface{ CloseWrite() error }
 )
 
 const (
-	writeBatch = 64 << 10
-	keptBuffer = 128 << 10
+	writeBatchBytes = 64 << 10
+	maxPooledBuffer = 128 << 10
 )
 
-var buffers = sync.Pool{New: func() any { return new([]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([]byte) }}
 
 func newOutbox(limit int, c *counters) *outbox {
 	return &outbox{
@@ -70,11 +70,11 @@
 	if o.finishing {
 		return ErrClosed
 	}
-	if o.waiting == nil {
-		o.waiting = (*buffers.Get().(*[]byte))[:0]
+	if o.queue == nil {
+		o.queue = (*bufferPool.Get().(*[]byte))[:0]
 	}
-	b, err := appendFrame(o.waiting, o.limit, k, m)
-	o.waiting = b
+	b, err := appendFrame(o.queue, o.limit, k, m)
+	o.queue = b
 	if err != nil {
 		return err
 	}
@@ -85,24 +85,24 @@
 
 // sendWith queues a message and what follows it in pieces. A payload of one
 // piece goes out right behind its message.
-func (o *outbox) sendWith(k kind, m msgp.Marshaler, t *transfer) error {
+func (o *outbox) sendWithTransfer(k kind, m msgp.Marshaler, t *transfer) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := o.sendLocked(k, m); err != nil {
 		return err
 	}
-	return o.startLocked(t)
+	return o.startTransferLocked(t)
 }
 
-func (o *outbox) start(t *transfer) error {
+func (o *outbox) startTransfer(t *transfer) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.startLocked(t)
+	return o.startTransferLocked(t)
 }
 
-func (o *outbox) startLocked(t *transfer) error {
-	if len(t.rest) <= pieceBytes {
-		return o.sendPiece(t)
+func (o *outbox) startTransferLocked(t *transfer) error {
+	if len(t.remaining) <= chunkBytes {
+		return o.sendChunk(t)
 	}
 	if o.err != nil {
 		return o.err
@@ -116,7 +116,7 @@
 }
 
 // stop forgets what is left of a stream's body.
-func (o *outbox) stop(k kind, id uint64) {
+func (o *outbox) cancelTransfer(k kind, id uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, t := range o.transfers {
@@ -133,18 +133,18 @@
 	o.transfers = nil
 }
 
-func (o *outbox) sendPiece(t *transfer) error {
-	count := min(len(t.rest), pieceBytes)
-	piece := t.rest[:count]
-	t.rest = t.rest[count:]
-	more := len(t.rest) > 0
+func (o *outbox) sendChunk(t *transfer) error {
+	count := min(len(t.remaining), chunkBytes)
+	chunk := t.remaining[:count]
+	t.remaining = t.remaining[count:]
+	more := len(t.remaining) > 0
 	switch t.kind {
 	case kindCall:
-		return o.sendLocked(kindCall, &beechwire.Call{Call: t.id, Method: t.method, Payload: piece, More: more})
+		return o.sendLocked(kindCall, &beechwire.Call{Call: t.id, Method: t.method, Payload: chunk, More: more})
 	case kindResult:
-		return o.sendLocked(kindResult, &beechwire.Result{Call: t.id, Payload: piece, More: more})
+		return o.sendLocked(kindResult, &beechwire.Result{Call: t.id, Payload: chunk, More: more})
 	default:
-		return o.sendLocked(kindBody, &beechwire.Body{Stream: t.id, Data: piece})
+		return o.sendLocked(kindBody, &beechwire.Body{Stream: t.id, Data: chunk})
 	}
 }
 
@@ -161,7 +161,7 @@
 func (o *outbox) waitRoom(ctx context.Context) error {
 	for {
 		o.mu.Lock()
-		if o.err != nil || len(o.waiting) < queueLimit {
+		if o.err != nil || len(o.queue) < maxQueuedBytes {
 			err := o.err
 			o.mu.Unlock()
 			return err
@@ -179,10 +179,10 @@
 	}
 }
 
-func (o *outbox) queued() int {
+func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.waiting)
+	return len(o.queue)
 }
 
 // finish makes the writer end after what is queued.
@@ -201,11 +201,11 @@
 		o.err = err
 	}
 	o.transfers = nil
-	o.openRoom()
+	o.releaseSenders()
 	o.signal()
 }
 
-func (o *outbox) openRoom() {
+func (o *outbox) releaseSenders() {
 	if o.room != nil {
 		close(o.room)
 		o.room = nil
@@ -213,20 +213,20 @@
 }
 
 // take returns the next batch, or false once the writer is to end.
-func (o *outbox) take() ([]byte, bool) {
+func (o *outbox) nextBatch() ([]byte, bool) {
 	for {
 		o.mu.Lock()
-		o.takePieces()
-		if o.err != nil || (o.finishing && len(o.waiting) == 0 && len(o.transfers) == 0) {
+		o.fillBatch()
+		if o.err != nil || (o.finishing && len(o.queue) == 0 && len(o.transfers) == 0) {
 			o.mu.Unlock()
 			return nil, false
 		}
-		if len(o.waiting) > 0 {
-			batch := o.waiting
-			o.waiting = nil
+		if len(o.queue) > 0 {
+			batch := o.queue
+			o.queue = nil
 			o.counters.framesOut.Add(o.frames)
 			o.frames = 0
-			o.openRoom()
+			o.releaseSenders()
 			if len(o.transfers) > 0 {
 				o.signal()
 			}
@@ -239,13 +239,13 @@
 }
 
 // takePieces adds a piece of each transfer in turn until the batch is full.
-func (o *outbox) takePieces() {
+func (o *outbox) fillBatch() {
 	finishing := o.finishing
 	o.finishing = false
-	for len(o.transfers) > 0 && len(o.waiting) < writeBatch {
+	for len(o.transfers) > 0 && len(o.queue) < writeBatchBytes {
 		t := o.transfers[0]
 		o.transfers = o.transfers[1:]
-		if o.sendPiece(t) == nil && len(t.rest) > 0 {
+		if o.sendChunk(t) == nil && len(t.remaining) > 0 {
 			o.transfers = append(o.transfers, t)
 		}
 	}
@@ -253,18 +253,18 @@
 }
 
 // write is the connection's one writer. It returns nil after finish.
-func (o *outbox) write(conn net.Conn) error {
+func (o *outbox) writeLoop(conn net.Conn) error {
 	defer close(o.done)
 	for {
-		batch, ok := o.take()
+		batch, ok := o.nextBatch()
 		if !ok {
 			break
 		}
 		n, err := conn.Write(batch)
 		o.counters.bytesOut.Add(uint64(n))
 		o.counters.writes.Add(1)
-		if cap(batch) <= keptBuffer {
-			buffers.Put(&batch)
+		if cap(batch) <= maxPooledBuffer {
+			bufferPool.Put(&batch)
 		}
 		if err != nil {
 			o.fail(err)
--- a/internal/link/beechlink/pair_test.go
+++ b/internal/link/beechlink/pair_test.go
@@ -30,12 +30,12 @@
 
 	// recorder keeps what Events were told and gives a settable heartbeat.
 	recorder struct {
-		mu     sync.Mutex
-		beat   beechwire.Heartbeat
-		latest beechwire.Heartbeat
-		beats  int
-		ups    []Peer
-		downs  []error
+		mu       sync.Mutex
+		current  beechwire.Heartbeat
+		latest   beechwire.Heartbeat
+		received int
+		ups      []Peer
+		downs    []error
 	}
 
 	handlerFuncs struct {
@@ -66,28 +66,28 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.latest = h
-	r.beats++
+	r.received++
 }
 
 func (r *recorder) CurrentHeartbeat() beechwire.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.beat
+	return r.current
 }
 
 func (r *recorder) set(change func(h *beechwire.Heartbeat)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.beat)
+	change(&r.current)
 }
 
 func (r *recorder) counts() (ups, downs, beats int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.ups), len(r.downs), r.beats
+	return len(r.ups), len(r.downs), r.received
 }
 
-func (r *recorder) heard() beechwire.Heartbeat {
+func (r *recorder) latestHeartbeat() beechwire.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latest
@@ -158,12 +158,12 @@
 		p.dialer.Close()
 		p.server.Close()
 	})
-	until(t, "the link is up", func() bool { return p.client.Ready() })
+	waitFor(t, "the link is up", func() bool { return p.client.Ready() })
 	return p
 }
 
 // until waits for a condition; the limit only ends a test that hangs.
-func until(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > waitLimit {
@@ -202,7 +202,7 @@
 		_ = s.Send(ctx, EndReply{End: beechwire.End{RequestID: "r1", Attempt: 3, Last: r.After + 1}})
 	}})
 	ctx := context.Background()
-	for _, size := range []int{0, 1, pieceBytes, pieceBytes + 1, 1 << 20} {
+	for _, size := range []int{0, 1, chunkBytes, chunkBytes + 1, 1 << 20} {
 		body := bytes.Repeat([]byte("x"), size)
 		if size > 200<<10 {
 			continue
@@ -228,26 +228,26 @@
 	var refused *CallError
 	is.True(errors.As(err, &refused))
 
-	until(t, "the agent knows the entry", func() bool { return len(p.server.Peers()) == 1 })
+	waitFor(t, "the agent knows the entry", func() bool { return len(p.server.Peers()) == 1 })
 	answer, err = p.server.Call(ctx, p.server.Peers()[0].Address, "n", nil)
 	is.NoErr(err)
 	is.Equal(string(answer), "agent n ")
 }
 
-func TestHeartbeatsCarryWhatChanged(t *testing.T) {
+func TestHeartbeatsCarryChanges(t *testing.T) {
 	p := newPair(t, Settings{Heartbeat: 20 * time.Millisecond, Deadline: 10 * time.Second}, handlerFuncs{open: echo})
 	p.agent.set(func(h *beechwire.Heartbeat) {
 		h.Leaving = true
 		h.Models = []string{"m@1"}
 	})
-	until(t, "the entry hears of leaving", func() bool { return p.entry.heard().Leaving })
+	waitFor(t, "the entry hears of leaving", func() bool { return p.entry.latestHeartbeat().Leaving })
 	p.agent.set(func(h *beechwire.Heartbeat) { h.Models = nil })
-	until(t, "the entry hears of the lost model", func() bool { return len(p.entry.heard().Models) == 0 })
+	waitFor(t, "the entry hears of the lost model", func() bool { return len(p.entry.latestHeartbeat().Models) == 0 })
 	p.entry.set(func(h *beechwire.Heartbeat) { h.Generation = 9 })
-	until(t, "the agent hears of the generation", func() bool { return p.agent.heard().Generation == 9 })
-	until(t, "the agent's peers show it", func() bool { return p.server.Peers()[0].Generation == 9 })
+	waitFor(t, "the agent hears of the generation", func() bool { return p.agent.latestHeartbeat().Generation == 9 })
+	waitFor(t, "the agent's peers show it", func() bool { return p.server.Peers()[0].Generation == 9 })
 	p.server.Close()
-	until(t, "the entry is told once of the loss", func() bool {
+	waitFor(t, "the entry is told once of the loss", func() bool {
 		ups, downs, _ := p.entry.counts()
 		return ups == 1 && downs == 1
 	})
--- a/internal/link/beechlink/pacer.go
+++ b/internal/link/beechlink/scheduler.go
@@ -12,12 +12,12 @@
 	// pacer watches all connections of a Dialer or Server from one goroutine:
 	// a timer for each of hundreds of idle links would cost an idle entry
 	// more than its share of a core.
-	pacer struct {
+	heartbeatScheduler struct {
 		clock    clockwork.Clock
 		settings Settings
-		pulse    HeartbeatSource
+		source   HeartbeatSource
 		stop     chan struct{}
-		soon     chan struct{} // room for one; asks for a round now
+		trigger  chan struct{} // room for one; asks for a round now
 
 		mu          sync.Mutex
 		connections map[*connection]struct{}
@@ -26,21 +26,21 @@
 	}
 
 	// moment is what one round of the pacer tells each connection.
-	moment struct {
-		now       time.Time
-		heartbeat beechwire.Heartbeat
-		idle      time.Duration // between beats of a connection with no work
-		late      bool          // this process was held up since the last round
+	tick struct {
+		now          time.Time
+		heartbeat    beechwire.Heartbeat
+		idleInterval time.Duration // between beats of a connection with no work
+		delayed      bool          // this process was held up since the last round
 	}
 )
 
-func newPacer(s Settings, pulse HeartbeatSource, clock clockwork.Clock) *pacer {
-	p := &pacer{
+func newHeartbeatScheduler(s Settings, source HeartbeatSource, clock clockwork.Clock) *heartbeatScheduler {
+	p := &heartbeatScheduler{
 		clock:       clock,
 		settings:    s,
-		pulse:       pulse,
+		source:      source,
 		stop:        make(chan struct{}),
-		soon:        make(chan struct{}, 1),
+		trigger:     make(chan struct{}, 1),
 		connections: map[*connection]struct{}{},
 	}
 	period := s.Heartbeat / 2
@@ -52,35 +52,35 @@
 			select {
 			case <-p.stop:
 				return
-			case <-p.soon:
-				p.round(clock.Now(), false)
+			case <-p.trigger:
+				p.runTick(clock.Now(), false)
 				continue
 			case <-ticker.Chan():
 			}
 			now := clock.Now()
-			p.round(now, now.Sub(last) > 2*period)
+			p.runTick(now, now.Sub(last) > 2*period)
 			last = now
 		}
 	}()
 	return p
 }
 
-func (p *pacer) close() { close(p.stop) }
+func (p *heartbeatScheduler) close() { close(p.stop) }
 
 // push sends what is urgent and has changed now instead of at the next round.
-func (p *pacer) push() {
+func (p *heartbeatScheduler) runNow() {
 	select {
-	case p.soon <- struct{}{}:
+	case p.trigger <- struct{}{}:
 	default:
 	}
 }
 
-func (p *pacer) round(now time.Time, late bool) {
-	h := p.pulse.CurrentHeartbeat()
+func (p *heartbeatScheduler) runTick(now time.Time, late bool) {
+	h := p.source.CurrentHeartbeat()
 	p.mu.Lock()
 	p.latest = h
 	p.polled = true
-	m := moment{now: now, heartbeat: h, idle: p.idleLocked(), late: late}
+	m := tick{now: now, heartbeat: h, idleInterval: p.idleIntervalLocked(), delayed: late}
 	all := make([]*connection, 0, len(p.connections))
 	for c := range p.connections {
 		all = append(all, c)
@@ -93,30 +93,30 @@
 
 // idleLocked stretches the period with the number of connections, so that
 // the sum over all of them stays the same.
-func (p *pacer) idleLocked() time.Duration {
+func (p *heartbeatScheduler) idleIntervalLocked() time.Duration {
 	return max(p.settings.Heartbeat, time.Duration(len(p.connections))*p.settings.IdleIntervalPerConnection)
 }
 
-func (p *pacer) add(c *connection) {
+func (p *heartbeatScheduler) add(c *connection) {
 	p.mu.Lock()
 	p.connections[c] = struct{}{}
 	p.mu.Unlock()
-	c.check(p.moment())
+	c.check(p.currentTick())
 }
 
-func (p *pacer) remove(c *connection) {
+func (p *heartbeatScheduler) remove(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.connections, c)
 }
 
 // moment is that of the last round, or a new one before the first.
-func (p *pacer) moment() moment {
+func (p *heartbeatScheduler) currentTick() tick {
 	p.mu.Lock()
 	polled := p.polled
 	p.mu.Unlock()
 	if !polled {
-		h := p.pulse.CurrentHeartbeat()
+		h := p.source.CurrentHeartbeat()
 		p.mu.Lock()
 		p.latest = h
 		p.polled = true
@@ -124,5 +124,5 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return moment{now: p.clock.Now(), heartbeat: p.latest, idle: p.idleLocked()}
+	return tick{now: p.clock.Now(), heartbeat: p.latest, idleInterval: p.idleIntervalLocked()}
 }
--- a/internal/link/beechlink/server.go
+++ b/internal/link/beechlink/server.go
@@ -16,49 +16,49 @@
 type (
 	// Server is the agent's side of links.
 	Server struct {
-		settings Settings
-		self     func() beechwire.Hello
-		handler  StreamHandler
-		caller   CallHandler
-		tls      *tls.Config
-		clock    clockwork.Clock
-		counters counters
-		pacer    *pacer
-		roster   *roster
-		greeting chan struct{} // one element for each handshake under way
+		settings       Settings
+		self           func() beechwire.Hello
+		handler        StreamHandler
+		callHandler    CallHandler
+		tls            *tls.Config
+		clock          clockwork.Clock
+		counters       counters
+		scheduler      *heartbeatScheduler
+		sessions       *sessionTable
+		handshakeSlots chan struct{} // one element for each handshake under way
 
 		mu          sync.Mutex
 		listeners   map[net.Listener]struct{}
-		open        map[net.Conn]struct{}
+		openConns   map[net.Conn]struct{}
 		streams     int
 		draining    bool
-		empty       chan struct{} // closed when draining and no stream is left
+		drained     chan struct{} // closed when draining and no stream is left
 		connections sync.WaitGroup
 		closed      bool
 	}
 )
 
 // handshakes is how many peers may be shaking hands at once; more are closed.
-const handshakes = 1024
+const maxConcurrentHandshakes = 1024
 
 // NewServer makes the agent's side. Self is asked at each handshake, pulse every
 // half Heartbeat. tlsConfig may be nil; it should ask for the entries'
 // certificates.
-func NewServer(settings Settings, self func() beechwire.Hello, handler StreamHandler, caller CallHandler, events Events, pulse HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Server {
-	s := settings.filled()
+func NewServer(settings Settings, self func() beechwire.Hello, handler StreamHandler, callHandler CallHandler, events Events, heartbeats HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Server {
+	s := settings.withDefaults()
 	return &Server{
-		settings:  s,
-		self:      self,
-		handler:   handler,
-		caller:    caller,
-		tls:       tlsConfig,
-		clock:     clock,
-		pacer:     newPacer(s, pulse, clock),
-		roster:    newRoster(events),
-		greeting:  make(chan struct{}, handshakes),
-		listeners: map[net.Listener]struct{}{},
-		open:      map[net.Conn]struct{}{},
-		empty:     make(chan struct{}),
+		settings:       s,
+		self:           self,
+		handler:        handler,
+		callHandler:    callHandler,
+		tls:            tlsConfig,
+		clock:          clock,
+		scheduler:      newHeartbeatScheduler(s, heartbeats, clock),
+		sessions:       newSessionTable(events),
+		handshakeSlots: make(chan struct{}, maxConcurrentHandshakes),
+		listeners:      map[net.Listener]struct{}{},
+		openConns:      map[net.Conn]struct{}{},
+		drained:        make(chan struct{}),
 	}
 }
 
@@ -90,12 +90,12 @@
 			}
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
-				s.clock.Sleep(backoffFirst) // out of file descriptors, say
+				s.clock.Sleep(backoffMin) // out of file descriptors, say
 				continue
 			}
 			return fmt.Errorf("accept links on %s: %w", l.Addr(), err)
 		}
-		s.start(conn)
+		s.startConnection(conn)
 	}
 }
 
@@ -116,55 +116,55 @@
 }
 
 // start serves a connection in its goroutine.
-func (s *Server) start(conn net.Conn) {
+func (s *Server) startConnection(conn net.Conn) {
 	s.mu.Lock()
 	if s.draining {
 		s.mu.Unlock()
 		conn.Close()
 		return
 	}
-	s.open[conn] = struct{}{}
+	s.openConns[conn] = struct{}{}
 	s.connections.Add(1)
 	s.mu.Unlock()
 	go func() {
 		defer s.connections.Done()
-		s.serve(conn)
+		s.serveConnection(conn)
 		conn.Close()
 		s.mu.Lock()
-		delete(s.open, conn)
+		delete(s.openConns, conn)
 		s.mu.Unlock()
 	}()
 }
 
-func (s *Server) serve(raw net.Conn) {
-	conn, frames, hello, err := s.greet(raw)
+func (s *Server) serveConnection(raw net.Conn) {
+	conn, frames, hello, err := s.handshake(raw)
 	if err != nil {
 		s.counters.rejected.Add(1)
 		return
 	}
-	e := newServerEnd(s)
+	e := newServerEndpoint(s)
 	frames.limit = s.settings.MaxFrame
-	peer, key := peerOf(hello, raw.RemoteAddr())
-	c := newConnection(conn, peer, key, s.settings, &s.counters, s.pacer, s.caller, s.roster, e)
-	e.c = c
+	peer, key := peerFromHello(hello, raw.RemoteAddr())
+	c := newConnection(conn, peer, key, s.settings, &s.counters, s.scheduler, s.callHandler, s.sessions, e)
+	e.connection = c
 	s.counters.up.Add(1)
-	s.roster.join(c)
+	s.sessions.add(c)
 	if s.isDraining() {
-		c.leave(byeDrained)
+		c.closeGracefully(byeDrained)
 	}
 	err = c.run(frames)
-	c.count(err)
-	s.roster.leave(c, err)
+	c.countEnd(err)
+	s.sessions.remove(c, err)
 }
 
 // greet shakes hands within DialTimeout.
-func (s *Server) greet(raw net.Conn) (net.Conn, *frameReader, beechwire.Hello, error) {
+func (s *Server) handshake(raw net.Conn) (net.Conn, *frameReader, beechwire.Hello, error) {
 	select {
-	case s.greeting <- struct{}{}:
+	case s.handshakeSlots <- struct{}{}:
 	default:
 		return nil, nil, beechwire.Hello{}, ErrBusy
 	}
-	defer func() { <-s.greeting }()
+	defer func() { <-s.handshakeSlots }()
 	timer := s.clock.AfterFunc(s.settings.DialTimeout, func() { raw.Close() })
 	defer timer.Stop()
 	conn := raw
@@ -175,22 +175,22 @@
 		}
 		conn = secured
 	}
-	frames := newFrameReader(conn, helloLimit)
-	hello, err := s.meet(conn, frames)
+	frames := newFrameReader(conn, maxHelloBytes)
+	hello, err := s.readClientHello(conn, frames)
 	if err != nil {
-		refuse(conn, err)
+		reject(conn, err)
 		return nil, nil, hello, err
 	}
 	if err := sendHello(conn, s.self(), s.settings.Key); err != nil {
 		return nil, nil, hello, err
 	}
 	if !timer.Stop() {
-		return nil, nil, hello, errSilent
+		return nil, nil, hello, errPeerTimeout
 	}
 	return conn, frames, hello, nil
 }
 
-func (s *Server) meet(conn net.Conn, frames *frameReader) (beechwire.Hello, error) {
+func (s *Server) readClientHello(conn net.Conn, frames *frameReader) (beechwire.Hello, error) {
 	if err := readPreamble(conn); err != nil {
 		return beechwire.Hello{}, err
 	}
@@ -198,7 +198,7 @@
 }
 
 // enter counts a stream in, unless the server drains.
-func (s *Server) enter() bool {
+func (s *Server) beginStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
@@ -208,12 +208,12 @@
 	return true
 }
 
-func (s *Server) exit() {
+func (s *Server) endStream() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.streams--
 	if s.draining && s.streams == 0 {
-		close(s.empty)
+		close(s.drained)
 	}
 }
 
@@ -224,14 +224,14 @@
 	if !s.beginDrain() {
 		return ErrClosed
 	}
-	defer s.shut()
+	defer s.closeAll()
 	select {
-	case <-s.empty:
+	case <-s.drained:
 	case <-ctx.Done():
 		return fmt.Errorf("drain links: %w", ctx.Err())
 	}
-	for _, c := range s.roster.all() {
-		c.leave(byeDrained)
+	for _, c := range s.sessions.allConnections() {
+		c.closeGracefully(byeDrained)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -254,7 +254,7 @@
 	}
 	s.draining = true
 	if s.streams == 0 {
-		close(s.empty)
+		close(s.drained)
 	}
 	for l := range s.listeners {
 		l.Close()
@@ -265,38 +265,38 @@
 // Close cuts all links at once.
 func (s *Server) Close() {
 	s.beginDrain()
-	s.shut()
+	s.closeAll()
 }
 
-func (s *Server) shut() {
+func (s *Server) closeAll() {
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
 		return
 	}
 	s.closed = true
-	for conn := range s.open {
+	for conn := range s.openConns {
 		conn.Close()
 	}
 	s.mu.Unlock()
 	s.connections.Wait()
-	s.pacer.close()
-	s.roster.close()
+	s.scheduler.close()
+	s.sessions.close()
 }
 
 // PushHeartbeat sends at once what has changed in the heartbeat and must be known soon:
 // leaving, generation, models, suspects.
-func (s *Server) PushHeartbeat() { s.pacer.push() }
+func (s *Server) PushHeartbeat() { s.scheduler.runNow() }
 
 // Peers returns the processes linked now.
-func (s *Server) Peers() []Peer { return s.roster.peers() }
+func (s *Server) Peers() []Peer { return s.sessions.peers() }
 
 // Counters returns those of all links.
 func (s *Server) Counters() Counters { return s.counters.snapshot() }
 
 // Call asks an entry one question, as Client.Call does an agent.
 func (s *Server) Call(ctx context.Context, peer netip.AddrPort, method string, payload []byte) ([]byte, error) {
-	c := s.roster.connection(peer)
+	c := s.sessions.connectionTo(peer)
 	if c == nil {
 		return nil, &OpenError{Peer: peer, Err: ErrDown}
 	}
--- a/internal/link/beechlink/server_test.go
+++ b/internal/link/beechlink/server_test.go
@@ -28,7 +28,7 @@
 )
 
 // answerIn returns a handler that answers with count pieces of size bytes.
-func answerIn(count, size int) func(context.Context, ServerStream, beechwire.Request, []byte) {
+func answerInChunks(count, size int) func(context.Context, ServerStream, beechwire.Request, []byte) {
 	return func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 		if s.Send(ctx, HeadReply{}) != nil {
 			return
@@ -45,7 +45,7 @@
 // Anything may connect to an agent's port: a browser, a port scanner, an entry
 // of another version or deployment, or one with a fault. It is told why it is
 // not served and is closed, and streams of other entries go on.
-func TestBadPeersDisturbNobody(t *testing.T) {
+func TestInvalidPeersDoNotAffectOthers(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	p := newPair(t, Settings{Key: "k"}, handlerFuncs{open: func(ctx context.Context, s ServerStream, r beechwire.Request, body []byte) {
@@ -69,16 +69,16 @@
 		bytes []byte
 		want  string // in what the peer is told
 	}{
-		{"browser", []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"), wrongProtocol},
-		{"random bytes", random, wrongProtocol},
+		{"browser", []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"), wrongProtocolText},
+		{"random bytes", random, wrongProtocolText},
 		{"random bytes after the preamble", append([]byte(preamble), random...), "malformed frame"},
 		{"version", frame(beechwire.Hello{Version: 9, Role: beechwire.RoleEntry, Key: "k"}), "version 9 is not spoken here, version 1 is"},
-		{"key", frame(beechwire.Hello{Version: beechwire.Version, Role: beechwire.RoleEntry, Key: "K"}), errKey.Error()},
+		{"key", frame(beechwire.Hello{Version: beechwire.Version, Role: beechwire.RoleEntry, Key: "K"}), errKeyMismatch.Error()},
 		{"oversize hello", append([]byte(preamble), 0, 0, 0x20, 0, byte(kindHello)), "malformed frame"},
 		{"oversize frame", after(0x7f, 0, 0, 0, byte(kindOpen)), ""},
 		{"random frames", after(random...), ""},
 		{"no msgpack", after(0, 0, 0, 3, byte(kindOpen), 0xc1, 0xc1), ""},
-		{"an agent's frame", after(frameOf(t, kindEnd, end1(1, "a", 0))...), ""},
+		{"an agent's frame", after(frameOf(t, kindEnd, endMessage(1, "a", 0))...), ""},
 		{"a stream id twice", after(append(bytes.Clone(open), open...)...), ""},
 		{"more body than said", after(append(bytes.Clone(open), frameOf(t, kindBody, &beechwire.Body{Stream: 4, Data: []byte("abc")})...)...), ""},
 		{"second hello", after(frameOf(t, kindHello, &good)...), ""},
@@ -87,7 +87,7 @@
 		is.NoErr(err)
 		_, err = conn.Write(v.bytes)
 		is.NoErr(err)
-		told, err := io.ReadAll(half(t, conn, v.want != ""))
+		told, err := io.ReadAll(closeWriteIf(t, conn, v.want != ""))
 		if !strings.Contains(string(told), v.want) {
 			t.Errorf("%s: told %q (%v)", v.name, told, err)
 		}
@@ -97,7 +97,7 @@
 	got, _, err := collect(context.Background(), running)
 	is.NoErr(err)
 	is.Equal(string(got), "body")
-	until(t, "all are counted", func() bool {
+	waitFor(t, "all are counted", func() bool {
 		k := p.server.Counters()
 		return k.Rejected >= 6 && k.Malformed >= 7
 	})
@@ -108,7 +108,7 @@
 
 // half ends this side's direction, if so asked, so that a refusing peer is
 // done reading at once.
-func half(t *testing.T, conn net.Conn, yes bool) net.Conn {
+func closeWriteIf(t *testing.T, conn net.Conn, yes bool) net.Conn {
 	if yes {
 		is.New(t).NoErr(conn.(closeWriter).CloseWrite())
 	}
@@ -117,10 +117,10 @@
 
 // One member's phone reads nothing while the answer grows. Its stream waits at
 // its credit, and another's on the same connection comes through whole.
-func TestSlowReaderHoldsNobody(t *testing.T) {
+func TestSlowReaderDoesNotBlockOtherStreams(t *testing.T) {
 	is := is.New(t)
 	var sent atomic.Int64
-	fast := answerIn(1000, 100)
+	fast := answerInChunks(1000, 100)
 	p := newPair(t, Settings{Connections: 1, Credit: 8 << 10}, handlerFuncs{open: func(ctx context.Context, s ServerStream, r beechwire.Request, body []byte) {
 		if r.ID != "slow" {
 			fast(ctx, s, r, body)
@@ -136,7 +136,7 @@
 		_ = s.Send(ctx, EndReply{End: beechwire.End{Last: 1000}})
 	}})
 	slow := openStream(t, p.client, "slow")
-	until(t, "the slow stream has used its credit", func() bool { return sent.Load() == 8 })
+	waitFor(t, "the slow stream has used its credit", func() bool { return sent.Load() == 8 })
 	for range 3 {
 		got, last, err := collect(context.Background(), openStream(t, p.client, "fast"))
 		is.NoErr(err)
@@ -152,15 +152,15 @@
 
 // A lease file of some megabytes is on its way to an agent when a grower asks
 // a short question. The question's request goes out after at most one batch.
-func TestLargeBodyLetsSmallOnesPass(t *testing.T) {
+func TestLargeBodyDoesNotDelaySmallMessages(t *testing.T) {
 	is := is.New(t)
 	o := newOutbox(1<<20, &counters{})
-	is.NoErr(o.sendWith(kindOpen, &beechwire.Open{Stream: 1}, &transfer{kind: kindBody, id: 1, rest: make([]byte, 8<<20)}))
-	is.NoErr(o.sendWith(kindOpen, &beechwire.Open{Stream: 2}, &transfer{kind: kindBody, id: 2, rest: make([]byte, 40<<10)}))
-	batch, _ := o.take()
-	is.True(len(batch) < writeBatch+2*pieceBytes)
-	is.NoErr(o.sendWith(kindOpen, &beechwire.Open{Stream: 3}, &transfer{kind: kindBody, id: 3, rest: []byte("short")}))
-	batch, _ = o.take()
+	is.NoErr(o.sendWithTransfer(kindOpen, &beechwire.Open{Stream: 1}, &transfer{kind: kindBody, id: 1, remaining: make([]byte, 8<<20)}))
+	is.NoErr(o.sendWithTransfer(kindOpen, &beechwire.Open{Stream: 2}, &transfer{kind: kindBody, id: 2, remaining: make([]byte, 40<<10)}))
+	batch, _ := o.nextBatch()
+	is.True(len(batch) < writeBatchBytes+2*chunkBytes)
+	is.NoErr(o.sendWithTransfer(kindOpen, &beechwire.Open{Stream: 3}, &transfer{kind: kindBody, id: 3, remaining: []byte("short")}))
+	batch, _ = o.nextBatch()
 	kinds, bodies, _ := readAll(batch, 1<<20, false)
 	is.Equal(kinds[0], kindOpen)
 	var m beechwire.Body
@@ -182,7 +182,7 @@
 // A caller gives up, goes away for a moment, or its entry's link is cut. The
 // agent must tell these apart: it stops the engine at once for the first, and
 // lets the generation wait for the caller's return in the others.
-func TestHandlerLearnsWhyItsStreamEnded(t *testing.T) {
+func TestDetachedReportsWhyStreamEnded(t *testing.T) {
 	is := is.New(t)
 	detached := make(chan bool)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
@@ -209,7 +209,7 @@
 // The agent's writer notices that a link is lost before its reader does. A handler whose
 // send fails at that moment must not take the caller for gone for good: the answer that
 // the caller comes back for would be thrown away.
-func TestSendThatFailsWithTheLinkLeavesTheStreamDetached(t *testing.T) {
+func TestFailedSendLeavesStreamDetached(t *testing.T) {
 	is := is.New(t)
 	type end struct {
 		failed   error
@@ -217,7 +217,7 @@
 	}
 	ends := make(chan end, 1)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
-		s.(*serverStream).end.c.out.fail(io.EOF) // as the writer does first
+		s.(*serverStream).endpoint.connection.out.fail(io.EOF) // as the writer does first
 		err := s.Send(ctx, DataReply{beechwire.Data{Sequence: 1, Data: []byte("x")}})
 		ends <- end{err, s.Detached()}
 	}})
@@ -231,7 +231,7 @@
 // A link is lost while a booking runs at an agent that leaves, and the booking is
 // joined again there. That the agent takes no more streams does not say that the
 // booking was not run; taken so, it would be run again elsewhere.
-func TestJoinThatALeavingAgentDoesNotTake(t *testing.T) {
+func TestReattachToDrainingAgent(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, r beechwire.Request, body []byte) {
@@ -239,10 +239,10 @@
 		echo(ctx, s, r, body)
 	}})
 	running := openStream(t, p.client, "r")
-	until(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
+	waitFor(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
 	drained := make(chan error)
 	go func() { drained <- p.server.Drain(context.Background()) }()
-	until(t, "the drain has begun", p.server.isDraining)
+	waitFor(t, "the drain has begun", p.server.isDraining)
 	s, err := p.client.Reattach(t.Context(), beechwire.Reattach{RequestID: "r"})
 	is.NoErr(err)
 	_, last, err := collect(t.Context(), s)
@@ -260,10 +260,10 @@
 // An agent is stopped for a new version while callers read. Every answer comes
 // whole, new requests are refused as not run, and so are those that crossed
 // the agent's last word on the wire.
-func TestDrainCutsNothing(t *testing.T) {
+func TestDrainCompletesOpenStreams(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	slow := answerIn(200, 500)
+	slow := answerInChunks(200, 500)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, r beechwire.Request, body []byte) {
 		<-release
 		slow(ctx, s, r, body)
@@ -272,10 +272,10 @@
 	for i := range 50 {
 		streams = append(streams, openStream(t, p.client, fmt.Sprint(i)))
 	}
-	until(t, "all have begun", func() bool { return p.server.Counters().Opened == 50 })
+	waitFor(t, "all have begun", func() bool { return p.server.Counters().Opened == 50 })
 	drained := make(chan error)
 	go func() { drained <- p.server.Drain(context.Background()) }()
-	until(t, "the drain has begun", p.server.isDraining)
+	waitFor(t, "the drain has begun", p.server.isDraining)
 	_, last, err := collect(context.Background(), openStream(t, p.client, "late"))
 	is.NoErr(err)
 	refused, ok := last.(RefusedReply)
@@ -322,11 +322,11 @@
 
 // An entry hangs while an agent is to stop. The agent's shutdown ends with its
 // context all the same, and says so.
-func TestDrainEndsWithItsContext(t *testing.T) {
+func TestDrainReturnsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, _ ServerStream, _ beechwire.Request, _ []byte) { <-ctx.Done() }})
 	s := openStream(t, p.client, "a")
-	until(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
+	waitFor(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(p.server.Drain(ctx), context.Canceled))
@@ -337,7 +337,7 @@
 
 // A handler panics or returns without a word. The caller is not left to wait
 // for its deadline, and is not told that nothing ran.
-func TestEveryStreamGetsALastReply(t *testing.T) {
+func TestEveryStreamGetsAFinalReply(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(_ context.Context, _ ServerStream, r beechwire.Request, _ []byte) {
 		if r.ID == "panic" {
@@ -403,7 +403,7 @@
 
 // Many callers at once over connections that hand over a few bytes at a time:
 // each gets exactly its own answer. The seed is fixed.
-func TestManyStreamsGetTheirOwnAnswers(t *testing.T) {
+func TestConcurrentStreamsAreNotMixed(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, body []byte) {
 		_ = s.Send(ctx, HeadReply{})
@@ -418,12 +418,12 @@
 		}
 		_ = s.Send(ctx, EndReply{End: beechwire.End{Last: sequence}})
 	}})
-	cut := newCutter(t, p.address.String(), true, 700)
+	cut := newCuttingProxy(t, p.address.String(), true, 700)
 	defer cut.close()
 	d := newDialer(Settings{Credit: 4 << 10}, &recorder{}, nil, realClock)
 	defer d.Close()
 	c := d.Dial(addressOf(cut.listener.Addr()))
-	until(t, "the link is up", c.Ready)
+	waitFor(t, "the link is up", c.Ready)
 	var callers sync.WaitGroup
 	for i := range 200 {
 		callers.Go(func() {
@@ -447,7 +447,7 @@
 
 // Links are made and lost all day. What stays behind of each would fill a
 // host's memory within weeks.
-func TestNothingIsLeftBehind(t *testing.T) {
+func TestNoGoroutinesLeak(t *testing.T) {
 	is := is.New(t)
 	before := runtime.NumGoroutine()
 	for i := range 5 {
@@ -458,7 +458,7 @@
 		d := newDialer(Settings{}, &recorder{}, nil, realClock)
 		c := d.Dial(addressOf(l.Addr()))
 		gone := d.Dial(netip.MustParseAddrPort("127.0.0.1:1"))
-		until(t, "the link is up", c.Ready)
+		waitFor(t, "the link is up", c.Ready)
 		is.True(!gone.Ready())
 		_, _, err := collect(context.Background(), openStream(t, c, "a"))
 		is.NoErr(err)
@@ -472,15 +472,15 @@
 		}
 		is.NoErr(<-served)
 	}
-	until(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
 
 // Without certificates on both sides, whoever reaches the port could read
 // members' histories.
 func TestMutualTLS(t *testing.T) {
 	is := is.New(t)
-	pool, certificate := authority(t)
-	_, stranger := authority(t)
+	pool, certificate := selfSignedAuthority(t)
+	_, stranger := selfSignedAuthority(t)
 	server := newServer(Settings{}, handlerFuncs{open: echo}, &recorder{}, &tls.Config{
 		Certificates: []tls.Certificate{certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
@@ -499,7 +499,7 @@
 	} {
 		d := newDialer(Settings{Connections: 1}, &recorder{}, &tls.Config{RootCAs: pool, Certificates: v.certificates}, realClock)
 		c := d.Dial(addressOf(l.Addr()))
-		until(t, "the handshake is over", func() bool { return c.Ready() || d.Counters().Rejected > 0 })
+		waitFor(t, "the handshake is over", func() bool { return c.Ready() || d.Counters().Rejected > 0 })
 		is.Equal(c.Ready(), v.accepted)
 		if v.accepted {
 			got, _, err := collect(context.Background(), openStream(t, c, "a"))
@@ -511,7 +511,7 @@
 }
 
 // authority makes a certificate for 127.0.0.1 that signs itself.
-func authority(t *testing.T) (*x509.CertPool, tls.Certificate) {
+func selfSignedAuthority(t *testing.T) (*x509.CertPool, tls.Certificate) {
 	t.Helper()
 	is := is.New(t)
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -538,7 +538,7 @@
 // An entry's process hangs with hundreds of answers on their way, and its
 // socket takes no more. The agent holds a bounded amount for it, whatever
 // credit its streams have, until the entry is taken for dead.
-func TestPeerThatDoesNotReadIsBounded(t *testing.T) {
+func TestMemoryForStalledReaderIsBounded(t *testing.T) {
 	is := is.New(t)
 	const streams, size = 200, 16 << 10
 	var sent atomic.Int64
@@ -555,8 +555,8 @@
 		f.send(kindOpen, &beechwire.Open{Stream: i + 1, Credit: 64 << 20, Request: beechwire.Request{ID: "a", Attempt: 1}})
 	}
 	var c *connection
-	until(t, "the agent knows the entry", func() bool {
-		for _, other := range p.server.roster.all() {
+	waitFor(t, "the agent knows the entry", func() bool {
+		for _, other := range p.server.sessions.allConnections() {
 			if other.peer.Incarnation == 6 {
 				c = other
 			}
@@ -564,14 +564,14 @@
 		return c != nil && p.server.Counters().Opened == streams
 	})
 	before := int64(-1)
-	until(t, "nothing more is sent", func() bool {
+	waitFor(t, "nothing more is sent", func() bool {
 		last := before
 		before = sent.Load()
 		time.Sleep(50 * time.Millisecond)
 		return before > 0 && last == before
 	})
 	// Each stream may have passed the check with one more piece.
-	is.True(c.out.queued() <= queueLimit+streams*(size+replyOverhead))
+	is.True(c.out.queuedBytes() <= maxQueuedBytes+streams*(size+replyOverhead))
 	f.conn.Close()
-	until(t, "all have ended", func() bool { return c.end.streams() == 0 })
+	waitFor(t, "all have ended", func() bool { return c.endpoint.streamCount() == 0 })
 }
--- a/internal/link/beechlink/serverend.go
+++ b/internal/link/beechlink/serverendpoint.go
@@ -11,40 +11,40 @@
 
 type (
 	// serverEnd is the agent's part of a connection: its streams.
-	serverEnd struct {
-		server *Server
-		c      *connection
+	serverEndpoint struct {
+		server     *Server
+		connection *connection
 
-		mu      sync.Mutex
-		table   map[uint64]*serverStream
-		last    uint64 // highest stream seen
-		pending int    // bytes of bodies not complete
+		mu               sync.Mutex
+		openStreams      map[uint64]*serverStream
+		lastID           uint64 // highest stream seen
+		pendingBodyBytes int    // bytes of bodies not complete
 	}
 )
 
-func newServerEnd(s *Server) *serverEnd {
-	return &serverEnd{server: s, table: map[uint64]*serverStream{}}
+func newServerEndpoint(s *Server) *serverEndpoint {
+	return &serverEndpoint{server: s, openStreams: map[uint64]*serverStream{}}
 }
 
-func (e *serverEnd) streams() int {
+func (e *serverEndpoint) streamCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.table)
+	return len(e.openStreams)
 }
 
-func (e *serverEnd) remove(id uint64) {
+func (e *serverEndpoint) remove(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.table, id)
+	delete(e.openStreams, id)
 }
 
-func (e *serverEnd) find(id uint64) *serverStream {
+func (e *serverEndpoint) find(id uint64) *serverStream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.table[id]
+	return e.openStreams[id]
 }
 
-func (e *serverEnd) receive(_ *connection, k kind, body []byte) error {
+func (e *serverEndpoint) receive(_ *connection, k kind, body []byte) error {
 	switch k {
 	case kindOpen:
 		var m beechwire.Open
@@ -88,21 +88,21 @@
 
 // add makes a stream. Its id must be a new one: an id used twice would let
 // replies of one request reach another.
-func (e *serverEnd) add(id uint64, credit int, requestID string, attempt int) (*serverStream, error) {
-	if id <= e.last {
+func (e *serverEndpoint) newStream(id uint64, credit int, requestID string, attempt int) (*serverStream, error) {
+	if id <= e.lastID {
 		return nil, &FrameError{Problem: fmt.Sprintf("stream %d is not new", id)}
 	}
-	e.last = id
-	ctx, cancel := context.WithCancel(e.c.context)
+	e.lastID = id
+	ctx, cancel := context.WithCancel(e.connection.context)
 	s := &serverStream{
-		end:       e,
-		id:        id,
-		requestID: requestID,
-		attempt:   attempt,
-		credit:    credit,
-		more:      make(chan struct{}, 1),
-		context:   ctx,
-		cancel:    cancel,
+		endpoint:    e,
+		id:          id,
+		requestID:   requestID,
+		attempt:     attempt,
+		credit:      credit,
+		creditAdded: make(chan struct{}, 1),
+		context:     ctx,
+		cancel:      cancel,
 	}
 	if requestID != "" && attempt != 0 {
 		s.tag = beechwire.Tag(requestID, attempt)
@@ -111,80 +111,80 @@
 }
 
 // admit puts a stream in the table, or says why not.
-func (e *serverEnd) admit(s *serverStream, bodyBytes int) (reason, message string) {
+func (e *serverEndpoint) admit(s *serverStream, bodyBytes int) (reason, message string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if bodyBytes < 0 || bodyBytes > e.c.settings.MaxBody {
-		return beechwire.ReasonMalformed, fmt.Sprintf("body of %d bytes is over %d", bodyBytes, e.c.settings.MaxBody)
+	if bodyBytes < 0 || bodyBytes > e.connection.settings.MaxBody {
+		return beechwire.ReasonMalformed, fmt.Sprintf("body of %d bytes is over %d", bodyBytes, e.connection.settings.MaxBody)
 	}
-	if len(e.table) >= e.c.settings.MaxStreams {
+	if len(e.openStreams) >= e.connection.settings.MaxStreams {
 		return beechwire.ReasonBusy, "too many streams on the connection"
 	}
-	if e.pending+bodyBytes > pendingLimit*e.c.settings.MaxBody {
+	if e.pendingBodyBytes+bodyBytes > pendingBodyFactor*e.connection.settings.MaxBody {
 		return beechwire.ReasonBusy, "too many bodies on their way on the connection"
 	}
-	if !e.server.enter() {
-		return beechwire.ReasonLeaving, leavingMessage
+	if !e.server.beginStream() {
+		return beechwire.ReasonLeaving, drainingMessage
 	}
-	e.table[s.id] = s
+	e.openStreams[s.id] = s
 	return "", ""
 }
 
-func (e *serverEnd) open(m *beechwire.Open) error {
+func (e *serverEndpoint) open(m *beechwire.Open) error {
 	r := &m.Request
-	s, err := e.add(m.Stream, m.Credit, r.ID, r.Attempt)
+	s, err := e.newStream(m.Stream, m.Credit, r.ID, r.Attempt)
 	if err != nil {
 		return err
 	}
 	if reason, message := e.admit(s, r.BodyBytes); reason != "" {
-		e.refuse(s, false, reason, message)
+		e.refuseStream(s, false, reason, message)
 		return nil
 	}
-	e.c.counters.opened.Add(1)
+	e.connection.counters.opened.Add(1)
 	s.request = r
 	if r.BodyBytes == 0 {
-		e.begin(s)
+		e.startOpenHandler(s)
 		return nil
 	}
 	s.body = make([]byte, 0, r.BodyBytes)
 	e.mu.Lock()
-	e.pending += r.BodyBytes
+	e.pendingBodyBytes += r.BodyBytes
 	e.mu.Unlock()
 	return nil
 }
 
-func (e *serverEnd) reattach(m *beechwire.Reattach) error {
-	s, err := e.add(m.Stream, m.Credit, m.RequestID, 0)
+func (e *serverEndpoint) reattach(m *beechwire.Reattach) error {
+	s, err := e.newStream(m.Stream, m.Credit, m.RequestID, 0)
 	if err != nil {
 		return err
 	}
 	if reason, message := e.admit(s, 0); reason != "" {
-		e.refuse(s, true, reason, message)
+		e.refuseStream(s, true, reason, message)
 		return nil
 	}
-	e.c.counters.reattached.Add(1)
-	e.serve(s, func() { e.server.handler.Reattach(s.context, s, *m) })
+	e.connection.counters.reattached.Add(1)
+	e.runHandler(s, func() { e.server.handler.Reattach(s.context, s, *m) })
 	return nil
 }
 
 // refuse closes a stream that was not taken. It cannot be sent after Bye,
 // which says the same; to end the connection for that would reset it, and the
 // entry could lose the Bye and with it the proof that nothing was run.
-func (e *serverEnd) refuse(s *serverStream, joins bool, reason, message string) {
+func (e *serverEndpoint) refuseStream(s *serverStream, reattach bool, reason, message string) {
 	s.cancel()
-	e.c.counters.refused.Add(1)
-	switch r := notTaken(s.id, s.requestID, s.attempt, joins, reason, message).(type) {
+	e.connection.counters.refused.Add(1)
+	switch r := notAdmittedReply(s.id, s.requestID, s.attempt, reattach, reason, message).(type) {
 	case RefusedReply:
-		_ = e.c.out.send(kindRefused, &r.Refused)
+		_ = e.connection.out.send(kindRefused, &r.Refused)
 	case FailedReply:
-		_ = e.c.out.send(kindFailed, &r.Failed)
+		_ = e.connection.out.send(kindFailed, &r.Failed)
 	}
 }
 
 // notTaken is the last reply of a stream that an agent does not take. Refused says
 // that the request was not run, which is not known of one that was to be joined.
-func notTaken(stream uint64, requestID string, attempt int, joins bool, reason, message string) Reply {
-	if joins {
+func notAdmittedReply(stream uint64, requestID string, attempt int, reattach bool, reason, message string) Reply {
+	if reattach {
 		return FailedReply{Failed: beechwire.Failed{
 			Stream: stream, RequestID: requestID, Attempt: attempt, Reason: reason, Message: message, Ran: beechwire.RanUnknown,
 		}}
@@ -194,7 +194,7 @@
 	}}
 }
 
-func (e *serverEnd) addBody(m *beechwire.Body) error {
+func (e *serverEndpoint) addBody(m *beechwire.Body) error {
 	s := e.find(m.Stream)
 	if s == nil {
 		return nil // refused or cancelled while the body was on its way
@@ -206,39 +206,39 @@
 	if len(s.body) < s.request.BodyBytes {
 		return nil
 	}
-	e.release(s)
-	e.begin(s)
+	e.releaseBody(s)
+	e.startOpenHandler(s)
 	return nil
 }
 
 // release takes a body that is complete or given up out of what is pending.
-func (e *serverEnd) release(s *serverStream) {
+func (e *serverEndpoint) releaseBody(s *serverStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pending -= s.request.BodyBytes
+	e.pendingBodyBytes -= s.request.BodyBytes
 }
 
-func (e *serverEnd) begin(s *serverStream) {
-	e.serve(s, func() { e.server.handler.Open(s.context, s, s.request, s.body) })
+func (e *serverEndpoint) startOpenHandler(s *serverStream) {
+	e.runHandler(s, func() { e.server.handler.Open(s.context, s, s.request, s.body) })
 }
 
 // serve runs a handler in its goroutine.
-func (e *serverEnd) serve(s *serverStream, handle func()) {
+func (e *serverEndpoint) runHandler(s *serverStream, handle func()) {
 	go func() {
-		defer e.server.exit()
+		defer e.server.endStream()
 		defer s.cancel()
-		e.guard(s, handle)
+		e.runGuarded(s, handle)
 	}()
 }
 
 // guard makes sure that every stream gets a last reply. A handler that panics
 // or forgets it would leave a caller waiting until its deadline; what ran is
 // then unknown.
-func (e *serverEnd) guard(s *serverStream, handle func()) {
+func (e *serverEndpoint) runGuarded(s *serverStream, handle func()) {
 	message := "handler gave no last reply"
 	defer func() {
 		if p := recover(); p != nil {
-			e.c.counters.panics.Add(1)
+			e.connection.counters.panics.Add(1)
 			message = fmt.Sprintf("handler panicked: %v", p)
 		}
 		// Over is the usual case: the handler has sent its last reply.
@@ -251,37 +251,37 @@
 	handle()
 }
 
-func (e *serverEnd) cancel(m *beechwire.Cancel) {
+func (e *serverEndpoint) cancel(m *beechwire.Cancel) {
 	s := e.find(m.Stream)
 	if s == nil {
 		return
 	}
 	e.remove(s.id)
-	s.stop(m.Detached)
-	e.abandon(s)
+	s.closeByPeer(m.Detached)
+	e.releaseUnstarted(s)
 }
 
 // abandon accounts for a stream whose handler was never started.
-func (e *serverEnd) abandon(s *serverStream) {
+func (e *serverEndpoint) releaseUnstarted(s *serverStream) {
 	if s.request == nil || len(s.body) >= s.request.BodyBytes {
 		return
 	}
-	e.release(s)
-	e.server.exit()
+	e.releaseBody(s)
+	e.server.endStream()
 }
 
-func (e *serverEnd) lost(_ *connection, _ error) {
+func (e *serverEndpoint) connectionLost(_ *connection, _ error) {
 	e.mu.Lock()
-	table := e.table
-	e.table = map[uint64]*serverStream{}
+	table := e.openStreams
+	e.openStreams = map[uint64]*serverStream{}
 	e.mu.Unlock()
 	for _, s := range table {
-		s.stop(true)
-		e.abandon(s)
+		s.closeByPeer(true)
+		e.releaseUnstarted(s)
 	}
 }
 
-func (e *serverEnd) bye(c *connection, _ string) { c.out.finish() }
+func (e *serverEndpoint) receiveBye(c *connection, _ string) { c.out.finish() }
 
 // rest does nothing: which connections are kept is the entry's choice.
-func (e *serverEnd) rest(*connection, time.Time) {}
+func (e *serverEndpoint) checkIdle(*connection, time.Time) {}
--- a/internal/link/beechlink/serverstream.go
+++ b/internal/link/beechlink/serverstream.go
@@ -11,7 +11,7 @@
 type (
 	// serverStream is the agent's side of a stream.
 	serverStream struct {
-		end       *serverEnd
+		endpoint  *serverEndpoint
 		id        uint64
 		requestID string
 		attempt   int
@@ -22,23 +22,23 @@
 		request *beechwire.Request // of an Open
 		body    []byte             // received so far
 
-		mu      sync.Mutex
-		credit  int
-		more    chan struct{} // room for one; told when credit grew
-		over    bool
-		forGood bool // the entry cancelled it and wants no more of its generation
+		mu                  sync.Mutex
+		credit              int
+		creditAdded         chan struct{} // room for one; told when credit grew
+		closed              bool
+		generationCancelled bool // the entry cancelled it and wants no more of its generation
 	}
 )
 
 // Peer implements ServerStream.
-func (s *serverStream) Peer() Peer { return s.end.c.known() }
+func (s *serverStream) Peer() Peer { return s.endpoint.connection.currentPeer() }
 
 // Detached implements ServerStream. Only the entry's own word ends a generation: a send
 // may fail before this side has noticed that the link is lost.
 func (s *serverStream) Detached() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.forGood
+	return !s.generationCancelled
 }
 
 // Send implements ServerStream. Stream is filled in, as are RequestID and
@@ -50,7 +50,7 @@
 	case HeadReply:
 		m := r.Head
 		m.Stream = s.id
-		s.name(&m.RequestID, &m.Attempt)
+		s.fillIdentity(&m.RequestID, &m.Attempt)
 		return s.send(kindHead, func(o *outbox) error { return o.send(kindHead, &m) })
 	case DataReply:
 		m := r.Data
@@ -58,24 +58,24 @@
 		if m.Tag == 0 {
 			m.Tag = s.tag
 		}
-		if err := s.takeCredit(ctx, costOf(m.Data)); err != nil {
+		if err := s.acquireCredit(ctx, creditCost(m.Data)); err != nil {
 			return err
 		}
 		return s.send(kindData, func(o *outbox) error { return o.send(kindData, &m) })
 	case EndReply:
 		m := r.End
 		m.Stream = s.id
-		s.name(&m.RequestID, &m.Attempt)
+		s.fillIdentity(&m.RequestID, &m.Attempt)
 		return s.send(kindEnd, func(o *outbox) error { return o.send(kindEnd, &m) })
 	case RefusedReply:
 		m := r.Refused
 		m.Stream = s.id
-		s.name(&m.RequestID, &m.Attempt)
+		s.fillIdentity(&m.RequestID, &m.Attempt)
 		return s.send(kindRefused, func(o *outbox) error { return o.send(kindRefused, &m) })
 	case FailedReply:
 		m := r.Failed
 		m.Stream = s.id
-		s.name(&m.RequestID, &m.Attempt)
+		s.fillIdentity(&m.RequestID, &m.Attempt)
 		return s.send(kindFailed, func(o *outbox) error { return o.send(kindFailed, &m) })
 	default:
 		return fmt.Errorf("reply of type %T cannot be sent", r)
@@ -84,7 +84,7 @@
 
 // name fills in what the handler left empty, and learns what only it knows on
 // a Reattach.
-func (s *serverStream) name(requestID *string, attempt *int) {
+func (s *serverStream) fillIdentity(requestID *string, attempt *int) {
 	if *requestID == "" {
 		*requestID = s.requestID
 	}
@@ -100,18 +100,18 @@
 func (s *serverStream) send(k kind, queue func(*outbox) error) error {
 	last := k == kindEnd || k == kindRefused || k == kindFailed
 	s.mu.Lock()
-	if s.over {
+	if s.closed {
 		s.mu.Unlock()
 		return ErrStreamClosed
 	}
-	err := queue(s.end.c.out)
-	s.over = last && err == nil
+	err := queue(s.endpoint.connection.out)
+	s.closed = last && err == nil
 	s.mu.Unlock()
 	if err != nil {
-		return fmt.Errorf("send to %s: %w", s.end.c.peer.Address, err)
+		return fmt.Errorf("send to %s: %w", s.endpoint.connection.peer.Address, err)
 	}
 	if last {
-		s.end.remove(s.id)
+		s.endpoint.remove(s.id)
 	}
 	return nil
 }
@@ -119,13 +119,13 @@
 // takeCredit waits until the entry has room. A message may be larger than
 // what is left, so that one larger than the whole credit is not held forever;
 // the debt is waited for by the next.
-func (s *serverStream) takeCredit(ctx context.Context, cost int) error {
-	if err := s.end.c.out.waitRoom(ctx); err != nil {
-		return fmt.Errorf("send to %s: %w", s.end.c.peer.Address, err)
+func (s *serverStream) acquireCredit(ctx context.Context, cost int) error {
+	if err := s.endpoint.connection.out.waitRoom(ctx); err != nil {
+		return fmt.Errorf("send to %s: %w", s.endpoint.connection.peer.Address, err)
 	}
 	for {
 		s.mu.Lock()
-		if s.over {
+		if s.closed {
 			s.mu.Unlock()
 			return ErrStreamClosed
 		}
@@ -136,7 +136,7 @@
 		}
 		s.mu.Unlock()
 		select {
-		case <-s.more:
+		case <-s.creditAdded:
 		case <-s.context.Done():
 			return ErrStreamClosed
 		case <-ctx.Done():
@@ -150,16 +150,16 @@
 	s.credit += bytes
 	s.mu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.creditAdded <- struct{}{}:
 	default:
 	}
 }
 
 // stop ends the stream from the entry's side.
-func (s *serverStream) stop(detached bool) {
+func (s *serverStream) closeByPeer(detached bool) {
 	s.mu.Lock()
-	s.over = true
-	s.forGood = !detached
+	s.closed = true
+	s.generationCancelled = !detached
 	s.mu.Unlock()
 	s.cancel()
 }
--- a/internal/link/beechlink/roster.go
+++ b/internal/link/beechlink/sessions.go
@@ -12,14 +12,14 @@
 	// roster groups connections by the process at their other end and tells
 	// the owner of each process once, whatever its number of connections. One
 	// goroutine tells, so that an owner may call back into the link.
-	roster struct {
-		mu       sync.Mutex
-		sessions map[sessionKey]*session
-		queue    []event
-		wake     chan struct{}
-		stop     chan struct{}
-		stopped  chan struct{}
-		owner    Events
+	sessionTable struct {
+		mu      sync.Mutex
+		byKey   map[sessionKey]*session
+		queue   []event
+		wake    chan struct{}
+		stop    chan struct{}
+		stopped chan struct{}
+		events  Events
 	}
 
 	// sessionKey names a process; address is zero for one that gave none.
@@ -54,22 +54,22 @@
 func (downEvent) event()      {}
 func (heartbeatEvent) event() {}
 
-func newRoster(owner Events) *roster {
-	r := &roster{
-		sessions: map[sessionKey]*session{},
-		wake:     make(chan struct{}, 1),
-		stop:     make(chan struct{}),
-		stopped:  make(chan struct{}),
-		owner:    owner,
+func newSessionTable(events Events) *sessionTable {
+	r := &sessionTable{
+		byKey:   map[sessionKey]*session{},
+		wake:    make(chan struct{}, 1),
+		stop:    make(chan struct{}),
+		stopped: make(chan struct{}),
+		events:  events,
 	}
 	go func() {
 		defer close(r.stopped)
 		for {
 			select {
 			case <-r.wake:
-				r.tell()
+				r.deliver()
 			case <-r.stop:
-				r.tell()
+				r.deliver()
 				return
 			}
 		}
@@ -78,12 +78,12 @@
 }
 
 // close returns once the owner was told of everything.
-func (r *roster) close() {
+func (r *sessionTable) close() {
 	close(r.stop)
 	<-r.stopped
 }
 
-func (r *roster) tell() {
+func (r *sessionTable) deliver() {
 	r.mu.Lock()
 	events := r.queue
 	r.queue = nil
@@ -91,16 +91,16 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case upEvent:
-			r.owner.Up(e.peer)
+			r.events.Up(e.peer)
 		case downEvent:
-			r.owner.Down(e.peer, e.err)
+			r.events.Down(e.peer, e.err)
 		case heartbeatEvent:
-			r.owner.Heartbeat(e.peer, e.heartbeat)
+			r.events.Heartbeat(e.peer, e.heartbeat)
 		}
 	}
 }
 
-func (r *roster) push(e event) {
+func (r *sessionTable) enqueue(e event) {
 	r.queue = append(r.queue, e)
 	select {
 	case r.wake <- struct{}{}:
@@ -108,22 +108,22 @@
 	}
 }
 
-func (r *roster) join(c *connection) {
+func (r *sessionTable) add(c *connection) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.sessions[c.key]
+	s := r.byKey[c.key]
 	if s == nil {
 		s = &session{key: c.key, peer: c.peer}
-		r.sessions[c.key] = s
-		r.push(upEvent{peer: c.peer})
+		r.byKey[c.key] = s
+		r.enqueue(upEvent{peer: c.peer})
 	}
 	s.connections = append(s.connections, c)
 }
 
-func (r *roster) leave(c *connection, err error) {
+func (r *sessionTable) remove(c *connection, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.sessions[c.key]
+	s := r.byKey[c.key]
 	if s == nil {
 		return
 	}
@@ -137,19 +137,19 @@
 	}
 }
 
-func (r *roster) endLocked(s *session, err error) {
-	delete(r.sessions, s.key)
-	r.push(downEvent{peer: s.peer, err: err})
+func (r *sessionTable) endLocked(s *session, err error) {
+	delete(r.byKey, s.key)
+	r.enqueue(downEvent{peer: s.peer, err: err})
 }
 
 // retire ends all sessions of earlier incarnations at c's address and returns
 // their connections. A process that was replaced could otherwise keep its old
 // connections half open, and be taken for alive, until its deadline.
-func (r *roster) retire(c *connection, err error) []*connection {
+func (r *sessionTable) removeOtherIncarnations(c *connection, err error) []*connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var old []*connection
-	for key, s := range r.sessions {
+	for key, s := range r.byKey {
 		if key.address == c.key.address && key.incarnation != c.key.incarnation {
 			old = append(old, s.connections...)
 			r.endLocked(s, err)
@@ -159,11 +159,11 @@
 }
 
 // siblings are the other connections to c's process.
-func (r *roster) siblings(c *connection) []*connection {
+func (r *sessionTable) otherConnections(c *connection) []*connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var others []*connection
-	if s := r.sessions[c.key]; s != nil {
+	if s := r.byKey[c.key]; s != nil {
 		for _, other := range s.connections {
 			if other != c {
 				others = append(others, other)
@@ -173,32 +173,32 @@
 	return others
 }
 
-func (r *roster) heartbeat(c *connection, h beechwire.Heartbeat) {
+func (r *sessionTable) enqueueHeartbeat(c *connection, h beechwire.Heartbeat) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := r.sessions[c.key]
+	s := r.byKey[c.key]
 	if s == nil {
 		return
 	}
 	s.peer.Generation = max(s.peer.Generation, h.Generation)
-	r.push(heartbeatEvent{peer: s.peer, heartbeat: h})
+	r.enqueue(heartbeatEvent{peer: s.peer, heartbeat: h})
 }
 
-func (r *roster) peers() []Peer {
+func (r *sessionTable) peers() []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]Peer, 0, len(r.sessions))
-	for _, s := range r.sessions {
+	all := make([]Peer, 0, len(r.byKey))
+	for _, s := range r.byKey {
 		all = append(all, s.peer)
 	}
 	return all
 }
 
 // connection returns one of a peer's, nil if there is none.
-func (r *roster) connection(address netip.AddrPort) *connection {
+func (r *sessionTable) connectionTo(address netip.AddrPort) *connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range r.sessions {
+	for _, s := range r.byKey {
 		if s.peer.Address == address && len(s.connections) > 0 {
 			return s.connections[0]
 		}
@@ -206,11 +206,11 @@
 	return nil
 }
 
-func (r *roster) all() []*connection {
+func (r *sessionTable) allConnections() []*connection {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []*connection
-	for _, s := range r.sessions {
+	for _, s := range r.byKey {
 		all = append(all, s.connections...)
 	}
 	return all
--- a/internal/link/beechlink/settings.go
+++ b/internal/link/beechlink/settings.go
@@ -8,7 +8,7 @@
 const (
 	// pieceBytes is the most of a body or payload that goes out in one frame,
 	// so that a small stream waits for at most one piece of each large one.
-	pieceBytes = 16 << 10
+	chunkBytes = 16 << 10
 
 	// replyOverhead is charged against a stream's credit for each Data beside
 	// its bytes. Without it a server that answers in pieces of one byte would
@@ -17,33 +17,33 @@
 
 	// queueLimit is how many bytes may wait for a connection before senders
 	// of Data are held.
-	queueLimit = 1 << 20
+	maxQueuedBytes = 1 << 20
 
 	// helloLimit is the longest frame taken from a peer that has not shown
 	// its key.
-	helloLimit = 4 << 10
+	maxHelloBytes = 4 << 10
 
 	// callLimit is the number of the peer's calls answered at once on a
 	// connection.
-	callLimit = 64
+	maxConcurrentCalls = 64
 
 	// pendingLimit is how many bytes of unfinished bodies and payloads a
 	// connection holds, in multiples of MaxBody.
-	pendingLimit = 4
+	pendingBodyFactor = 4
 )
 
 // leavingMessage is what streams are told that a draining agent does not take.
-const leavingMessage = "agent is leaving"
+const drainingMessage = "agent is leaving"
 
 const (
 	// spareStreams is how many streams each connection of a link carries
 	// before a further one is opened. An idle entry thus holds one to each of
 	// hundreds of agents.
-	spareStreams = 64
+	extraConnectionThreshold = 64
 
 	// spareTime is after how long without work a further connection is
 	// closed.
-	spareTime = 30 * time.Second
+	extraIdleTimeout = 30 * time.Second
 )
 
 // DefaultSettings are those of both deployments.
@@ -62,7 +62,7 @@
 }
 
 // filled returns s with the default in place of each zero but the key.
-func (s Settings) filled() Settings {
+func (s Settings) withDefaults() Settings {
 	d := DefaultSettings()
 	s.Connections = orDefault(s.Connections, d.Connections)
 	s.Credit = orDefault(s.Credit, d.Credit)
@@ -85,9 +85,9 @@
 
 // Validate names the first field whose value cannot work.
 func (s Settings) Validate() error {
-	f := s.filled()
-	if f.MaxFrame < 2*pieceBytes {
-		return fmt.Errorf("maxFrame is %d, at least %d is needed", f.MaxFrame, 2*pieceBytes)
+	f := s.withDefaults()
+	if f.MaxFrame < 2*chunkBytes {
+		return fmt.Errorf("maxFrame is %d, at least %d is needed", f.MaxFrame, 2*chunkBytes)
 	}
 	if f.Credit < 1024 {
 		return fmt.Errorf("credit is %d, at least 1024 is needed", f.Credit)
