--- a/internal/link/beechlink/beat.go
+++ b/internal/link/beechlink/beat.go
@@ -7,8 +7,8 @@
 )
 
 type (
-	// beatWriter makes Beats out of heartbeats: each carries only what changed
-	// since the one before on its connection.
+	// beatEncoder encodes heartbeats as Beats. Each Beat carries only what
+	// changed since the previous one on its connection.
 	beatEncoder struct {
 		sent           beechwire.Heartbeat
 		intervalMillis int64
@@ -16,12 +16,12 @@
 	}
 )
 
-// next returns the beat from what was sent to h. Urgent tells that it carries
-// what routing must learn within a heartbeat: everything but load and number
-// of entries.
-func (w *beatEncoder) delta(h beechwire.Heartbeat, every int64) (b beechwire.Beat, urgent bool) {
-	first := !w.started
-	last := w.sent
+// delta returns a Beat with the differences between the last heartbeat sent and
+// h. Urgent reports whether it has changes that routing must learn within a
+// heartbeat: all but the load and the number of entries.
+func (e *beatEncoder) delta(h beechwire.Heartbeat, intervalMillis int64) (b beechwire.Beat, urgent bool) {
+	first := !e.started
+	last := e.sent
 	if first || h.Incarnation != last.Incarnation {
 		b.Incarnation = &h.Incarnation
 		urgent = true
@@ -52,27 +52,28 @@
 	if first || h.Load != last.Load {
 		b.Load = &h.Load
 	}
-	if every != w.intervalMillis {
-		b.EveryMillis = &every
+	if intervalMillis != e.intervalMillis {
+		b.EveryMillis = &intervalMillis
 	}
 	return b, urgent
 }
 
-func (w *beatEncoder) commit(h beechwire.Heartbeat, every int64) {
-	w.sent = h
-	w.intervalMillis = every
-	w.started = true
+// commit records h and the interval as sent.
+func (e *beatEncoder) commit(h beechwire.Heartbeat, intervalMillis int64) {
+	e.sent = h
+	e.intervalMillis = intervalMillis
+	e.started = true
 }
 
-// sameSuspects passes over the ages, which always change.
+// equalSuspects ignores the ages, which always change.
 func equalSuspects(a, b []beechwire.Suspect) bool {
 	return slices.EqualFunc(a, b, func(x, y beechwire.Suspect) bool {
 		return x.Fingerprint == y.Fingerprint && x.Crashes == y.Crashes && x.Cleared == y.Cleared
 	})
 }
 
-// merge adds a beat to the peer's heartbeat. Suspects are only those of this
-// beat: told twice, their ages would begin anew.
+// mergeBeat applies a Beat to the peer's heartbeat. Suspects are only those of
+// this Beat: if they were reported twice, their ages would start again.
 func mergeBeat(h *beechwire.Heartbeat, b *beechwire.Beat) {
 	setIfPresent(&h.Incarnation, b.Incarnation)
 	setIfPresent(&h.Generation, b.Generation)
--- a/internal/link/beechlink/bench_test.go
+++ b/internal/link/beechlink/bench_test.go
@@ -18,8 +18,9 @@
 	"github.com/matryer/is"
 )
 
-// agentsVariable makes this test binary serve as many agents, for benchmarks
-// that measure an entry alone.
+// agentsVariable is an environment variable with a number of agents. If it is
+// set, this test binary serves that many agents and runs no tests, for
+// benchmarks that measure an entry alone.
 const agentsVariable = "BEECHLINK_AGENTS"
 
 func TestMain(m *testing.M) {
@@ -30,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// changingPulse gives another load at each poll.
+// changingLoadSource returns a different load at each call.
 type changingLoadSource struct {
 	recorder
 	rounds int
@@ -45,7 +46,7 @@
 	}
 }
 
-// serveAgents prints an address for each agent and serves until its input
+// serveAgents prints the address of each agent and serves until standard input
 // ends.
 func serveAgents(count int) {
 	pulse := &changingLoadSource{}
@@ -62,8 +63,8 @@
 	s.Close()
 }
 
-// engine answers nothing, or tokens of 200 bytes at the pace of a generation,
-// by the request's id.
+// engine sends nothing if the request's id is "wait". Otherwise it sends tokens
+// of 200 bytes at the rate of a generation.
 func engine(ctx context.Context, s ServerStream, r beechwire.Request, _ []byte) {
 	if r.ID == "wait" {
 		<-ctx.Done()
@@ -84,7 +85,7 @@
 	}
 }
 
-// startAgents runs them in a process of their own.
+// startAgents runs agents in a separate process and returns their addresses.
 func startAgents(b *testing.B, count int) []netip.AddrPort {
 	b.Helper()
 	is := is.New(b)
@@ -108,7 +109,7 @@
 	return addresses
 }
 
-// processorTime is what this process has used.
+// cpuTime returns the processor time used by this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -117,7 +118,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident is the process's memory in bytes, after a collection.
+// residentBytes returns the resident memory of this process after a garbage
+// collection.
 func residentBytes() int64 {
 	runtime.GC()
 	b, err := os.ReadFile("/proc/self/status")
@@ -133,7 +135,8 @@
 	return 0
 }
 
-// inUse is the memory of heap and stacks in bytes, after a collection.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
 func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -142,8 +145,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkRoundTrip opens a stream with a small body and reads a small
-// answer, both sides in one process.
+// BenchmarkRoundTrip opens a stream with a small body and reads a small answer.
+// Both sides run in one process.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, callers := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -183,7 +186,7 @@
 	}
 }
 
-// BenchmarkTokens streams tokens of 200 bytes, as a generation does.
+// BenchmarkTokens streams answers of 1000 tokens of 200 bytes.
 func BenchmarkTokens(b *testing.B) {
 	p := newPair(b, Settings{}, handlerFuncs{open: answerInChunks(1000, 200)})
 	ctx := context.Background()
@@ -206,13 +209,14 @@
 	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N)/1000, "cpu-ns/token")
 }
 
-// BenchmarkOpenStreams holds 5,000 streams whose answer has begun, both sides
-// in one process, with a goroutine that reads each.
+// BenchmarkOpenStreams holds 5,000 streams whose answers have started, with a
+// goroutine that reads each. Both sides run in one process.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 5000
 	for b.Loop() {
 		b.StopTimer()
-		// All come at once, before a second connection can be up.
+		// All streams are opened at the same time, before a second connection
+		// can be up.
 		p := newPair(b, Settings{MaxStreams: streams}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 			_ = s.Send(ctx, HeadReply{})
 			_ = s.Send(ctx, DataReply{Data: beechwire.Data{Sequence: 1, Data: []byte("first")}})
@@ -250,23 +254,23 @@
 	}
 }
 
-// BenchmarkIdleLinks holds links of an entry to agents in another process,
-// whose load changes all the time, and carries no requests.
+// BenchmarkIdleLinks holds links of an entry to agents in another process whose
+// load changes all the time, without any requests.
 func BenchmarkIdleLinks(b *testing.B) {
 	for _, links := range []int{100, 400} {
 		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) { benchmarkLinks(b, links, "") })
 	}
 }
 
-// BenchmarkBusyLinks does the same with a stream on each link that waits for
-// its first token, or brings one every 71 ms.
+// BenchmarkBusyLinks is like BenchmarkIdleLinks, with a stream on each link
+// that waits for its first token or receives one every 71 ms.
 func BenchmarkBusyLinks(b *testing.B) {
 	for _, stream := range []string{"wait", "tokens"} {
 		b.Run(stream, func(b *testing.B) { benchmarkLinks(b, 400, stream) })
 	}
 }
 
-// BenchmarkBeat makes a beat with a changed load, and takes it.
+// BenchmarkBeat encodes a beat with a changed load and applies it.
 func BenchmarkBeat(b *testing.B) {
 	var (
 		w     beatEncoder
@@ -290,7 +294,7 @@
 	b.ReportMetric(float64(len(frame)), "B/beat")
 }
 
-// hold reads a stream until its end.
+// readUntilEnd opens a stream and reads it in the background until it ends.
 func readUntilEnd(ctx context.Context, b *testing.B, c *Client, id string) {
 	s, err := c.Open(ctx, request(id), nil)
 	if err != nil {
@@ -307,14 +311,14 @@
 	}()
 }
 
-// heldLinks measures an entry with links to agents, and with a stream on each
-// link where stream is the id of its request.
+// benchmarkLinks measures an entry with links to agents. If stream is not
+// empty, each link has a stream whose request has that id.
 func benchmarkLinks(b *testing.B, links int, stream string) {
 	const (
 		settle = 5 * time.Second
 		span   = 20 * time.Second
-		// header is that of IP and TCP with time stamps; a beat, its answer
-		// and their acknowledgement are three packets.
+		// header is the size of the IP and TCP headers with timestamps. A beat,
+		// its answer and their acknowledgement are three packets.
 		header = 52
 	)
 	addresses := startAgents(b, links)
--- a/internal/link/beechlink/call.go
+++ b/internal/link/beechlink/call.go
@@ -9,7 +9,7 @@
 )
 
 type (
-	// askTable holds this side's calls that wait for a result.
+	// outgoingCalls holds this side's calls that wait for a result.
 	outgoingCalls struct {
 		mu      sync.Mutex
 		lastID  uint64
@@ -20,10 +20,10 @@
 	outgoingCall struct {
 		method  string
 		payload []byte
-		done    chan error // room for one
+		done    chan error // buffered
 	}
 
-	// answerTable holds the peer's calls that are not answered yet.
+	// incomingCalls holds the peer's calls that are not answered yet.
 	incomingCalls struct {
 		mu           sync.Mutex
 		partial      map[uint64][]byte
@@ -42,9 +42,9 @@
 		t.waiting = map[uint64]*outgoingCall{}
 	}
 	t.lastID++
-	a := &outgoingCall{method: method, done: make(chan error, 1)}
-	t.waiting[t.lastID] = a
-	return t.lastID, a, nil
+	call := &outgoingCall{method: method, done: make(chan error, 1)}
+	t.waiting[t.lastID] = call
+	return t.lastID, call, nil
 }
 
 func (t *outgoingCalls) remove(id uint64) {
@@ -63,19 +63,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.err = err
-	for id, a := range t.waiting {
-		a.done <- err
+	for id, call := range t.waiting {
+		call.done <- err
 		delete(t.waiting, id)
 	}
 }
 
-// call asks the peer one question. *CallError is the peer's own answer,
-// *LostError means that it may or may not have acted on it.
+// call sends a call to the peer and waits for the result. The error is
+// *CallError if the peer answered with an error, and *LostError if the peer may
+// or may not have acted on the call.
 func (c *connection) call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	if len(payload) > c.settings.MaxBody {
-		return nil, &OpenError{Peer: c.peer.Address, Err: fmt.Errorf("call %s: payload of %d bytes is over %d", method, len(payload), c.settings.MaxBody)}
+		return nil, &OpenError{Peer: c.peer.Address, Err: fmt.Errorf("call %s: payload of %d bytes exceeds the limit of %d", method, len(payload), c.settings.MaxBody)}
 	}
-	id, a, err := c.outgoing.add(method)
+	id, pending, err := c.outgoing.add(method)
 	if err != nil {
 		return nil, err
 	}
@@ -84,8 +85,8 @@
 		return nil, &LostError{Peer: c.peer.Address, Err: err}
 	}
 	select {
-	case err := <-a.done:
-		return a.payload, err
+	case err := <-pending.done:
+		return pending.payload, err
 	case <-ctx.Done():
 		c.outgoing.remove(id)
 		c.out.cancelTransfer(kindCall, id)
@@ -101,28 +102,28 @@
 	t := &c.outgoing
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a, ok := t.waiting[m.Call]
+	pending, ok := t.waiting[m.Call]
 	if !ok {
 		c.counters.late.Add(1)
 		return nil
 	}
-	if len(a.payload)+len(m.Payload) > c.settings.MaxBody {
-		return &FrameError{Problem: "result is over the limit of a body"}
+	if len(pending.payload)+len(m.Payload) > c.settings.MaxBody {
+		return &FrameError{Problem: "result exceeds the body size limit"}
 	}
-	if a.payload == nil {
-		a.payload = m.Payload
+	if pending.payload == nil {
+		pending.payload = m.Payload
 	} else {
-		a.payload = append(a.payload, m.Payload...)
+		pending.payload = append(pending.payload, m.Payload...)
 	}
 	if m.More {
 		return nil
 	}
 	delete(t.waiting, m.Call)
 	if m.Error != "" {
-		a.done <- &CallError{Peer: c.peer.Address, Method: a.method, Reason: m.Error}
+		pending.done <- &CallError{Peer: c.peer.Address, Method: pending.method, Reason: m.Error}
 		return nil
 	}
-	a.done <- nil
+	pending.done <- nil
 	return nil
 }
 
@@ -153,7 +154,7 @@
 			c.sendCallError(m.Call, fmt.Sprintf("result of %d bytes is over %d", len(result), c.settings.MaxBody))
 			return
 		}
-		// An error means that the connection ends; the peer learns from that.
+		// On an error the connection ends, which tells the peer.
 		_ = c.out.startTransfer(&transfer{kind: kindResult, id: m.Call, remaining: result})
 	}()
 	return nil
@@ -163,8 +164,8 @@
 	_ = c.out.send(kindResult, &beechwire.Result{Call: id, Error: reason})
 }
 
-// collect puts the pieces of a call together. What a peer may leave unfinished
-// is bounded: otherwise a faulty one could fill the memory.
+// assemble joins the chunks of a call. The bytes of incomplete calls are
+// limited, since a faulty peer could otherwise exhaust the memory.
 func (t *incomingCalls) assemble(m *beechwire.Call, s Settings) (payload []byte, whole bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -177,7 +178,7 @@
 	}
 	payload = append(earlier, m.Payload...)
 	if len(payload) > s.MaxBody {
-		return nil, false, &FrameError{Problem: "call is over the limit of a body"}
+		return nil, false, &FrameError{Problem: "call exceeds the body size limit"}
 	}
 	if !m.More {
 		delete(t.partial, m.Call)
@@ -187,7 +188,7 @@
 	t.partial[m.Call] = payload
 	t.pendingBytes += len(m.Payload)
 	if t.pendingBytes > pendingBodyFactor*s.MaxBody {
-		return nil, false, &FrameError{Problem: "too many unfinished calls"}
+		return nil, false, &FrameError{Problem: "too many incomplete calls"}
 	}
 	return payload, false, nil
 }
--- a/internal/link/beechlink/client.go
+++ b/internal/link/beechlink/client.go
@@ -16,8 +16,8 @@
 )
 
 type (
-	// Dialer holds what all links of an entry share: settings, counters and
-	// the pacing of heartbeats.
+	// Dialer holds what all links of an entry share: settings, counters and the
+	// heartbeat scheduler.
 	Dialer struct {
 		settings    Settings
 		self        func() beechwire.Hello
@@ -33,8 +33,8 @@
 		closed  bool
 	}
 
-	// Client is the entry's link to one agent: a few connections, made anew
-	// when lost.
+	// Client is the entry's link to one agent: one or more connections. One of
+	// them is dialed again whenever it is lost.
 	Client struct {
 		dialer  *Dialer
 		address netip.AddrPort
@@ -45,19 +45,20 @@
 		mu           sync.Mutex
 		endpoints    []*clientEndpoint
 		peer         Peer
-		lastFailure  error // of the last failure
-		openingExtra bool  // a spare connection is being opened
+		lastFailure  error // why the last connection failed or ended
+		openingExtra bool  // an extra connection is being opened
 	}
 )
 
 const (
-	backoffMin = 50 * time.Millisecond
-	backoffMax = 4 * time.Second
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
-// NewDialer makes the entry's side. Self is asked at each handshake, pulse
-// every half Heartbeat. Key is sent in Hello; with tlsConfig, which may be nil,
-// it should hold this side's certificate and the roots of the agents'.
+// NewDialer returns the entry's side of links. Self is called for each
+// handshake, heartbeats twice per settings.Heartbeat. Settings.Key is sent in
+// the Hello. TlsConfig may be nil; otherwise it should hold this side's
+// certificate and the root certificates of the agents.
 func NewDialer(settings Settings, self func() beechwire.Hello, events Events, callHandler CallHandler, heartbeats HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Dialer {
 	s := settings.withDefaults()
 	return &Dialer{
@@ -72,10 +73,11 @@
 	}
 }
 
-// Counters returns those of all links.
+// Counters returns the totals of all links.
 func (d *Dialer) Counters() Counters { return d.counters.snapshot() }
 
-// PushHeartbeat sends at once what has changed in the heartbeat, as Server.PushHeartbeat does.
+// PushHeartbeat sends urgent changes of the heartbeat at once, as
+// Server.PushHeartbeat does.
 func (d *Dialer) PushHeartbeat() { d.scheduler.runNow() }
 
 // Close closes all links.
@@ -96,8 +98,8 @@
 	d.sessions.close()
 }
 
-// Dial starts a link to the agent at peer and returns at once; Events tell
-// when it is up. Close ends it.
+// Dial starts a link to the agent at peer and returns at once. Events.Up
+// reports when it is up. Client.Close ends it.
 func (d *Dialer) Dial(peer netip.AddrPort) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{
@@ -124,7 +126,7 @@
 	return c
 }
 
-// Close ends the link. Streams that are open end with LostError.
+// Close ends the link. Open streams end with LostError.
 func (c *Client) Close() {
 	c.cancel()
 	c.mu.Lock()
@@ -144,22 +146,22 @@
 	c.dialer.mu.Unlock()
 }
 
-// Peer is the agent as it last introduced itself; before that only its
-// address is set.
+// Peer returns the agent as of its last handshake. Before the first one only
+// the address is set.
 func (c *Client) Peer() Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peer
 }
 
-// Ready tells whether a stream can be opened now.
+// Ready reports whether a connection is up on which streams can be opened.
 func (c *Client) Ready() bool {
 	e, err := c.selectEndpoint()
 	return err == nil && e.usable()
 }
 
-// Open starts a stream with the request and its body, which must not be
-// changed until the stream is over. *OpenError means that nothing was sent.
+// Open starts a stream with the request and its body, which must not be changed
+// until the stream has ended. *OpenError means that nothing was sent.
 func (c *Client) Open(ctx context.Context, r beechwire.Request, body []byte) (Stream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
@@ -178,8 +180,8 @@
 	return s, nil
 }
 
-// Reattach joins a generation at the agent; Stream and Credit of r are filled
-// in. *OpenError means that nothing was sent.
+// Reattach opens a stream for a request that was sent before. It sets Stream
+// and Credit of the message. *OpenError means that nothing was sent.
 func (c *Client) Reattach(ctx context.Context, r beechwire.Reattach) (Stream, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &OpenError{Peer: c.address, Err: err}
@@ -195,8 +197,9 @@
 	return s, nil
 }
 
-// Call asks the agent one question. *OpenError means that nothing was sent,
-// *CallError is the agent's answer, *LostError that it may have acted on it.
+// Call sends a call to the agent and waits for the result. *OpenError means
+// that nothing was sent, *CallError that the agent answered with an error,
+// *LostError that the agent may have acted on the call.
 func (c *Client) Call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	e, err := c.selectEndpoint()
 	if err != nil {
@@ -205,8 +208,8 @@
 	return e.connection.call(ctx, method, payload)
 }
 
-// choose returns the connection with the fewest streams, and sees to a
-// further one if these are many.
+// selectEndpoint returns the connection with the fewest streams. If even that
+// has many, it also starts to open an extra connection.
 func (c *Client) selectEndpoint() (*clientEndpoint, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,20 +234,20 @@
 	return best, nil
 }
 
-// grow opens a spare connection. It is called with the lock held.
+// openExtra opens an extra connection. The caller holds the lock.
 func (c *Client) openExtra() {
 	c.openingExtra = true
 	c.running.Add(1)
 	go func() {
 		defer c.running.Done()
-		_ = c.connectOnce(true) // the kept connection tells what is wrong with the agent
+		_ = c.connectOnce(true) // a fault of the agent is reported by the main connection
 		c.mu.Lock()
 		c.openingExtra = false
 		c.mu.Unlock()
 	}()
 }
 
-// keep holds one connection up.
+// maintain keeps one connection up until the client is closed.
 func (c *Client) maintain() {
 	failures := 0
 	for {
@@ -255,7 +258,7 @@
 		}
 		c.setLastFailure(err)
 		failures++
-		if c.dialer.clock.Since(began) > backoffMax {
+		if c.dialer.clock.Since(began) > maxBackoff {
 			failures = 0
 		}
 		if !c.sleep(backoff(failures)) {
@@ -270,12 +273,13 @@
 	c.lastFailure = err
 }
 
-// backoff doubles with each failure. Half of it is random: entries that lost
-// an agent together would otherwise dial it together when it is back.
+// backoff doubles with each failure. Half of it is random, because entries that
+// lost an agent at the same time would otherwise all dial it at the same time
+// when it is back.
 func backoff(failures int) time.Duration {
-	d := backoffMax
+	d := maxBackoff
 	if failures < 8 {
-		d = min(backoffMax, backoffMin<<failures)
+		d = min(maxBackoff, minBackoff<<failures)
 	}
 	return d/2 + rand.N(d/2)
 }
@@ -291,7 +295,7 @@
 	}
 }
 
-// once makes a connection and returns when it has ended.
+// connectOnce opens a connection and returns when it has ended.
 func (c *Client) connectOnce(extra bool) error {
 	d := c.dialer
 	conn, frames, hello, err := c.connect()
@@ -305,12 +309,12 @@
 	e := newClientEndpoint()
 	e.extra = extra
 	frames.limit = d.settings.MaxFrame
-	k := newConnection(conn, peer, key, d.settings, &d.counters, d.scheduler, d.callHandler, d.sessions, e)
-	k.probesIdle = true
-	e.connection = k
+	connection := newConnection(conn, peer, key, d.settings, &d.counters, d.scheduler, d.callHandler, d.sessions, e)
+	connection.probesIdle = true
+	e.connection = connection
 	c.addEndpoint(e)
-	err = k.run(frames)
-	k.countEnd(err)
+	err = connection.run(frames)
+	connection.countEnd(err)
 	c.removeEndpoint(e, err)
 	return &LostError{Peer: c.address, Err: err}
 }
@@ -345,7 +349,7 @@
 	c.dialer.sessions.remove(e.connection, err)
 }
 
-// connect dials and shakes hands.
+// connect dials the agent and performs the handshake.
 func (c *Client) connect() (net.Conn, *frameReader, beechwire.Hello, error) {
 	d := c.dialer
 	ctx, cancel := context.WithCancelCause(c.context)
@@ -369,7 +373,7 @@
 	return conn, frames, hello, nil
 }
 
-// orCause prefers the reason for which ctx was ended to what came of it.
+// causeOr returns the cause for which ctx was cancelled, or err if it was not.
 func causeOr(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
--- a/internal/link/beechlink/client_test.go
+++ b/internal/link/beechlink/client_test.go
@@ -32,11 +32,10 @@
 	return &beechwire.End{Stream: stream, RequestID: id, Attempt: 1, Last: last}
 }
 
-// An agent with a fault, or replies that a retry left behind, can send an
-// answer twice, after its stream is over, or on the stream of another
-// request. A member of the cooperative would read a neighbour's answer, or
-// words twice. Such replies are dropped and counted; the right ones still make
-// the whole answer.
+// A faulty agent or a retry can cause replies that arrive twice, after their
+// stream has ended, or on the stream of another request. A caller would get
+// parts of another caller's answer, or text twice. Such replies must be dropped
+// and counted, and the valid ones must still make up the complete answer.
 func TestLateDuplicateAndMisroutedRepliesAreDropped(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{})
@@ -57,7 +56,7 @@
 	f.send(kindEnd, endMessage(1, "b", 0))                                                        // b's end on a's stream
 	f.send(kindEnd, &beechwire.End{Stream: 1, RequestID: "a", Attempt: 2, Last: 1})               // another attempt
 	f.send(kindRefused, &beechwire.Refused{Stream: 1, RequestID: "b", Attempt: 1})                // b's refusal
-	f.send(kindFailed, &beechwire.Failed{Stream: 1, RequestID: "a", Attempt: 3, Reason: "crash"}) // a third one's failure
+	f.send(kindFailed, &beechwire.Failed{Stream: 1, RequestID: "a", Attempt: 3, Reason: "crash"}) // a third attempt's failure
 	f.send(kindData, dataMessage(1, 2, "two"))
 	f.send(kindEnd, endMessage(1, "a", 2))
 	f.send(kindData, dataMessage(1, 3, "late"))
@@ -79,10 +78,10 @@
 	is.Equal(k.Lost, uint64(0))
 }
 
-// A piece of an answer goes missing inside a faulty agent. The caller would
-// read a text with a hole that looks whole. The stream fails instead, after
-// what came before the hole, and the agent is told to keep the generation for
-// the caller's return; other streams go on.
+// A faulty agent loses a chunk of an answer. The caller must not get a text
+// with a gap that looks complete: the stream must fail after the chunks before
+// the gap, and the agent must be told to keep the generation until the caller
+// returns. Other streams must not be affected.
 func TestMissingReplyFailsStream(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{})
@@ -112,8 +111,8 @@
 	is.Equal(c.dialer.Counters().Gaps, uint64(3))
 }
 
-// An agent that ignores credit would fill the entry's memory with what one
-// slow phone does not read. The stream is failed at its credit.
+// An agent that ignores credit would fill the entry's memory with data that a
+// slow caller has not read. The stream must fail once its credit is exceeded.
 func TestCreditIsEnforced(t *testing.T) {
 	is := is.New(t)
 	c, f := newFakeAgent(t, Settings{Credit: 4096})
@@ -130,8 +129,8 @@
 	is.Equal(len(got), 4*1024)
 }
 
-// The port of an agent is wrong in the settings, or its program is of another
-// version or deployment. The operator sees which of these it is.
+// An agent's port may be wrong in the settings, or the agent may be of another
+// version or deployment. The error must tell the operator which of these it is.
 func TestHandshakeErrorsNameTheCause(t *testing.T) {
 	is := is.New(t)
 	frame := func(h beechwire.Hello) []byte {
@@ -157,7 +156,7 @@
 					return
 				}
 				_, _ = conn.Write(v.reply)
-				reject(conn, errProtocol) // reads on, so that the reply arrives
+				reject(conn, errProtocol) // reads the rest of the input, so that the reply arrives
 				conn.Close()
 			}
 		}()
@@ -176,9 +175,10 @@
 	}
 }
 
-// A connection may be cut after any byte. Wherever that is, the entry either
-// has the whole answer or is told of the loss; it never takes a part for the
-// whole, and the next request goes over a new connection.
+// A connection is cut after every third byte offset in turn, in each direction.
+// The entry must either have the complete answer or report the loss; it must
+// never take a partial answer for a complete one. The next request must use a
+// new connection.
 func TestConnectionCutMidTransfer(t *testing.T) {
 	is := is.New(t)
 	answer := func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
@@ -206,7 +206,8 @@
 	}
 }
 
-// oneCutRequest tells whether the answer was whole.
+// requestThroughProxy sends a request through the proxy and reports whether the
+// answer was complete.
 func requestThroughProxy(t *testing.T, cut *cuttingProxy) bool {
 	is := is.New(t)
 	d := newDialer(Settings{Connections: 1}, &recorder{}, nil, realClock)
@@ -235,9 +236,9 @@
 	return true
 }
 
-// The host of an agent loses power: no packet ends the connection, it just
-// falls silent. A caller whose answer was under way must not wait for TCP's
-// own limits, which are minutes.
+// If the host of an agent loses power, no packet ends the connection. A caller
+// whose answer was in progress must not wait for TCP's own timeouts, which take
+// minutes.
 func TestSilentAgentIsDetected(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClockAt(time.Unix(1_700_000_000, 0))
@@ -251,14 +252,14 @@
 	acceptAsAgent(t, l)
 	waitFor(t, "the link is up", c.Ready)
 
-	<-pulse.polls // the one for the first beat
+	<-pulse.polls // the poll for the first beat
 	advance := func() {
 		clock.Advance(d.settings.Heartbeat / 2)
 		<-pulse.polls
-		d.PushHeartbeat() // the next round's poll shows that this one is over
+		d.PushHeartbeat() // the poll of the next round shows that this round has ended
 		<-pulse.polls
 	}
-	for range 10 { // idle, silent and not missed
+	for range 10 { // an idle connection may be silent for this long
 		advance()
 	}
 	is.True(c.Ready())
@@ -278,7 +279,7 @@
 	})
 }
 
-// countingPulse tells of each poll.
+// notifyingSource sends to polls each time the heartbeat is requested.
 type notifyingSource struct{ polls chan struct{} }
 
 func (p *notifyingSource) CurrentHeartbeat() beechwire.Heartbeat {
@@ -286,9 +287,9 @@
 	return beechwire.Heartbeat{}
 }
 
-// An agent is replaced on the same address while its old connections look
-// alive. Work sent to the old one would be lost; the owner must hear that the
-// old process is gone before it hears of the new one.
+// An agent is replaced on the same address while its old connections still look
+// alive. Work sent to the old process would be lost, so Events must report the
+// old process as down before the new one as up.
 func TestNewIncarnationReplacesOld(t *testing.T) {
 	is := is.New(t)
 	l := loopback(t)
@@ -300,7 +301,7 @@
 	acceptAsAgent(t, l)
 	waitFor(t, "the old one is up", c.Ready)
 	s := openStream(t, c, "a")
-	for range extraConnectionThreshold { // so that a second connection is made
+	for range extraConnectionThreshold { // enough for a second connection to be opened
 		openStream(t, c, "b")
 	}
 	conn, err := l.Accept()
@@ -344,8 +345,8 @@
 	is.True(errors.As(err, &refused) || errors.As(err, &lost))
 }
 
-// A burst needs a further connection; kept for ever, those of hundreds of
-// agents would cost an idle entry memory and beats.
+// A burst needs an extra connection. If it were kept, the extra connections to
+// hundreds of agents would cost an idle entry memory and heartbeats.
 func TestExtraConnectionsOpenAndClose(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{Connections: 3}, handlerFuncs{open: func(ctx context.Context, _ ServerStream, _ beechwire.Request, _ []byte) { <-ctx.Done() }})
--- a/internal/link/beechlink/clientendpoint.go
+++ b/internal/link/beechlink/clientendpoint.go
@@ -9,20 +9,21 @@
 )
 
 type (
-	// clientEnd is the entry's part of a connection: its streams.
+	// clientEndpoint is the entry's side of a connection: its streams.
 	clientEndpoint struct {
 		connection *connection
 
-		// opening is held from the choice of a stream's id until its first
-		// message is queued. The agent takes only ascending ids; two callers
-		// that overtook one another here would have it end the connection.
+		// openMu is held from the assignment of a stream's id until its first
+		// message is queued. The agent accepts only ascending ids, so it would
+		// end the connection if two callers queued their messages in another
+		// order than their ids.
 		openMu sync.Mutex
 
 		mu          sync.Mutex
 		openStreams map[uint64]*clientStream
 		lastID      uint64
-		closing     bool // no more streams are opened here
-		extra       bool // opened for a burst, and closed after it
+		closing     bool // no more streams are opened on this connection
+		extra       bool // opened for a burst and closed after it
 		lastUsed    time.Time
 		err         error
 	}
@@ -38,14 +39,14 @@
 	return len(e.openStreams)
 }
 
-// usable tells whether the connection takes a further stream.
+// usable reports whether streams can still be opened on the connection.
 func (e *clientEndpoint) usable() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.err == nil && !e.closing
 }
 
-// add gives a stream its id and takes it into the table.
+// add assigns an id to a stream and adds it to the open streams.
 func (e *clientEndpoint) add(s *clientStream) (*clientStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +129,7 @@
 func (e *clientEndpoint) cancel(id uint64, detached bool) {
 	e.remove(id)
 	e.connection.out.cancelTransfer(kindBody, id)
-	// An error means that the connection is lost, which ends the stream too.
+	// On an error the connection is lost, which ends the stream too.
 	_ = e.connection.out.send(kindCancel, &beechwire.Cancel{Stream: id, Detached: detached})
 }
 
@@ -155,7 +156,7 @@
 	case kindEnd, kindRefused, kindFailed:
 		return e.receiveFinal(k, body)
 	default:
-		return &FrameError{Problem: fmt.Sprintf("type %d is not for an entry", k)}
+		return &FrameError{Problem: fmt.Sprintf("frame type %d is not valid from an agent", k)}
 	}
 }
 
@@ -192,8 +193,9 @@
 	e.finishStream(s, taken, err)
 }
 
-// settle forgets a stream that is over; one with an error is cancelled at the
-// agent, since its rest cannot be delivered.
+// finishStream removes a stream that has ended. A stream with an error is
+// cancelled at the agent, since the rest of it cannot be delivered; the agent
+// keeps the generation for its grace time.
 func (e *clientEndpoint) finishStream(s *clientStream, closed bool, err error) {
 	if err != nil {
 		s.fail(err)
@@ -217,7 +219,7 @@
 	}
 }
 
-// rest closes a spare connection that had no work for spareTime.
+// checkIdle closes an extra connection that had no work for extraIdleTimeout.
 func (e *clientEndpoint) checkIdle(c *connection, now time.Time) {
 	if !e.extra {
 		return
@@ -235,10 +237,10 @@
 	}
 }
 
-// bye ends the connection. An agent that drained has closed every stream that
-// it took with a last reply, so those still open were never taken: they are
-// refused, which is true, in place of a loss that could not be retried. Of a
-// request that was to be joined it says nothing.
+// receiveBye ends the connection. A drained agent has sent a final reply on
+// every stream that it admitted, so the streams still open were never admitted.
+// They end as refused, which may be retried, and not as lost, which may not.
+// For a reattached stream this does not tell whether its request ran.
 func (e *clientEndpoint) receiveBye(c *connection, reason string) {
 	e.mu.Lock()
 	e.closing = true
--- a/internal/link/beechlink/clientstream.go
+++ b/internal/link/beechlink/clientstream.go
@@ -13,19 +13,19 @@
 	clientStream struct {
 		endpoint   *clientEndpoint
 		id         uint64
-		requestID  string // empty until Head where a Reattach does not know it
-		attempt    int    // 0 until Head where a Reattach does not know it
-		tag        uint32 // of both; 0 until they are known
-		reattached bool   // a request that was sent before
+		requestID  string // empty until the first reply if a Reattach does not know it
+		attempt    int    // 0 until the first reply if a Reattach does not know it
+		tag        uint32 // hash of requestID and attempt; 0 until both are known
+		reattached bool   // opened by Reattach, for a request that was sent before
 
 		mu           sync.Mutex
 		queue        []Reply
 		wake         chan struct{}
 		nextSequence uint64 // sequence of the next Data
 		credit       int    // bytes that the agent may still send
-		consumed     int    // bytes read by the owner and not given back as credit
+		consumed     int    // bytes read by the caller of Next and not yet returned as credit
 		headReceived bool
-		closed       bool // no more replies are taken
+		closed       bool // further replies are dropped
 		err          error
 	}
 )
@@ -33,7 +33,7 @@
 // Peer implements Stream.
 func (s *clientStream) Peer() Peer { return s.endpoint.connection.peer }
 
-// Next implements Stream. After the last reply it returns io.EOF.
+// Next implements Stream. After the final reply it returns io.EOF.
 func (s *clientStream) Next(ctx context.Context) (Reply, error) {
 	for {
 		r, returned, err := s.dequeue()
@@ -51,7 +51,8 @@
 	}
 }
 
-// pop returns the next reply, if there is one, and the credit to give back.
+// dequeue returns the next reply, or nil if there is none yet, and the number
+// of bytes of credit to return to the agent.
 func (s *clientStream) dequeue() (Reply, int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +85,7 @@
 func creditCost(data []byte) int { return len(data) + replyOverhead }
 
 func (s *clientStream) returnCredit(bytes int) {
-	// An error means that the connection is lost; Next tells.
+	// On an error the connection is lost, which Next reports.
 	_ = s.endpoint.connection.out.send(kindCredit, &beechwire.Credit{Stream: s.id, Bytes: bytes})
 }
 
@@ -111,7 +112,7 @@
 	}
 }
 
-// fail ends the stream after the replies that were already received.
+// fail ends the stream with err, after the replies that were already received.
 func (s *clientStream) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,8 +124,9 @@
 	s.signal()
 }
 
-// mine tells whether a reply names this stream's request and attempt. It is
-// called with the lock held.
+// matches reports whether a reply is for this stream's request and attempt. A
+// reattached stream takes what it does not know of these from its first reply.
+// The caller holds the lock.
 func (s *clientStream) matches(requestID string, attempt int) bool {
 	if s.requestID == "" {
 		s.requestID = requestID
@@ -163,7 +165,7 @@
 	s.signal()
 }
 
-// data takes a piece of the answer. An error ends the stream.
+// receiveData takes a chunk of the answer. An error ends the stream.
 func (s *clientStream) receiveData(m *beechwire.Data) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -197,8 +199,9 @@
 	return &GapError{Peer: s.endpoint.connection.peer.Address, Stream: s.id, Want: s.nextSequence, Got: got}
 }
 
-// last takes a closing reply; taken is false if it is not for this request.
-// Where an answer is whole, end is the sequence of its last Data.
+// receiveFinal takes a final reply; taken is false if the reply is not for this
+// request. For a complete answer, lastSequence is the sequence of its last
+// Data; otherwise it is nil.
 func (s *clientStream) receiveFinal(r Reply, requestID string, attempt int, lastSequence *uint64) (taken bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/link/beechlink/concurrent_open_test.go
+++ b/internal/link/beechlink/concurrent_open_test.go
@@ -9,9 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// Many callers arrive at an entry host at the same moment, as in every busy
-// second. Two streams that were numbered in one order and sent in the other
-// made the agent close the connection, and every caller on it lost its answer.
+// Guards against streams whose ids are assigned in one order and sent in
+// another, which can happen when many callers open streams at the same time.
+// The agent then closed the connection, and all callers on it lost their
+// answers.
 func TestConcurrentOpensOnOneConnection(t *testing.T) {
 	const callers, each = 64, 50
 	is := is.New(t)
--- a/internal/link/beechlink/connection.go
+++ b/internal/link/beechlink/connection.go
@@ -15,8 +15,8 @@
 )
 
 type (
-	// connection is one TCP connection after its handshake. The client's and
-	// the server's part is its end.
+	// connection is one TCP connection after its handshake. What differs
+	// between client and server is in its endpoint.
 	connection struct {
 		conn        net.Conn
 		peer        Peer
@@ -32,7 +32,7 @@
 		incoming    incomingCalls
 		context     context.Context
 		cancel      context.CancelFunc
-		probesIdle  bool // this side starts the beats of an idle connection
+		probesIdle  bool // this side sends the beats that probe an idle connection
 
 		received atomic.Bool
 
@@ -48,50 +48,56 @@
 		failure          error
 	}
 
-	// demand says what is wanted of a beat beside what is due.
+	// beatMode tells sendBeat when to send a beat.
 	beatMode int
 
-	// end is what differs between the two sides of a connection.
+	// endpoint is the part of a connection that differs between client and
+	// server.
 	endpoint interface {
-		// receive takes a frame that is not the connection's own business.
+		// receive handles a frame of a kind that the connection does not handle
+		// itself.
 		receive(c *connection, k kind, body []byte) error
-		// streams is the number of open ones.
+		// streamCount returns the number of open streams.
 		streamCount() int
-		// lost ends all streams.
+		// connectionLost ends all streams.
 		connectionLost(c *connection, err error)
-		// rest is called each round, for what follows from a time of no work.
+		// checkIdle is called in each round of the scheduler, to act on a time
+		// without work.
 		checkIdle(c *connection, now time.Time)
-		// bye takes the peer's word that it closes on purpose.
+		// receiveBye handles the peer's notice that it closes the connection on
+		// purpose.
 		receiveBye(c *connection, reason string)
 	}
 )
 
 const (
-	beatIfDue beatMode = iota
-	beatNow            // send one
-	beatProbe          // send one that asks for an answer
+	beatIfDue beatMode = iota // send one only if it is due
+	beatNow                   // send one even if none is due
+	beatProbe                 // send one now that asks for an answer
 )
 
 const (
 	byeDrained = "drained"
 	byeClosed  = "closed"
 
-	// idleMissed is how many beats of an idle entry may be missing before the
-	// agent takes it for dead. Nothing waits for it, so being slow costs
-	// little; being quick would drop many links after a short pause.
+	// idleMissedBeats is how many beats of an idle entry may be missing before
+	// the agent considers it dead. Nothing waits for an idle entry, so slow
+	// detection costs little, while fast detection would drop many links after
+	// a short pause.
 	idleMissedBeats = 2
 
-	// idlePatience is by how much more than Deadline an idle peer may take to
-	// answer a beat, for the same reason.
+	// idleDeadlineFactor multiplies Deadline to give the time in which an idle
+	// peer must answer a beat. It is longer for the same reason.
 	idleDeadlineFactor = 2
 
-	// loadShare is how often in an idle period a changed load is told on a
-	// connection with streams. Each closing reply tells it too.
+	// loadUpdatesPerIdleInterval is how many times in an idle interval a
+	// changed load is sent on a connection with streams. Each final reply
+	// carries the load too.
 	loadUpdatesPerIdleInterval = 4
 )
 
-// run reads until the connection ends and returns why; nil after an orderly
-// end of both sides.
+// run reads until the connection ends and returns the cause: io.EOF if the peer
+// closed its direction in an orderly way.
 func (c *connection) run(frames *frameReader) error {
 	writerDone := make(chan struct{})
 	go func() {
@@ -107,9 +113,9 @@
 	<-writerDone
 	failure := c.failureCause()
 	c.outgoing.failAll(&LostError{Peer: c.peer.Address, Err: failure})
-	// Streams are told before their contexts end: a handler that saw its
-	// context end first would take a lost link for a caller who gave up, and
-	// cancel a generation that should wait for the caller's return.
+	// Streams are notified before their contexts end. A handler that saw its
+	// context end first would mistake a lost link for a caller that gave up,
+	// and cancel a generation that should wait for the caller to return.
 	c.endpoint.connectionLost(c, failure)
 	c.cancel()
 	return failure
@@ -160,7 +166,7 @@
 
 func malformed(err error) error { return &FrameError{Problem: err.Error()} }
 
-// fail ends the connection at once. The first cause is kept.
+// fail ends the connection at once. Only the cause of the first call is kept.
 func (c *connection) fail(err error) {
 	if err == nil {
 		err = io.EOF
@@ -181,16 +187,16 @@
 	return c.failure
 }
 
-// finish sends what is queued and then a last Bye; the other side then ends
-// the connection. Closing here instead could make the kernel reset the
-// connection and destroy replies that are still on their way.
+// sendBye sends what is queued, then a Bye, and closes this side's direction;
+// the peer then ends the connection. Closing the whole connection here could
+// make the kernel reset it and discard replies that are still in transit.
 func (c *connection) sendBye(reason string) {
 	if c.out.send(kindBye, &beechwire.Bye{Reason: reason}) == nil {
 		c.out.finish()
 	}
 }
 
-// waitWritten returns once the writer has ended, or after limit.
+// waitWriterDone returns once the writer has ended, or after limit.
 func (c *connection) waitWriterDone(limit time.Duration) {
 	timer := c.scheduler.clock.NewTimer(limit)
 	defer timer.Stop()
@@ -200,9 +206,9 @@
 	}
 }
 
-// leave ends the connection after everything queued. A peer that does not
-// end its direction within the deadline is cut, so that a frozen entry cannot
-// hold up an agent's shutdown.
+// closeGracefully ends the connection after everything queued was sent. If the
+// peer does not close its direction within the deadline, the connection is cut,
+// so that a frozen entry cannot delay an agent's shutdown.
 func (c *connection) closeGracefully(reason string) {
 	c.sendBye(reason)
 	go func() {
@@ -225,45 +231,45 @@
 	return c.endpoint.streamCount() > 0 || c.outgoing.count() > 0
 }
 
-// check is called by the pacer each round: it beats when it is time and ends
-// the connection when the peer was silent for too long.
-func (c *connection) check(m tick) {
-	if c.peerTimedOut(m) {
+// check is called by the scheduler in each round. It sends a beat if one is
+// due, and ends the connection if the peer was silent for too long.
+func (c *connection) check(t tick) {
+	if c.peerTimedOut(t) {
 		c.counters.silent.Add(1)
-		// The other connections to a dead host die with this one.
+		// The host may be dead: probe its other connections too.
 		for _, other := range c.sessions.otherConnections(c) {
-			other.sendBeat(m, beatProbe)
+			other.sendBeat(t, beatProbe)
 		}
 		c.fail(errPeerTimeout)
 		return
 	}
-	c.sendBeat(m, beatIfDue)
-	c.endpoint.checkIdle(c, m.now)
+	c.sendBeat(t, beatIfDue)
+	c.endpoint.checkIdle(c, t.now)
 }
 
-// silent tells whether the peer must be taken for dead. Silence counts from
-// the last frame, but not from before work became outstanding, since an idle
-// peer owes nothing; and not from before a pause of this process, during which
-// the peer's frames could not be read.
-func (c *connection) peerTimedOut(m tick) bool {
+// peerTimedOut reports whether the peer must be considered dead. The time runs
+// from the last frame received, or from when work became outstanding if that is
+// later, since an idle peer need not send anything. After a pause of this
+// process, during which the peer's frames could not be read, it starts again.
+func (c *connection) peerTimedOut(t tick) bool {
 	busy := c.busy()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.received.Swap(false) || m.delayed || c.lastReceived.IsZero() {
-		c.lastReceived = m.now
+	if c.received.Swap(false) || t.delayed || c.lastReceived.IsZero() {
+		c.lastReceived = t.now
 	}
 	if !busy {
 		c.busySince = time.Time{}
-		return c.idlePeerTimedOut(m.now)
+		return c.idlePeerTimedOut(t.now)
 	}
 	if c.busySince.IsZero() {
-		c.busySince = m.now
+		c.busySince = t.now
 	}
 	since := c.lastReceived
 	if c.busySince.After(since) {
 		since = c.busySince
 	}
-	return m.now.Sub(since) > c.settings.Deadline
+	return t.now.Sub(since) > c.settings.Deadline
 }
 
 func (c *connection) idlePeerTimedOut(now time.Time) bool {
@@ -276,19 +282,19 @@
 	return now.Sub(c.lastReceived) > missedTime+timeout
 }
 
-// beat sends a beat if one is due or demanded.
-func (c *connection) sendBeat(m tick, mode beatMode) {
+// sendBeat sends a beat if one is due or if mode requires it.
+func (c *connection) sendBeat(t tick, mode beatMode) {
 	if c.out.queuedBytes() > maxQueuedBytes {
 		return
 	}
 	busy := c.busy()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.idleInterval = m.idleInterval
-	interval := c.announcedIntervalMillis(m.idleInterval)
-	b, urgent := c.encoder.delta(m.heartbeat, interval)
-	probe := mode == beatProbe || c.probeDue(m.now, busy)
-	load := busy && b.Load != nil && m.now.Sub(c.lastBeatSent) >= c.loadInterval()
+	c.idleInterval = t.idleInterval
+	interval := c.announcedIntervalMillis(t.idleInterval)
+	b, urgent := c.encoder.delta(t.heartbeat, interval)
+	probe := mode == beatProbe || c.probeDue(t.now, busy)
+	load := busy && b.Load != nil && t.now.Sub(c.lastBeatSent) >= c.loadInterval()
 	if !urgent && !probe && !load && mode == beatIfDue {
 		return
 	}
@@ -299,16 +305,16 @@
 		return
 	}
 	c.counters.beatsOut.Add(1)
-	c.encoder.commit(m.heartbeat, interval)
-	c.lastBeatSent = m.now
+	c.encoder.commit(t.heartbeat, interval)
+	c.lastBeatSent = t.now
 	if probe {
-		c.lastProbe = m.now
+		c.lastProbe = t.now
 	}
 }
 
-// askDue tells whether the peer should show that it lives: on a connection
-// with work outstanding when nothing was heard for a heartbeat, on an idle one
-// of the client's once in the idle period.
+// probeDue reports whether a beat that asks for an answer is due: on a
+// connection with outstanding work, when nothing was received for a heartbeat;
+// on an idle one, once in the idle interval and only from the client.
 func (c *connection) probeDue(now time.Time, busy bool) bool {
 	if busy {
 		return now.Sub(c.lastReceived) >= c.settings.Heartbeat && now.Sub(c.lastProbe) >= c.settings.Heartbeat
@@ -317,15 +323,16 @@
 		return false
 	}
 	if c.lastProbe.IsZero() {
-		c.lastProbe = now.Add(-rand.N(c.idleInterval)) // spreads the links over the period
-		c.lastReceived = now.Add(1)                    // nothing is owed for it
+		c.lastProbe = now.Add(-rand.N(c.idleInterval)) // spreads the probes of all links over the interval
+		c.lastReceived = now.Add(1)                    // no probe was sent, so no answer is awaited
 		return false
 	}
 	return now.Sub(c.lastProbe) >= c.idleInterval
 }
 
-// announced is the idle period that the peer is told, in milliseconds; a
-// shrinking fleet need not be told at once.
+// announcedIntervalMillis returns the idle interval to announce to the peer. A
+// shorter one is announced only when it is at most half of the previous one,
+// since the peer need not learn at once that there are fewer connections.
 func (c *connection) announcedIntervalMillis(idle time.Duration) int64 {
 	if !c.probesIdle {
 		return 0
@@ -361,7 +368,7 @@
 	return nil
 }
 
-// known is the peer with the generation it last told.
+// currentPeer returns the peer with the latest generation it reported.
 func (c *connection) currentPeer() Peer {
 	p := c.peer
 	c.mu.Lock()
--- a/internal/link/beechlink/counters.go
+++ b/internal/link/beechlink/counters.go
@@ -3,26 +3,26 @@
 import "sync/atomic"
 
 type (
-	// Counters count since the start of a Dialer or Server.
+	// Counters holds totals since the start of a Dialer or Server.
 	Counters struct {
-		Up         uint64 // handshakes done
-		Rejected   uint64 // handshakes failed
-		Lost       uint64 // connections ended with an error
-		Silent     uint64 // of these, for a peer's silence
-		Malformed  uint64 // of these, for bytes that are no message
-		Opened     uint64 // streams
-		Reattached uint64 // streams
-		Refused    uint64 // streams refused by the link itself
-		Late       uint64 // replies for a stream or call that is over, dropped
-		Doubled    uint64 // replies whose sequence was already taken, dropped
-		Crossed    uint64 // replies of another request or attempt, dropped
-		Gaps       uint64 // streams failed since a reply was missing
+		Up         uint64 // completed handshakes
+		Rejected   uint64 // failed handshakes
+		Lost       uint64 // connections that ended with an error
+		Silent     uint64 // of Lost: the peer was silent for longer than its deadline
+		Malformed  uint64 // of Lost: bytes that are not a valid frame or message
+		Opened     uint64 // streams opened for a new request
+		Reattached uint64 // streams opened for a running or finished request
+		Refused    uint64 // streams refused by the link, not by the handler
+		Late       uint64 // dropped replies of a stream or call that has ended
+		Doubled    uint64 // dropped replies that were already received
+		Crossed    uint64 // dropped replies of another request or attempt
+		Gaps       uint64 // streams that failed because a reply was missing
 		Panics     uint64 // stream handlers that panicked
 		BeatsIn    uint64
 		BeatsOut   uint64
 		FramesIn   uint64
 		FramesOut  uint64
-		BytesIn    uint64 // without TCP's and TLS's own
+		BytesIn    uint64 // without the overhead of TCP and TLS
 		BytesOut   uint64
 		Writes     uint64 // writes to connections
 	}
--- a/internal/link/beechlink/errors.go
+++ b/internal/link/beechlink/errors.go
@@ -7,33 +7,33 @@
 )
 
 type (
-	// FrameError is returned for bytes that are no frame of this protocol.
+	// FrameError reports bytes that are not a valid frame or message of the
+	// protocol.
 	FrameError struct{ Problem string }
 
-	// HandshakeError is returned for a peer that was reached but not accepted,
-	// or that did not accept this side.
+	// HandshakeError reports a peer that was reached but was rejected, or that
+	// rejected this side.
 	HandshakeError struct {
 		Peer netip.AddrPort
 		Step string
 		Err  error
 	}
 
-	// OpenError is returned for a request of which nothing was sent: it was
-	// not run.
+	// OpenError reports a request of which nothing was sent, so it was not run.
 	OpenError struct {
 		Peer netip.AddrPort
 		Err  error
 	}
 
-	// LostError is returned for a stream or call whose connection was lost
-	// before the last reply: whether the request ran is not known.
+	// LostError reports a stream or call whose connection was lost before the
+	// final reply. Whether the request ran is not known.
 	LostError struct {
 		Peer netip.AddrPort
 		Err  error
 	}
 
-	// GapError is returned for a stream of which a reply is missing. The rest
-	// of it is not delivered.
+	// GapError reports a stream with a missing reply. Replies after the gap are
+	// not delivered.
 	GapError struct {
 		Peer   netip.AddrPort
 		Stream uint64
@@ -41,7 +41,7 @@
 		Got    uint64
 	}
 
-	// CallError is the other side's error in answer to a call.
+	// CallError is the error with which the peer answered a call.
 	CallError struct {
 		Peer   netip.AddrPort
 		Method string
@@ -50,18 +50,19 @@
 )
 
 var (
-	// ErrDown is the cause where no connection to the peer is up.
+	// ErrDown is the cause when no connection to the peer is up.
 	ErrDown = errors.New("no connection is up")
-	// ErrBusy is the cause where every connection carries as many streams as
-	// Settings allow.
-	ErrBusy = errors.New("every connection carries its most streams")
+	// ErrBusy is the cause when every connection carries Settings.MaxStreams
+	// streams, or when a Server has too many handshakes in progress.
+	ErrBusy = errors.New("every connection has reached its stream limit")
 	// ErrClosed is the cause after Close or Drain.
 	ErrClosed = errors.New("closed")
-	// ErrStreamClosed is returned by Send after the last reply, or after the
-	// entry cancelled the stream.
-	ErrStreamClosed = errors.New("stream is over")
-	// ErrCreditExceeded is the cause where the peer sent more than it had credit for.
-	ErrCreditExceeded = errors.New("peer sent more than its credit")
+	// ErrStreamClosed is returned by Send after the final reply, or after the
+	// stream was cancelled or its connection lost.
+	ErrStreamClosed = errors.New("stream is closed")
+	// ErrCreditExceeded is the cause when the peer sent more data than it had
+	// credit for.
+	ErrCreditExceeded = errors.New("peer exceeded its stream credit")
 
 	errPeerTimeout      = errors.New("peer was silent for longer than the deadline")
 	errHandshakeTimeout = errors.New("peer did not finish the handshake in time")
--- a/internal/link/beechlink/fake_test.go
+++ b/internal/link/beechlink/fake_test.go
@@ -13,21 +13,21 @@
 )
 
 type (
-	// fakePeer speaks the protocol by hand on one connection.
+	// fakePeer sends and reads single frames on one connection.
 	fakePeer struct {
 		t      testing.TB
 		conn   net.Conn
 		frames *frameReader
 	}
 
-	// cutter relays connections and cuts each after a number of bytes of one
-	// direction.
+	// cuttingProxy relays connections and cuts each after a number of bytes in
+	// one direction.
 	cuttingProxy struct {
 		listener net.Listener
 		target   string
-		limit    atomic.Int64 // bytes; negative is none
-		replies  bool         // limit is of what the target sends
-		chunk    int          // most bytes relayed at once
+		limit    atomic.Int64 // bytes; none if negative
+		replies  bool         // limit applies to what the target sends
+		chunk    int          // most bytes relayed per write
 		running  sync.WaitGroup
 	}
 )
@@ -51,7 +51,7 @@
 	is.New(f.t).NoErr(err)
 }
 
-// await reads until a frame of kind k and decodes it.
+// await reads frames until one of kind k, and decodes it.
 func (f *fakePeer) await(k kind, m msgp.Unmarshaler) {
 	f.t.Helper()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// acceptAsAgent takes one connection of a Client.
+// acceptAsAgent accepts one connection of a Client.
 func acceptAsAgent(t testing.TB, l net.Listener) *fakePeer {
 	t.Helper()
 	is := is.New(t)
@@ -80,7 +80,7 @@
 	return f
 }
 
-// dialAsEntry makes a connection to a Server.
+// dialAsEntry opens a connection to a Server.
 func dialAsEntry(t testing.TB, address string) *fakePeer {
 	t.Helper()
 	is := is.New(t)
--- a/internal/link/beechlink/frame.go
+++ b/internal/link/beechlink/frame.go
@@ -9,11 +9,11 @@
 )
 
 type (
-	// kind says which message of beechwire a frame carries.
+	// kind is the frame type: which beechwire message the frame carries.
 	kind byte
 
-	// frameReader cuts a byte stream into frames. A frame's body is only
-	// valid until the next call.
+	// frameReader splits a byte stream into frames. The body of a frame is
+	// valid only until the next call of next.
 	frameReader struct {
 		source    io.Reader
 		limit     int
@@ -55,9 +55,9 @@
 	return &frameReader{source: source, limit: limit, buffer: make([]byte, smallBuffer)}
 }
 
-// next returns the next frame. io.EOF means that the source ended between two
-// frames, io.ErrUnexpectedEOF inside one, *FrameError that the bytes are no
-// frame.
+// next returns the next frame. The error is io.EOF if the source ended between
+// two frames, io.ErrUnexpectedEOF if it ended inside a frame, and *FrameError
+// if the bytes are not a valid frame.
 func (r *frameReader) next() (kind, []byte, error) {
 	if err := r.fill(headerBytes); err != nil {
 		return 0, nil, err
@@ -105,10 +105,11 @@
 	return nil
 }
 
-// makeRoom moves what is buffered to the front of a buffer that can hold
-// count bytes. A connection that carries little keeps a small buffer, since
-// an entry holds hundreds of idle links; one that filled its buffer gets a
-// larger one; one grown for a single large frame is given up after it.
+// makeRoom moves the buffered bytes to the front of a buffer that can hold
+// count bytes. A connection with little traffic keeps a small buffer, because
+// an entry holds hundreds of idle links. A connection that filled its buffer
+// gets a larger one. A buffer that was grown for a single large frame is
+// replaced after it.
 func (r *frameReader) makeRoom(count int) {
 	size := len(r.buffer)
 	filled := r.end == size
@@ -129,8 +130,8 @@
 	r.buffer = target
 }
 
-// appendFrame adds a frame of kind k to b. On an error b is returned as it
-// was.
+// appendFrame appends a frame of kind k to b. On an error it returns b
+// unchanged.
 func appendFrame(b []byte, limit int, k kind, m msgp.Marshaler) ([]byte, error) {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, byte(k))
@@ -140,7 +141,7 @@
 	}
 	length := len(whole) - start - lengthBytes
 	if length > limit {
-		return whole[:start], &FrameError{Problem: fmt.Sprintf("length %d is over %d", length, limit)}
+		return whole[:start], &FrameError{Problem: fmt.Sprintf("length %d exceeds the limit of %d", length, limit)}
 	}
 	binary.BigEndian.PutUint32(whole[start:], uint32(length))
 	return whole, nil
--- a/internal/link/beechlink/frame_test.go
+++ b/internal/link/beechlink/frame_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// readAll returns the frames of b, read by one byte at a time or as a whole.
+// readAll returns the frames of b, read one byte at a time or all at once.
 func readAll(b []byte, limit int, byBytes bool) (kinds []kind, bodies [][]byte, err error) {
 	var source io.Reader = bytes.NewReader(b)
 	if byBytes {
@@ -29,8 +29,8 @@
 	}
 }
 
-// A weak network hands a frame over in pieces, or several at once. A reader
-// that took a piece for a frame would give callers bytes of other answers.
+// The network may deliver a frame in parts, or several frames at once. A reader
+// that took a part for a frame would give callers bytes of other answers.
 func TestFramesReadInPieces(t *testing.T) {
 	is := is.New(t)
 	var b []byte
@@ -65,7 +65,7 @@
 		_, bodies, err := readAll(append(bytes.Clone(good), b...), 1<<20, true)
 		var malformed *FrameError
 		is.True(errors.As(err, &malformed))
-		is.Equal(len(bodies), 1) // what came before it is not lost
+		is.Equal(len(bodies), 1) // the frame before it is not lost
 	}
 	for cut := 1; cut < len(good); cut++ {
 		_, _, err := readAll(good[:cut], 1<<20, false)
@@ -76,7 +76,8 @@
 	is.True(errors.As(err, &malformed))
 }
 
-// FuzzFrame feeds bytes to the frame reader and to both ends' decoders.
+// FuzzFrame passes bytes to the frame reader, and the frames to the decoders of
+// both endpoints.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -105,7 +106,8 @@
 	})
 }
 
-// feedEnds has both ends take the frames, as far as they accept them.
+// feedEndpoints passes the frames to both endpoints, each until the first frame
+// that it rejects.
 func feedEndpoints(kinds []kind, bodies [][]byte) {
 	s := Settings{MaxBody: 1 << 10, MaxFrame: 64 << 10}.withDefaults()
 	client := newClientEndpoint()
@@ -113,7 +115,7 @@
 	for _, e := range []endpoint{client, server} {
 		c := newConnection(nil, Peer{}, sessionKey{}, s, &counters{}, fuzzServer.scheduler, answerFunc(echoCall), fuzzServer.sessions, e)
 		client.connection, server.connection = c, c
-		// A stream with id 1, for replies to find.
+		// Replies need a stream with id 1.
 		if _, err := client.add(&clientStream{requestID: "a", attempt: 1, nextSequence: 1}); e == endpoint(client) && err != nil {
 			panic(err)
 		}
--- a/internal/link/beechlink/handshake.go
+++ b/internal/link/beechlink/handshake.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	// preamble opens both directions. Whoever speaks another protocol is told
-	// so in text, instead of having its bytes read as a frame's length.
+	// preamble is the first thing sent in each direction. A peer that speaks
+	// another protocol gets an error in plain text, instead of having its bytes
+	// read as the length of a frame.
 	preamble = "BEECHLNK"
 
 	wrongProtocolText = "this port speaks beechring's link protocol only\r\n"
 
-	// refusedBytes is how much of a refused peer's input is read, so that the
-	// refusal is not destroyed by a reset.
+	// maxDrainBytes is how much input of a rejected peer is read, so that a TCP
+	// reset does not discard the reason of the rejection.
 	maxDrainBytes = 64 << 10
 )
 
 var errProtocol = errors.New("peer does not speak the link protocol")
 
-// sendHello opens this side's direction.
+// sendHello sends the preamble and this side's Hello.
 func sendHello(conn net.Conn, h beechwire.Hello, key string) error {
 	h.Version = beechwire.Version
 	h.Key = key
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// readHello reads the peer's first message and checks it.
+// readHello reads and validates the peer's first message.
 func readHello(frames *frameReader, key string) (beechwire.Hello, error) {
 	var h beechwire.Hello
 	k, body, err := frames.next()
@@ -83,16 +84,17 @@
 	}
 }
 
-// sameKey takes the same time whatever the keys, also for their lengths.
+// equalKeys compares in a time that depends on neither the contents nor the
+// lengths of the keys.
 func equalKeys(a, b string) bool {
 	x := sha256.Sum256([]byte(a))
 	y := sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(x[:], y[:]) == 1
 }
 
-// refuse tells a peer why it is not accepted. What it still sends is read: a
-// close with unread input would reset the connection, and the peer would see
-// the reset instead of the reason.
+// reject sends the peer the reason why it is not accepted, then reads its
+// remaining input: closing with unread input would reset the connection, and
+// the peer would see the reset instead of the reason.
 func reject(conn net.Conn, reason error) {
 	text := []byte(wrongProtocolText)
 	if !errors.Is(reason, errProtocol) {
@@ -110,8 +112,8 @@
 	}
 }
 
-// peerOf uses the address that the peer gives, or else that of its
-// connection.
+// peerFromHello uses the address in the Hello, or that of the connection if
+// there is none.
 func peerFromHello(h beechwire.Hello, remote net.Addr) (Peer, sessionKey) {
 	key := sessionKey{incarnation: h.Incarnation}
 	given, err := netip.ParseAddrPort(h.Address)
--- a/internal/link/beechlink/outbox.go
+++ b/internal/link/beechlink/outbox.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// outbox holds what waits for one connection. Small messages go out in
-	// the order of send; of each large body or payload one piece goes out at
-	// a time, in turn, so that none blocks the small ones.
+	// outbox queues what is to be sent on one connection. Small messages are
+	// sent in the order of send. Large bodies and payloads are sent one chunk
+	// at a time, in turn, so that they do not block small messages.
 	outbox struct {
 		limit    int
 		counters *counters
@@ -24,12 +24,12 @@
 		queue     []byte
 		frames    uint64
 		transfers []*transfer
-		room      chan struct{} // closed when there is room again; nil while there is
+		room      chan struct{} // closed when there is room again; nil if nobody waits
 		finishing bool
 		err       error
 	}
 
-	// transfer is a body or payload that goes out in pieces.
+	// transfer is a body or payload that is sent in chunks.
 	transfer struct {
 		kind      kind
 		id        uint64 // stream or call
@@ -56,7 +56,6 @@
 	}
 }
 
-// send queues a message.
 func (o *outbox) send(k kind, m msgp.Marshaler) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,8 +82,8 @@
 	return nil
 }
 
-// sendWith queues a message and what follows it in pieces. A payload of one
-// piece goes out right behind its message.
+// sendWithTransfer queues a message and the transfer that belongs to it. A
+// transfer of a single chunk is queued directly after its message.
 func (o *outbox) sendWithTransfer(k kind, m msgp.Marshaler, t *transfer) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -115,7 +114,7 @@
 	return nil
 }
 
-// stop forgets what is left of a stream's body.
+// cancelTransfer drops what is left of a body or payload.
 func (o *outbox) cancelTransfer(k kind, id uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -155,9 +154,9 @@
 	}
 }
 
-// waitRoom returns once fewer than queueLimit bytes wait. Without it an entry
-// that stops reading would make the agent hold every stream's credit in
-// bytes.
+// waitRoom returns once fewer than maxQueuedBytes bytes are queued. Without it,
+// an entry that stops reading would make the agent hold the whole credit of
+// every stream in memory.
 func (o *outbox) waitRoom(ctx context.Context) error {
 	for {
 		o.mu.Lock()
@@ -185,7 +184,7 @@
 	return len(o.queue)
 }
 
-// finish makes the writer end after what is queued.
+// finish makes the writer end after it has sent what is queued.
 func (o *outbox) finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -212,7 +211,8 @@
 	}
 }
 
-// take returns the next batch, or false once the writer is to end.
+// nextBatch waits for the next batch to write. It returns false if the writer
+// must end.
 func (o *outbox) nextBatch() ([]byte, bool) {
 	for {
 		o.mu.Lock()
@@ -238,7 +238,7 @@
 	}
 }
 
-// takePieces adds a piece of each transfer in turn until the batch is full.
+// fillBatch adds a chunk of each transfer in turn until the batch is full.
 func (o *outbox) fillBatch() {
 	finishing := o.finishing
 	o.finishing = false
@@ -252,7 +252,8 @@
 	o.finishing = finishing
 }
 
-// write is the connection's one writer. It returns nil after finish.
+// writeLoop writes batches to conn until finish or fail. It is the only writer
+// of the connection. After finish it closes this side's direction.
 func (o *outbox) writeLoop(conn net.Conn) error {
 	defer close(o.done)
 	for {
--- a/internal/link/beechlink/pair_test.go
+++ b/internal/link/beechlink/pair_test.go
@@ -28,7 +28,8 @@
 		agent   *recorder
 	}
 
-	// recorder keeps what Events were told and gives a settable heartbeat.
+	// recorder records Events and is a HeartbeatSource whose heartbeat can be
+	// set.
 	recorder struct {
 		mu       sync.Mutex
 		current  beechwire.Heartbeat
@@ -105,7 +106,7 @@
 	return f(ctx, p, method, payload)
 }
 
-// echo answers with the body in one piece.
+// echo answers with the body in one chunk.
 func echo(ctx context.Context, s ServerStream, _ beechwire.Request, body []byte) {
 	if s.Send(ctx, HeadReply{Head: beechwire.Head{Status: 200}}) != nil {
 		return
@@ -162,12 +163,12 @@
 	return p
 }
 
-// until waits for a condition; the limit only ends a test that hangs.
+// waitFor polls until a condition holds. The limit only ends a test that hangs.
 func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > waitLimit {
-			t.Fatalf("waited in vain until %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -176,7 +177,7 @@
 	return beechwire.Request{ID: id, Attempt: 1, Workspace: "granite"}
 }
 
-// collect reads a whole answer.
+// collect reads a complete answer and returns its data and the final reply.
 func collect(ctx context.Context, s Stream) ([]byte, Reply, error) {
 	var all []byte
 	for {
--- a/internal/link/beechlink/scheduler.go
+++ b/internal/link/beechlink/scheduler.go
@@ -9,15 +9,15 @@
 )
 
 type (
-	// pacer watches all connections of a Dialer or Server from one goroutine:
-	// a timer for each of hundreds of idle links would cost an idle entry
-	// more than its share of a core.
+	// heartbeatScheduler checks all connections of a Dialer or Server from one
+	// goroutine. A timer for each of hundreds of idle links would cost an idle
+	// entry more than its share of a core.
 	heartbeatScheduler struct {
 		clock    clockwork.Clock
 		settings Settings
 		source   HeartbeatSource
 		stop     chan struct{}
-		trigger  chan struct{} // room for one; asks for a round now
+		trigger  chan struct{} // buffered; requests a round now
 
 		mu          sync.Mutex
 		connections map[*connection]struct{}
@@ -25,17 +25,17 @@
 		polled      bool
 	}
 
-	// moment is what one round of the pacer tells each connection.
+	// tick is passed to each connection in one round of the scheduler.
 	tick struct {
 		now          time.Time
 		heartbeat    beechwire.Heartbeat
-		idleInterval time.Duration // between beats of a connection with no work
-		delayed      bool          // this process was held up since the last round
+		idleInterval time.Duration // between beats of a connection without work
+		delayed      bool          // this process was paused since the last round
 	}
 )
 
 func newHeartbeatScheduler(s Settings, source HeartbeatSource, clock clockwork.Clock) *heartbeatScheduler {
-	p := &heartbeatScheduler{
+	scheduler := &heartbeatScheduler{
 		clock:       clock,
 		settings:    s,
 		source:      source,
@@ -50,79 +50,81 @@
 		last := clock.Now()
 		for {
 			select {
-			case <-p.stop:
+			case <-scheduler.stop:
 				return
-			case <-p.trigger:
-				p.runTick(clock.Now(), false)
+			case <-scheduler.trigger:
+				scheduler.runTick(clock.Now(), false)
 				continue
 			case <-ticker.Chan():
 			}
 			now := clock.Now()
-			p.runTick(now, now.Sub(last) > 2*period)
+			scheduler.runTick(now, now.Sub(last) > 2*period)
 			last = now
 		}
 	}()
-	return p
+	return scheduler
 }
 
-func (p *heartbeatScheduler) close() { close(p.stop) }
+func (s *heartbeatScheduler) close() { close(s.stop) }
 
-// push sends what is urgent and has changed now instead of at the next round.
-func (p *heartbeatScheduler) runNow() {
+// runNow starts a round now, so that urgent changes are sent without waiting
+// for the next one.
+func (s *heartbeatScheduler) runNow() {
 	select {
-	case p.trigger <- struct{}{}:
+	case s.trigger <- struct{}{}:
 	default:
 	}
 }
 
-func (p *heartbeatScheduler) runTick(now time.Time, late bool) {
-	h := p.source.CurrentHeartbeat()
-	p.mu.Lock()
-	p.latest = h
-	p.polled = true
-	m := tick{now: now, heartbeat: h, idleInterval: p.idleIntervalLocked(), delayed: late}
-	all := make([]*connection, 0, len(p.connections))
-	for c := range p.connections {
+func (s *heartbeatScheduler) runTick(now time.Time, delayed bool) {
+	h := s.source.CurrentHeartbeat()
+	s.mu.Lock()
+	s.latest = h
+	s.polled = true
+	t := tick{now: now, heartbeat: h, idleInterval: s.idleIntervalLocked(), delayed: delayed}
+	all := make([]*connection, 0, len(s.connections))
+	for c := range s.connections {
 		all = append(all, c)
 	}
-	p.mu.Unlock()
+	s.mu.Unlock()
 	for _, c := range all {
-		c.check(m)
+		c.check(t)
 	}
 }
 
-// idleLocked stretches the period with the number of connections, so that
-// the sum over all of them stays the same.
-func (p *heartbeatScheduler) idleIntervalLocked() time.Duration {
-	return max(p.settings.Heartbeat, time.Duration(len(p.connections))*p.settings.IdleIntervalPerConnection)
+// idleIntervalLocked returns an interval that grows with the number of
+// connections, so that the total rate of idle beats stays the same.
+func (s *heartbeatScheduler) idleIntervalLocked() time.Duration {
+	return max(s.settings.Heartbeat, time.Duration(len(s.connections))*s.settings.IdleIntervalPerConnection)
 }
 
-func (p *heartbeatScheduler) add(c *connection) {
-	p.mu.Lock()
-	p.connections[c] = struct{}{}
-	p.mu.Unlock()
-	c.check(p.currentTick())
+func (s *heartbeatScheduler) add(c *connection) {
+	s.mu.Lock()
+	s.connections[c] = struct{}{}
+	s.mu.Unlock()
+	c.check(s.currentTick())
 }
 
-func (p *heartbeatScheduler) remove(c *connection) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.connections, c)
+func (s *heartbeatScheduler) remove(c *connection) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.connections, c)
 }
 
-// moment is that of the last round, or a new one before the first.
-func (p *heartbeatScheduler) currentTick() tick {
-	p.mu.Lock()
-	polled := p.polled
-	p.mu.Unlock()
+// currentTick has the heartbeat of the last round, or a new one before the
+// first round.
+func (s *heartbeatScheduler) currentTick() tick {
+	s.mu.Lock()
+	polled := s.polled
+	s.mu.Unlock()
 	if !polled {
-		h := p.source.CurrentHeartbeat()
-		p.mu.Lock()
-		p.latest = h
-		p.polled = true
-		p.mu.Unlock()
+		h := s.source.CurrentHeartbeat()
+		s.mu.Lock()
+		s.latest = h
+		s.polled = true
+		s.mu.Unlock()
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return tick{now: p.clock.Now(), heartbeat: p.latest, idleInterval: p.idleIntervalLocked()}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return tick{now: s.clock.Now(), heartbeat: s.latest, idleInterval: s.idleIntervalLocked()}
 }
--- a/internal/link/beechlink/server.go
+++ b/internal/link/beechlink/server.go
@@ -25,25 +25,26 @@
 		counters       counters
 		scheduler      *heartbeatScheduler
 		sessions       *sessionTable
-		handshakeSlots chan struct{} // one element for each handshake under way
+		handshakeSlots chan struct{} // one element for each handshake in progress
 
 		mu          sync.Mutex
 		listeners   map[net.Listener]struct{}
 		openConns   map[net.Conn]struct{}
 		streams     int
 		draining    bool
-		drained     chan struct{} // closed when draining and no stream is left
+		drained     chan struct{} // closed when the server drains and no stream is left
 		connections sync.WaitGroup
 		closed      bool
 	}
 )
 
-// handshakes is how many peers may be shaking hands at once; more are closed.
+// maxConcurrentHandshakes is the number of handshakes in progress at the same
+// time. Further connections are closed.
 const maxConcurrentHandshakes = 1024
 
-// NewServer makes the agent's side. Self is asked at each handshake, pulse every
-// half Heartbeat. tlsConfig may be nil; it should ask for the entries'
-// certificates.
+// NewServer returns the agent's side of links. Self is called for each
+// handshake, heartbeats twice per settings.Heartbeat. TlsConfig may be nil;
+// otherwise it should require the entries' certificates.
 func NewServer(settings Settings, self func() beechwire.Hello, handler StreamHandler, callHandler CallHandler, events Events, heartbeats HeartbeatSource, tlsConfig *tls.Config, clock clockwork.Clock) *Server {
 	s := settings.withDefaults()
 	return &Server{
@@ -62,8 +63,8 @@
 	}
 }
 
-// Listen opens the listener for Serve. Keepalive probes of TCP are off: the
-// heartbeats do their work, and hundreds of idle links would pay for both.
+// Listen opens a listener for Serve. TCP keepalive probes are off, because the
+// heartbeats replace them and both would add up over hundreds of idle links.
 func Listen(address netip.AddrPort) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	l, err := config.Listen(context.Background(), "tcp", address.String())
@@ -73,8 +74,8 @@
 	return l, nil
 }
 
-// Serve accepts links until ctx ends, which closes them all, or until Drain;
-// then it returns nil.
+// Serve accepts links until ctx ends, which closes all links, or until Drain or
+// Close. Then it returns nil.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	if !s.addListener(l) {
 		l.Close()
@@ -90,7 +91,7 @@
 			}
 			var temporary interface{ Temporary() bool }
 			if errors.As(err, &temporary) && temporary.Temporary() {
-				s.clock.Sleep(backoffMin) // out of file descriptors, say
+				s.clock.Sleep(minBackoff) // for example, no file descriptors are left
 				continue
 			}
 			return fmt.Errorf("accept links on %s: %w", l.Addr(), err)
@@ -115,7 +116,7 @@
 	return s.draining
 }
 
-// start serves a connection in its goroutine.
+// startConnection serves a connection in a goroutine of its own.
 func (s *Server) startConnection(conn net.Conn) {
 	s.mu.Lock()
 	if s.draining {
@@ -157,7 +158,7 @@
 	s.sessions.remove(c, err)
 }
 
-// greet shakes hands within DialTimeout.
+// handshake performs the handshake within DialTimeout.
 func (s *Server) handshake(raw net.Conn) (net.Conn, *frameReader, beechwire.Hello, error) {
 	select {
 	case s.handshakeSlots <- struct{}{}:
@@ -197,7 +198,7 @@
 	return readHello(frames, s.settings.Key)
 }
 
-// enter counts a stream in, unless the server drains.
+// beginStream counts a new stream. It returns false if the server drains.
 func (s *Server) beginStream() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,9 +218,9 @@
 	}
 }
 
-// Drain takes no more streams (they are refused as not run), waits for those
-// that run, closes the links and returns nil. If ctx ends first, what is left
-// is cut and ctx's error returned.
+// Drain refuses new streams as not run, waits for the open ones, closes the
+// links and returns nil. If ctx ends first, the remaining connections are cut
+// and the error of ctx is returned.
 func (s *Server) Drain(ctx context.Context) error {
 	if !s.beginDrain() {
 		return ErrClosed
@@ -284,17 +285,17 @@
 	s.sessions.close()
 }
 
-// PushHeartbeat sends at once what has changed in the heartbeat and must be known soon:
-// leaving, generation, models, suspects.
+// PushHeartbeat sends urgent changes of the heartbeat at once instead of in the
+// next round: leaving, ready, generation, models, suspects.
 func (s *Server) PushHeartbeat() { s.scheduler.runNow() }
 
-// Peers returns the processes linked now.
+// Peers returns the processes that are linked now.
 func (s *Server) Peers() []Peer { return s.sessions.peers() }
 
-// Counters returns those of all links.
+// Counters returns the totals of all links.
 func (s *Server) Counters() Counters { return s.counters.snapshot() }
 
-// Call asks an entry one question, as Client.Call does an agent.
+// Call sends a call to an entry, as Client.Call does to an agent.
 func (s *Server) Call(ctx context.Context, peer netip.AddrPort, method string, payload []byte) ([]byte, error) {
 	c := s.sessions.connectionTo(peer)
 	if c == nil {
--- a/internal/link/beechlink/server_test.go
+++ b/internal/link/beechlink/server_test.go
@@ -27,7 +27,8 @@
 	"github.com/matryer/is"
 )
 
-// answerIn returns a handler that answers with count pieces of size bytes.
+// answerInChunks returns a handler that answers with count chunks of size
+// bytes.
 func answerInChunks(count, size int) func(context.Context, ServerStream, beechwire.Request, []byte) {
 	return func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 		if s.Send(ctx, HeadReply{}) != nil {
@@ -43,8 +44,9 @@
 }
 
 // Anything may connect to an agent's port: a browser, a port scanner, an entry
-// of another version or deployment, or one with a fault. It is told why it is
-// not served and is closed, and streams of other entries go on.
+// of another version or deployment, or a faulty entry. It gets the reason why
+// it is rejected, its connection is closed, and streams of other entries are
+// not affected.
 func TestInvalidPeersDoNotAffectOthers(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -67,7 +69,7 @@
 	for _, v := range []struct {
 		name  string
 		bytes []byte
-		want  string // in what the peer is told
+		want  string // part of the reason that the peer gets
 	}{
 		{"browser", []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"), wrongProtocolText},
 		{"random bytes", random, wrongProtocolText},
@@ -78,18 +80,18 @@
 		{"oversize frame", after(0x7f, 0, 0, 0, byte(kindOpen)), ""},
 		{"random frames", after(random...), ""},
 		{"no msgpack", after(0, 0, 0, 3, byte(kindOpen), 0xc1, 0xc1), ""},
-		{"an agent's frame", after(frameOf(t, kindEnd, endMessage(1, "a", 0))...), ""},
-		{"a stream id twice", after(append(bytes.Clone(open), open...)...), ""},
-		{"more body than said", after(append(bytes.Clone(open), frameOf(t, kindBody, &beechwire.Body{Stream: 4, Data: []byte("abc")})...)...), ""},
+		{"frame type of an agent", after(frameOf(t, kindEnd, endMessage(1, "a", 0))...), ""},
+		{"stream id used twice", after(append(bytes.Clone(open), open...)...), ""},
+		{"more body than announced", after(append(bytes.Clone(open), frameOf(t, kindBody, &beechwire.Body{Stream: 4, Data: []byte("abc")})...)...), ""},
 		{"second hello", after(frameOf(t, kindHello, &good)...), ""},
 	} {
 		conn, err := net.Dial("tcp", p.address.String())
 		is.NoErr(err)
 		_, err = conn.Write(v.bytes)
 		is.NoErr(err)
-		told, err := io.ReadAll(closeWriteIf(t, conn, v.want != ""))
-		if !strings.Contains(string(told), v.want) {
-			t.Errorf("%s: told %q (%v)", v.name, told, err)
+		answer, err := io.ReadAll(closeWriteIf(t, conn, v.want != ""))
+		if !strings.Contains(string(answer), v.want) {
+			t.Errorf("%s: got %q (%v)", v.name, answer, err)
 		}
 		conn.Close()
 	}
@@ -97,7 +99,7 @@
 	got, _, err := collect(context.Background(), running)
 	is.NoErr(err)
 	is.Equal(string(got), "body")
-	waitFor(t, "all are counted", func() bool {
+	waitFor(t, "all peers are counted", func() bool {
 		k := p.server.Counters()
 		return k.Rejected >= 6 && k.Malformed >= 7
 	})
@@ -106,8 +108,8 @@
 	is.Equal(k.Malformed, uint64(7))
 }
 
-// half ends this side's direction, if so asked, so that a refusing peer is
-// done reading at once.
+// closeWriteIf closes this side's direction if yes is true, so that a peer that
+// rejects the connection stops reading at once.
 func closeWriteIf(t *testing.T, conn net.Conn, yes bool) net.Conn {
 	if yes {
 		is.New(t).NoErr(conn.(closeWriter).CloseWrite())
@@ -115,8 +117,8 @@
 	return conn
 }
 
-// One member's phone reads nothing while the answer grows. Its stream waits at
-// its credit, and another's on the same connection comes through whole.
+// A stream whose reader is slow must block only at its own credit. Other
+// streams on the same connection must still deliver their complete answers.
 func TestSlowReaderDoesNotBlockOtherStreams(t *testing.T) {
 	is := is.New(t)
 	var sent atomic.Int64
@@ -144,14 +146,14 @@
 		_, whole := last.(EndReply)
 		is.True(whole)
 	}
-	is.Equal(sent.Load(), int64(8)) // 8 pieces of 1,000 and overhead pass 8 KiB
+	is.Equal(sent.Load(), int64(8)) // 8 chunks of 1,000 bytes and their overhead exceed 8 KiB
 	got, _, err := collect(context.Background(), slow)
 	is.NoErr(err)
 	is.Equal(len(got), 1_000_000)
 }
 
-// A lease file of some megabytes is on its way to an agent when a grower asks
-// a short question. The question's request goes out after at most one batch.
+// While a body of several megabytes is being sent to an agent, a small request
+// must be sent after at most one batch.
 func TestLargeBodyDoesNotDelaySmallMessages(t *testing.T) {
 	is := is.New(t)
 	o := newOutbox(1<<20, &counters{})
@@ -168,7 +170,7 @@
 	is.NoErr(err)
 	is.Equal(string(m.Data), "short")
 	count := 0
-	for _, body := range bodies[2:] { // in turn: the second body is not behind the first's megabytes
+	for _, body := range bodies[2:] { // in turn: the second body does not wait for the megabytes of the first
 		m = beechwire.Body{}
 		_, err := m.UnmarshalMsg(body)
 		is.NoErr(err)
@@ -179,9 +181,9 @@
 	is.True(count > 0)
 }
 
-// A caller gives up, goes away for a moment, or its entry's link is cut. The
-// agent must tell these apart: it stops the engine at once for the first, and
-// lets the generation wait for the caller's return in the others.
+// A caller may give up, may detach to return later, or the link of its entry
+// may be cut. The agent must distinguish these: in the first case it stops the
+// engine at once, in the others the generation waits for the caller to return.
 func TestDetachedReportsWhyStreamEnded(t *testing.T) {
 	is := is.New(t)
 	detached := make(chan bool)
@@ -206,9 +208,9 @@
 	is.Equal(<-detached, true)
 }
 
-// The agent's writer notices that a link is lost before its reader does. A handler whose
-// send fails at that moment must not take the caller for gone for good: the answer that
-// the caller comes back for would be thrown away.
+// The agent's writer may detect a lost link before its reader does. A handler
+// whose send fails at that moment must see the stream as detached. Otherwise
+// the agent discards an answer that the caller will return for.
 func TestFailedSendLeavesStreamDetached(t *testing.T) {
 	is := is.New(t)
 	type end struct {
@@ -217,7 +219,7 @@
 	}
 	ends := make(chan end, 1)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
-		s.(*serverStream).endpoint.connection.out.fail(io.EOF) // as the writer does first
+		s.(*serverStream).endpoint.connection.out.fail(io.EOF) // as the writer does when it detects the loss first
 		err := s.Send(ctx, DataReply{beechwire.Data{Sequence: 1, Data: []byte("x")}})
 		ends <- end{err, s.Detached()}
 	}})
@@ -228,9 +230,10 @@
 	is.True(e.detached)
 }
 
-// A link is lost while a booking runs at an agent that leaves, and the booking is
-// joined again there. That the agent takes no more streams does not say that the
-// booking was not run; taken so, it would be run again elsewhere.
+// A link is lost while a request that may not be repeated runs at a draining
+// agent, and the entry reattaches to it there. The agent admits no more
+// streams, but must not report the request as not run: it would be run again
+// elsewhere.
 func TestReattachToDrainingAgent(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -257,9 +260,9 @@
 	is.NoErr(<-drained)
 }
 
-// An agent is stopped for a new version while callers read. Every answer comes
-// whole, new requests are refused as not run, and so are those that crossed
-// the agent's last word on the wire.
+// An agent drains while callers read answers. Every answer must be complete.
+// New requests must be refused as not run, also those that are in transit when
+// the agent sends its Bye.
 func TestDrainCompletesOpenStreams(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
@@ -285,7 +288,7 @@
 	var asked, notRun atomic.Int64
 	stop := make(chan struct{})
 	var asking sync.WaitGroup
-	asking.Go(func() { // requests go on through the agent's last moment
+	asking.Go(func() { // requests are sent until the agent has stopped
 		for {
 			select {
 			case <-stop:
@@ -320,8 +323,8 @@
 	is.True(asked.Load() > 0)
 }
 
-// An entry hangs while an agent is to stop. The agent's shutdown ends with its
-// context all the same, and says so.
+// An entry that hangs must not delay an agent's shutdown beyond the context of
+// Drain, and Drain must return the error of the context.
 func TestDrainReturnsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, _ ServerStream, _ beechwire.Request, _ []byte) { <-ctx.Done() }})
@@ -335,8 +338,8 @@
 	is.True(errors.As(err, &lost))
 }
 
-// A handler panics or returns without a word. The caller is not left to wait
-// for its deadline, and is not told that nothing ran.
+// If a handler panics or returns without a final reply, the caller must not
+// wait until its deadline, and must not be told that the request was not run.
 func TestEveryStreamGetsAFinalReply(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(_ context.Context, _ ServerStream, r beechwire.Request, _ []byte) {
@@ -354,7 +357,8 @@
 	is.Equal(p.server.Counters().Panics, uint64(1))
 }
 
-// Limits refuse a request as not run and leave the connection up.
+// Requests over a limit must be refused as not run, and the connection must
+// stay up.
 func TestLimits(t *testing.T) {
 	is := is.New(t)
 	block := make(chan struct{})
@@ -384,7 +388,7 @@
 	is.Equal(m.Reason, beechwire.ReasonBusy)
 	is.Equal(m.Stream, uint64(4))
 	f.send(kindCancel, &beechwire.Cancel{Stream: 2})
-	f.send(kindBody, &beechwire.Body{Stream: 2, Data: []byte("late")}) // crossed the cancel
+	f.send(kindBody, &beechwire.Body{Stream: 2, Data: []byte("late")}) // was in transit when the cancel was sent
 	open(5, 0)
 	f.send(kindCancel, &beechwire.Cancel{Stream: 3})
 	open(6, 0)
@@ -396,13 +400,13 @@
 		_, _, err := collect(context.Background(), s)
 		is.NoErr(err)
 	}
-	// Neither bodies that were never finished nor a peer that does not close
-	// hold up the end.
+	// Neither incomplete bodies nor a peer that does not close its connection
+	// may block Drain.
 	is.NoErr(p.server.Drain(context.Background()))
 }
 
-// Many callers at once over connections that hand over a few bytes at a time:
-// each gets exactly its own answer. The seed is fixed.
+// With many concurrent callers on connections that relay at most 700 bytes at a
+// time, each caller must get exactly its own answer. The seed is fixed.
 func TestConcurrentStreamsAreNotMixed(t *testing.T) {
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, body []byte) {
@@ -445,8 +449,8 @@
 	is.Equal(k.Late+k.Doubled+k.Crossed+k.Gaps+k.Lost, uint64(0))
 }
 
-// Links are made and lost all day. What stays behind of each would fill a
-// host's memory within weeks.
+// Links are opened and lost all the time. Goroutines that leak with each would
+// exhaust a host's memory within weeks.
 func TestNoGoroutinesLeak(t *testing.T) {
 	is := is.New(t)
 	before := runtime.NumGoroutine()
@@ -475,8 +479,8 @@
 	waitFor(t, "the goroutines have ended", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// Without certificates on both sides, whoever reaches the port could read
-// members' histories.
+// Without certificates on both sides, anyone who can reach the port could read
+// the members' conversation histories.
 func TestMutualTLS(t *testing.T) {
 	is := is.New(t)
 	pool, certificate := selfSignedAuthority(t)
@@ -510,7 +514,7 @@
 	}
 }
 
-// authority makes a certificate for 127.0.0.1 that signs itself.
+// selfSignedAuthority creates a self-signed certificate for 127.0.0.1.
 func selfSignedAuthority(t *testing.T) (*x509.CertPool, tls.Certificate) {
 	t.Helper()
 	is := is.New(t)
@@ -535,9 +539,10 @@
 	return pool, tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// An entry's process hangs with hundreds of answers on their way, and its
-// socket takes no more. The agent holds a bounded amount for it, whatever
-// credit its streams have, until the entry is taken for dead.
+// An entry's process hangs while hundreds of answers are being sent to it,
+// until its socket accepts no more. The agent must hold a bounded number of
+// bytes for it, whatever credit its streams have, until it considers the entry
+// dead.
 func TestMemoryForStalledReaderIsBounded(t *testing.T) {
 	is := is.New(t)
 	const streams, size = 200, 16 << 10
@@ -570,7 +575,7 @@
 		time.Sleep(50 * time.Millisecond)
 		return before > 0 && last == before
 	})
-	// Each stream may have passed the check with one more piece.
+	// Each stream may have passed the check with one more chunk.
 	is.True(c.out.queuedBytes() <= maxQueuedBytes+streams*(size+replyOverhead))
 	f.conn.Close()
 	waitFor(t, "all have ended", func() bool { return c.endpoint.streamCount() == 0 })
--- a/internal/link/beechlink/serverendpoint.go
+++ b/internal/link/beechlink/serverendpoint.go
@@ -10,15 +10,15 @@
 )
 
 type (
-	// serverEnd is the agent's part of a connection: its streams.
+	// serverEndpoint is the agent's side of a connection: its streams.
 	serverEndpoint struct {
 		server     *Server
 		connection *connection
 
 		mu               sync.Mutex
 		openStreams      map[uint64]*serverStream
-		lastID           uint64 // highest stream seen
-		pendingBodyBytes int    // bytes of bodies not complete
+		lastID           uint64 // highest stream id seen
+		pendingBodyBytes int    // announced bytes of bodies that are not complete
 	}
 )
 
@@ -69,7 +69,7 @@
 		if _, err := m.UnmarshalMsg(body); err != nil {
 			return malformed(err)
 		}
-		// A stream that is over needs no credit: the frames passed each other.
+		// The stream may have ended while the credit was in transit.
 		if s := e.find(m.Stream); s != nil && m.Bytes > 0 {
 			s.addCredit(m.Bytes)
 		}
@@ -82,15 +82,15 @@
 		e.cancel(&m)
 		return nil
 	default:
-		return &FrameError{Problem: fmt.Sprintf("type %d is not for an agent", k)}
+		return &FrameError{Problem: fmt.Sprintf("frame type %d is not valid from an entry", k)}
 	}
 }
 
-// add makes a stream. Its id must be a new one: an id used twice would let
-// replies of one request reach another.
+// newStream creates a stream. Its id must be higher than all before: if an id
+// were used twice, replies of one request could reach another.
 func (e *serverEndpoint) newStream(id uint64, credit int, requestID string, attempt int) (*serverStream, error) {
 	if id <= e.lastID {
-		return nil, &FrameError{Problem: fmt.Sprintf("stream %d is not new", id)}
+		return nil, &FrameError{Problem: fmt.Sprintf("stream id %d is not higher than all before", id)}
 	}
 	e.lastID = id
 	ctx, cancel := context.WithCancel(e.connection.context)
@@ -110,7 +110,8 @@
 	return s, nil
 }
 
-// admit puts a stream in the table, or says why not.
+// admit adds s to the open streams, or returns the reason and message of its
+// refusal.
 func (e *serverEndpoint) admit(s *serverStream, bodyBytes int) (reason, message string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,9 +168,10 @@
 	return nil
 }
 
-// refuse closes a stream that was not taken. It cannot be sent after Bye,
-// which says the same; to end the connection for that would reset it, and the
-// entry could lose the Bye and with it the proof that nothing was run.
+// refuseStream ends a stream that was not admitted. Errors of send are ignored:
+// after a Bye nothing can be sent, and the Bye already tells the entry the
+// same. Ending the connection for it would cause a reset, and the entry could
+// lose the Bye and with it the proof that nothing was run.
 func (e *serverEndpoint) refuseStream(s *serverStream, reattach bool, reason, message string) {
 	s.cancel()
 	e.connection.counters.refused.Add(1)
@@ -181,8 +183,9 @@
 	}
 }
 
-// notTaken is the last reply of a stream that an agent does not take. Refused says
-// that the request was not run, which is not known of one that was to be joined.
+// notAdmittedReply returns the final reply of a stream that an agent does not
+// admit. Refused states that the request was not run. That is not known for a
+// Reattach, which gets Failed instead.
 func notAdmittedReply(stream uint64, requestID string, attempt int, reattach bool, reason, message string) Reply {
 	if reattach {
 		return FailedReply{Failed: beechwire.Failed{
@@ -197,10 +200,10 @@
 func (e *serverEndpoint) addBody(m *beechwire.Body) error {
 	s := e.find(m.Stream)
 	if s == nil {
-		return nil // refused or cancelled while the body was on its way
+		return nil // refused or cancelled while the body was in transit
 	}
 	if s.request == nil || len(s.body)+len(m.Data) > s.request.BodyBytes {
-		return &FrameError{Problem: fmt.Sprintf("stream %d has more body than it said", m.Stream)}
+		return &FrameError{Problem: fmt.Sprintf("body of stream %d is longer than announced", m.Stream)}
 	}
 	s.body = append(s.body, m.Data...)
 	if len(s.body) < s.request.BodyBytes {
@@ -211,7 +214,8 @@
 	return nil
 }
 
-// release takes a body that is complete or given up out of what is pending.
+// releaseBody subtracts a body that is complete or abandoned from the pending
+// bytes.
 func (e *serverEndpoint) releaseBody(s *serverStream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -222,7 +226,7 @@
 	e.runHandler(s, func() { e.server.handler.Open(s.context, s, s.request, s.body) })
 }
 
-// serve runs a handler in its goroutine.
+// runHandler runs a handler in a goroutine of its own.
 func (e *serverEndpoint) runHandler(s *serverStream, handle func()) {
 	go func() {
 		defer e.server.endStream()
@@ -231,9 +235,9 @@
 	}()
 }
 
-// guard makes sure that every stream gets a last reply. A handler that panics
-// or forgets it would leave a caller waiting until its deadline; what ran is
-// then unknown.
+// runGuarded ensures that every stream gets a final reply. Without one, a
+// handler that panics or returns early would leave the caller waiting until its
+// deadline. Whether the request ran is then reported as unknown.
 func (e *serverEndpoint) runGuarded(s *serverStream, handle func()) {
 	message := "handler gave no last reply"
 	defer func() {
@@ -241,7 +245,8 @@
 			e.connection.counters.panics.Add(1)
 			message = fmt.Sprintf("handler panicked: %v", p)
 		}
-		// Over is the usual case: the handler has sent its last reply.
+		// Send usually returns ErrStreamClosed: the handler has sent the final
+		// reply.
 		_ = s.Send(s.context, FailedReply{Failed: beechwire.Failed{
 			Reason:  beechwire.ReasonServer,
 			Message: message,
@@ -261,7 +266,8 @@
 	e.releaseUnstarted(s)
 }
 
-// abandon accounts for a stream whose handler was never started.
+// releaseUnstarted releases what a stream holds whose handler was never
+// started, because its body did not arrive completely.
 func (e *serverEndpoint) releaseUnstarted(s *serverStream) {
 	if s.request == nil || len(s.body) >= s.request.BodyBytes {
 		return
@@ -283,5 +289,5 @@
 
 func (e *serverEndpoint) receiveBye(c *connection, _ string) { c.out.finish() }
 
-// rest does nothing: which connections are kept is the entry's choice.
+// checkIdle does nothing: the entry decides which connections to keep.
 func (e *serverEndpoint) checkIdle(*connection, time.Time) {}
--- a/internal/link/beechlink/serverstream.go
+++ b/internal/link/beechlink/serverstream.go
@@ -15,36 +15,37 @@
 		id        uint64
 		requestID string
 		attempt   int
-		tag       uint32 // of both; 0 until they are known
+		tag       uint32 // hash of requestID and attempt; 0 until both are known
 		context   context.Context
 		cancel    context.CancelFunc
 
-		request *beechwire.Request // of an Open
+		request *beechwire.Request // set for an Open, nil for a Reattach
 		body    []byte             // received so far
 
 		mu                  sync.Mutex
 		credit              int
-		creditAdded         chan struct{} // room for one; told when credit grew
+		creditAdded         chan struct{} // buffered; signalled when credit was added
 		closed              bool
-		generationCancelled bool // the entry cancelled it and wants no more of its generation
+		generationCancelled bool // the entry cancelled the stream and its generation
 	}
 )
 
 // Peer implements ServerStream.
 func (s *serverStream) Peer() Peer { return s.endpoint.connection.currentPeer() }
 
-// Detached implements ServerStream. Only the entry's own word ends a generation: a send
-// may fail before this side has noticed that the link is lost.
+// Detached implements ServerStream. Only a Cancel from the entry ends a
+// generation: a send may fail before this side has detected that the link is
+// lost.
 func (s *serverStream) Detached() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.generationCancelled
 }
 
-// Send implements ServerStream. Stream is filled in, as are RequestID and
-// Attempt where they are empty, and a Data's Tag where it is 0. A handler that
-// knows which request a Data is of should set the Tag itself: the entry then
-// drops what a fault put on another request's stream.
+// Send implements ServerStream. It sets Stream, and also RequestID and Attempt
+// if they are empty and Tag of a Data if it is 0. A handler that knows which
+// request a Data belongs to should set Tag itself: the entry then drops a Data
+// that a fault put on another request's stream.
 func (s *serverStream) Send(ctx context.Context, r Reply) error {
 	switch r := r.(type) {
 	case HeadReply:
@@ -78,12 +79,13 @@
 		s.fillIdentity(&m.RequestID, &m.Attempt)
 		return s.send(kindFailed, func(o *outbox) error { return o.send(kindFailed, &m) })
 	default:
-		return fmt.Errorf("reply of type %T cannot be sent", r)
+		return fmt.Errorf("unsupported reply type %T", r)
 	}
 }
 
-// name fills in what the handler left empty, and learns what only it knows on
-// a Reattach.
+// fillIdentity sets the request id and attempt that the handler left empty. On
+// a Reattach the handler may be the only one to know them; the tag is then
+// computed from its values.
 func (s *serverStream) fillIdentity(requestID *string, attempt *int) {
 	if *requestID == "" {
 		*requestID = s.requestID
@@ -96,7 +98,7 @@
 	}
 }
 
-// send queues a reply unless the stream is over; the last one makes it over.
+// send queues a reply unless the stream is closed. The final reply closes it.
 func (s *serverStream) send(k kind, queue func(*outbox) error) error {
 	last := k == kindEnd || k == kindRefused || k == kindFailed
 	s.mu.Lock()
@@ -116,9 +118,10 @@
 	return nil
 }
 
-// takeCredit waits until the entry has room. A message may be larger than
-// what is left, so that one larger than the whole credit is not held forever;
-// the debt is waited for by the next.
+// acquireCredit waits until the stream has credit left. A message may cost more
+// than what is left, so that one larger than the whole credit is not blocked
+// forever. The credit is then negative, and the next message waits until it is
+// positive again.
 func (s *serverStream) acquireCredit(ctx context.Context, cost int) error {
 	if err := s.endpoint.connection.out.waitRoom(ctx); err != nil {
 		return fmt.Errorf("send to %s: %w", s.endpoint.connection.peer.Address, err)
@@ -155,7 +158,7 @@
 	}
 }
 
-// stop ends the stream from the entry's side.
+// closeByPeer ends the stream after a Cancel or the loss of the connection.
 func (s *serverStream) closeByPeer(detached bool) {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/link/beechlink/sessions.go
+++ b/internal/link/beechlink/sessions.go
@@ -9,9 +9,10 @@
 )
 
 type (
-	// roster groups connections by the process at their other end and tells
-	// the owner of each process once, whatever its number of connections. One
-	// goroutine tells, so that an owner may call back into the link.
+	// sessionTable groups connections by the process at their other end, and
+	// reports each process to Events once, whatever the number of its
+	// connections. Events are delivered by a goroutine of its own, so that
+	// their methods may call back into the link.
 	sessionTable struct {
 		mu      sync.Mutex
 		byKey   map[sessionKey]*session
@@ -22,7 +23,8 @@
 		events  Events
 	}
 
-	// sessionKey names a process; address is zero for one that gave none.
+	// sessionKey identifies a process. Address is zero if the process gave
+	// none.
 	sessionKey struct {
 		address     netip.AddrPort
 		incarnation uint64
@@ -55,7 +57,7 @@
 func (heartbeatEvent) event() {}
 
 func newSessionTable(events Events) *sessionTable {
-	r := &sessionTable{
+	t := &sessionTable{
 		byKey:   map[sessionKey]*session{},
 		wake:    make(chan struct{}, 1),
 		stop:    make(chan struct{}),
@@ -63,67 +65,67 @@
 		events:  events,
 	}
 	go func() {
-		defer close(r.stopped)
+		defer close(t.stopped)
 		for {
 			select {
-			case <-r.wake:
-				r.deliver()
-			case <-r.stop:
-				r.deliver()
+			case <-t.wake:
+				t.deliver()
+			case <-t.stop:
+				t.deliver()
 				return
 			}
 		}
 	}()
-	return r
+	return t
 }
 
-// close returns once the owner was told of everything.
-func (r *sessionTable) close() {
-	close(r.stop)
-	<-r.stopped
+// close returns once all events were delivered.
+func (t *sessionTable) close() {
+	close(t.stop)
+	<-t.stopped
 }
 
-func (r *sessionTable) deliver() {
-	r.mu.Lock()
-	events := r.queue
-	r.queue = nil
-	r.mu.Unlock()
+func (t *sessionTable) deliver() {
+	t.mu.Lock()
+	events := t.queue
+	t.queue = nil
+	t.mu.Unlock()
 	for _, e := range events {
 		switch e := e.(type) {
 		case upEvent:
-			r.events.Up(e.peer)
+			t.events.Up(e.peer)
 		case downEvent:
-			r.events.Down(e.peer, e.err)
+			t.events.Down(e.peer, e.err)
 		case heartbeatEvent:
-			r.events.Heartbeat(e.peer, e.heartbeat)
+			t.events.Heartbeat(e.peer, e.heartbeat)
 		}
 	}
 }
 
-func (r *sessionTable) enqueue(e event) {
-	r.queue = append(r.queue, e)
+func (t *sessionTable) enqueue(e event) {
+	t.queue = append(t.queue, e)
 	select {
-	case r.wake <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (r *sessionTable) add(c *connection) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.byKey[c.key]
+func (t *sessionTable) add(c *connection) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.byKey[c.key]
 	if s == nil {
 		s = &session{key: c.key, peer: c.peer}
-		r.byKey[c.key] = s
-		r.enqueue(upEvent{peer: c.peer})
+		t.byKey[c.key] = s
+		t.enqueue(upEvent{peer: c.peer})
 	}
 	s.connections = append(s.connections, c)
 }
 
-func (r *sessionTable) remove(c *connection, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.byKey[c.key]
+func (t *sessionTable) remove(c *connection, err error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.byKey[c.key]
 	if s == nil {
 		return
 	}
@@ -133,37 +135,38 @@
 	}
 	s.connections = slices.Delete(s.connections, i, i+1)
 	if len(s.connections) == 0 {
-		r.endLocked(s, err)
+		t.endLocked(s, err)
 	}
 }
 
-func (r *sessionTable) endLocked(s *session, err error) {
-	delete(r.byKey, s.key)
-	r.enqueue(downEvent{peer: s.peer, err: err})
+func (t *sessionTable) endLocked(s *session, err error) {
+	delete(t.byKey, s.key)
+	t.enqueue(downEvent{peer: s.peer, err: err})
 }
 
-// retire ends all sessions of earlier incarnations at c's address and returns
-// their connections. A process that was replaced could otherwise keep its old
-// connections half open, and be taken for alive, until its deadline.
-func (r *sessionTable) removeOtherIncarnations(c *connection, err error) []*connection {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// removeOtherIncarnations ends all sessions of other incarnations at c's
+// address and returns their connections. The old connections of a replaced
+// process could otherwise stay half open, and the process be considered alive,
+// until its deadline.
+func (t *sessionTable) removeOtherIncarnations(c *connection, err error) []*connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var old []*connection
-	for key, s := range r.byKey {
+	for key, s := range t.byKey {
 		if key.address == c.key.address && key.incarnation != c.key.incarnation {
 			old = append(old, s.connections...)
-			r.endLocked(s, err)
+			t.endLocked(s, err)
 		}
 	}
 	return old
 }
 
-// siblings are the other connections to c's process.
-func (r *sessionTable) otherConnections(c *connection) []*connection {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// otherConnections returns the other connections to c's process.
+func (t *sessionTable) otherConnections(c *connection) []*connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var others []*connection
-	if s := r.byKey[c.key]; s != nil {
+	if s := t.byKey[c.key]; s != nil {
 		for _, other := range s.connections {
 			if other != c {
 				others = append(others, other)
@@ -173,32 +176,32 @@
 	return others
 }
 
-func (r *sessionTable) enqueueHeartbeat(c *connection, h beechwire.Heartbeat) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	s := r.byKey[c.key]
+func (t *sessionTable) enqueueHeartbeat(c *connection, h beechwire.Heartbeat) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.byKey[c.key]
 	if s == nil {
 		return
 	}
 	s.peer.Generation = max(s.peer.Generation, h.Generation)
-	r.enqueue(heartbeatEvent{peer: s.peer, heartbeat: h})
+	t.enqueue(heartbeatEvent{peer: s.peer, heartbeat: h})
 }
 
-func (r *sessionTable) peers() []Peer {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	all := make([]Peer, 0, len(r.byKey))
-	for _, s := range r.byKey {
+func (t *sessionTable) peers() []Peer {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := make([]Peer, 0, len(t.byKey))
+	for _, s := range t.byKey {
 		all = append(all, s.peer)
 	}
 	return all
 }
 
-// connection returns one of a peer's, nil if there is none.
-func (r *sessionTable) connectionTo(address netip.AddrPort) *connection {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, s := range r.byKey {
+// connectionTo returns a connection to the peer, or nil if there is none.
+func (t *sessionTable) connectionTo(address netip.AddrPort) *connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range t.byKey {
 		if s.peer.Address == address && len(s.connections) > 0 {
 			return s.connections[0]
 		}
@@ -206,11 +209,11 @@
 	return nil
 }
 
-func (r *sessionTable) allConnections() []*connection {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (t *sessionTable) allConnections() []*connection {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var all []*connection
-	for _, s := range r.byKey {
+	for _, s := range t.byKey {
 		all = append(all, s.connections...)
 	}
 	return all
--- a/internal/link/beechlink/settings.go
+++ b/internal/link/beechlink/settings.go
@@ -6,47 +6,50 @@
 )
 
 const (
-	// pieceBytes is the most of a body or payload that goes out in one frame,
-	// so that a small stream waits for at most one piece of each large one.
+	// chunkBytes is the most of a body or payload that is sent in one frame, so
+	// that a small stream waits for at most one chunk of each large one.
 	chunkBytes = 16 << 10
 
-	// replyOverhead is charged against a stream's credit for each Data beside
-	// its bytes. Without it a server that answers in pieces of one byte would
-	// make the entry hold a hundred times the credit in bookkeeping.
+	// replyOverhead is charged against a stream's credit for each Data in
+	// addition to its bytes. Without it, a server that answers in chunks of one
+	// byte would make the entry use a hundred times the credit in memory for
+	// bookkeeping.
 	replyOverhead = 64
 
-	// queueLimit is how many bytes may wait for a connection before senders
-	// of Data are held.
+	// maxQueuedBytes is the number of bytes that may be queued for a connection
+	// before senders of Data are blocked.
 	maxQueuedBytes = 1 << 20
 
-	// helloLimit is the longest frame taken from a peer that has not shown
-	// its key.
+	// maxHelloBytes is the longest frame accepted from a peer that has not
+	// authenticated yet.
 	maxHelloBytes = 4 << 10
 
-	// callLimit is the number of the peer's calls answered at once on a
-	// connection.
+	// maxConcurrentCalls is the number of the peer's calls that are handled at
+	// the same time on a connection.
 	maxConcurrentCalls = 64
 
-	// pendingLimit is how many bytes of unfinished bodies and payloads a
-	// connection holds, in multiples of MaxBody.
+	// pendingBodyFactor limits the bytes of incomplete bodies, and of
+	// incomplete call payloads, that a connection holds, each in multiples of
+	// MaxBody.
 	pendingBodyFactor = 4
 )
 
-// leavingMessage is what streams are told that a draining agent does not take.
+// drainingMessage is the message of streams that a draining agent does not
+// admit.
 const drainingMessage = "agent is leaving"
 
 const (
-	// spareStreams is how many streams each connection of a link carries
-	// before a further one is opened. An idle entry thus holds one to each of
-	// hundreds of agents.
+	// extraConnectionThreshold is the number of streams that each connection of
+	// a link carries before an extra connection is opened. An entry with little
+	// work thus holds one connection to each of hundreds of agents.
 	extraConnectionThreshold = 64
 
-	// spareTime is after how long without work a further connection is
-	// closed.
+	// extraIdleTimeout is the time without work after which an extra connection
+	// is closed.
 	extraIdleTimeout = 30 * time.Second
 )
 
-// DefaultSettings are those of both deployments.
+// DefaultSettings returns the settings that all deployments use.
 func DefaultSettings() Settings {
 	return Settings{
 		Connections:               2,
@@ -61,7 +64,8 @@
 	}
 }
 
-// filled returns s with the default in place of each zero but the key.
+// withDefaults returns s with defaults in place of fields that are zero or
+// negative. Key has no default.
 func (s Settings) withDefaults() Settings {
 	d := DefaultSettings()
 	s.Connections = orDefault(s.Connections, d.Connections)
@@ -83,7 +87,7 @@
 	return value
 }
 
-// Validate names the first field whose value cannot work.
+// Validate returns an error that names the first field with an unusable value.
 func (s Settings) Validate() error {
 	f := s.withDefaults()
 	if f.MaxFrame < 2*chunkBytes {
--- a/internal/link/beechlink/types.go
+++ b/internal/link/beechlink/types.go
@@ -9,27 +9,28 @@
 )
 
 type (
-	// Reply is what an agent sends on a stream: Head, Data, End, Refused or
-	// Failed of beechwire, in that sealed set. End, Refused and Failed are
-	// last.
+	// Reply is a message that an agent sends on a stream. The set of types is
+	// closed: HeadReply, DataReply, EndReply, RefusedReply and FailedReply.
+	// EndReply, RefusedReply and FailedReply are final: nothing follows them on
+	// the stream.
 	Reply interface{ reply() }
 
-	// HeadReply tells that the backend server has begun to answer.
+	// HeadReply reports that the backend server has started to answer.
 	HeadReply struct{ beechwire.Head }
 
-	// DataReply is a piece of the answer.
+	// DataReply is a chunk of the answer.
 	DataReply struct{ beechwire.Data }
 
-	// EndReply closes a whole answer.
+	// EndReply ends a complete answer.
 	EndReply struct{ beechwire.End }
 
-	// RefusedReply closes a stream whose request was not run.
+	// RefusedReply ends a stream whose request was not run.
 	RefusedReply struct{ beechwire.Refused }
 
-	// FailedReply closes a stream whose request was begun or may have been.
+	// FailedReply ends a stream whose request was started or may have been.
 	FailedReply struct{ beechwire.Failed }
 
-	// Peer is what is known of the process at the other end.
+	// Peer describes the process at the other end of a link.
 	Peer struct {
 		Address     netip.AddrPort
 		Role        string
@@ -38,69 +39,75 @@
 		Generation  uint64
 	}
 
-	// Events are told to a link's owner, in order for one peer; they must not
-	// block.
+	// Events receives the events of a Dialer or Server, in order for each peer.
+	// The methods must not block.
 	Events interface {
-		// Up follows a handshake, Down a lost link (err says why).
+		// Up is called after the handshake of the first connection to a peer.
+		// Down is called when the last connection to it has ended or another
+		// incarnation has replaced it; err is the cause.
 		Up(p Peer)
 		Down(p Peer, err error)
 		Heartbeat(p Peer, h beechwire.Heartbeat)
 	}
 
-	// CallHandler answers the other side's calls; method is a Method constant.
+	// CallHandler answers the peer's calls. Method is one of beechwire's Method
+	// constants.
 	CallHandler interface {
 		Answer(ctx context.Context, p Peer, method string, payload []byte) ([]byte, error)
 	}
 
-	// HeartbeatSource gives the heartbeat to send.
+	// HeartbeatSource provides the heartbeat to send to peers.
 	HeartbeatSource interface {
 		CurrentHeartbeat() beechwire.Heartbeat
 	}
 
-	// StreamHandler serves streams at the agent, each in its goroutine.
+	// StreamHandler serves streams at the agent. Each call runs in a goroutine
+	// of its own.
 	StreamHandler interface {
-		// Open's r is the handler's, but for BodyBytes, which the link still
-		// reads. It is a pointer since a copy would stay on the stack of every
-		// open stream.
+		// Open may change r except for BodyBytes, which the link still reads. R
+		// is a pointer because a copy would stay on the stack of every open
+		// stream.
 		Open(ctx context.Context, s ServerStream, r *beechwire.Request, body []byte)
 		Reattach(ctx context.Context, s ServerStream, r beechwire.Reattach)
 	}
 
-	// ServerStream is the agent's side of a stream. Send blocks while the
-	// entry has given no credit (only Data needs it), and fails once the
-	// stream is over. The context given to the handler ends when the entry
-	// cancels or the link is lost; Detached then tells whether the generation
-	// should go on for its grace time: true for a lost link and for a Cancel
-	// that says so.
+	// ServerStream is the agent's side of a stream. Send of a DataReply blocks
+	// while the stream has no credit left. Send fails once the stream is
+	// closed. The context given to the handler ends when the entry cancels the
+	// stream or the link is lost. Detached then reports whether the generation
+	// should continue for its grace time: true for a lost link and for a Cancel
+	// with Detached set.
 	ServerStream interface {
 		Peer() Peer
 		Send(ctx context.Context, r Reply) error
 		Detached() bool
 	}
 
-	// Stream is the entry's side of a stream. Next gives replies in sequence;
-	// late, doubled or crossed ones are dropped and counted. An error means
-	// that the link was lost before the last reply.
+	// Stream is the entry's side of a stream. Next returns the replies in
+	// sequence. Replies that are late, duplicated or of another request are
+	// dropped and counted. An error before the final reply means that the link
+	// was lost, that a reply is missing, that the agent exceeded its credit, or
+	// that ctx ended.
 	Stream interface {
-		// Peer is the agent as it was when the stream was opened.
+		// Peer returns the agent as it was known when the stream was opened.
 		Peer() Peer
 		Next(ctx context.Context) (Reply, error)
-		// Close cancels a stream that has not ended. Detached leaves the
-		// generation running for its grace time.
+		// Close cancels a stream that has not ended. If detached is true, the
+		// agent lets the generation run for its grace time.
 		Close(detached bool)
 	}
 
-	// Settings of links. Key is shared by all processes of a deployment where
-	// no TLS authenticates them.
+	// Settings configures links. Key is a secret shared by all processes of a
+	// deployment; it authenticates them where TLS does not.
 	Settings struct {
-		Connections               int           // per peer
-		Credit                    int           // bytes of Data ahead of the reader, per stream
+		Connections               int           // at most, per peer
+		Credit                    int           // bytes of Data that may be sent ahead of the reader, per stream
 		MaxFrame                  int           // bytes
 		MaxBody                   int           // bytes
-		Heartbeat                 time.Duration // between beats while work is outstanding
-		Deadline                  time.Duration // silence after which a peer is lost while work is outstanding
-		IdleIntervalPerConnection time.Duration // idle connections beat once in this time x their number
-		DialTimeout               time.Duration // for dialing and the handshake each
+		Heartbeat                 time.Duration // interval of beats while work is outstanding
+		Deadline                  time.Duration // time without a frame after which a peer counts as lost while work is outstanding
+		IdleIntervalPerConnection time.Duration // the beat interval of an idle connection is this times the number of connections
+		DialTimeout               time.Duration // for dialing and for the handshake, each
 		MaxStreams                int           // per connection
 		Key                       string
 	}
