--- a/internal/link/beechlink/frame_test.go
+++ b/internal/link/beechlink/frame_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// readAll returns the frames of b, read by one byte at a time or as a whole.
+// readAll returns the frames of b, read one byte at a time or all at once.
 func readAll(b []byte, limit int, byBytes bool) (kinds []kind, bodies [][]byte, err error) {
 	var source io.Reader = bytes.NewReader(b)
 	if byBytes {
@@ -29,9 +29,9 @@
 	}
 }
 
-// A weak network hands a frame over in pieces, or several at once. A reader
-// that took a piece for a frame would give callers bytes of other answers.
-func TestFramesAreTheSameInPieces(t *testing.T) {
+// The network may deliver a frame in parts, or several frames at once. A reader
+// that took a part for a frame would give callers bytes of other answers.
+func TestFramesReadInPieces(t *testing.T) {
 	is := is.New(t)
 	var b []byte
 	sizes := []int{0, 1, smallBuffer, largeBuffer, 3 * largeBuffer, 5}
@@ -65,7 +65,7 @@
 		_, bodies, err := readAll(append(bytes.Clone(good), b...), 1<<20, true)
 		var malformed *FrameError
 		is.True(errors.As(err, &malformed))
-		is.Equal(len(bodies), 1) // what came before it is not lost
+		is.Equal(len(bodies), 1) // the frame before it is not lost
 	}
 	for cut := 1; cut < len(good); cut++ {
 		_, _, err := readAll(good[:cut], 1<<20, false)
@@ -76,7 +76,8 @@
 	is.True(errors.As(err, &malformed))
 }
 
-// FuzzFrame feeds bytes to the frame reader and to both ends' decoders.
+// FuzzFrame passes bytes to the frame reader, and the frames to the decoders of
+// both endpoints.
 func FuzzFrame(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
@@ -96,25 +97,26 @@
 			if kinds[i] != pieceKinds[i] || !bytes.Equal(body, pieces[i]) {
 				t.Fatalf("frame %d differs", i)
 			}
-			total += headBytes + len(body)
+			total += headerBytes + len(body)
 		}
 		if total > len(b) || (err == io.EOF && total != len(b)) {
 			t.Fatalf("frames of %d bytes from %d", total, len(b))
 		}
-		feedEnds(kinds, whole)
+		feedEndpoints(kinds, whole)
 	})
 }
 
-// feedEnds has both ends take the frames, as far as they accept them.
-func feedEnds(kinds []kind, bodies [][]byte) {
-	s := Settings{MaxBody: 1 << 10, MaxFrame: 64 << 10}.filled()
-	client := newClientEnd()
-	server := newServerEnd(fuzzServer)
-	for _, e := range []end{client, server} {
-		c := newConnection(nil, Peer{}, sessionKey{}, s, &counters{}, fuzzServer.pacer, answerFunc(echoCall), fuzzServer.roster, e)
-		client.c, server.c = c, c
-		// A stream with id 1, for replies to find.
-		if _, err := client.add(&clientStream{requestID: "a", attempt: 1, next: 1}); e == end(client) && err != nil {
+// feedEndpoints passes the frames to both endpoints, each until the first frame
+// that it rejects.
+func feedEndpoints(kinds []kind, bodies [][]byte) {
+	s := Settings{MaxBody: 1 << 10, MaxFrame: 64 << 10}.withDefaults()
+	client := newClientEndpoint()
+	server := newServerEndpoint(fuzzServer)
+	for _, e := range []endpoint{client, server} {
+		c := newConnection(nil, Peer{}, sessionKey{}, s, &counters{}, fuzzServer.scheduler, answerFunc(echoCall), fuzzServer.sessions, e)
+		client.connection, server.connection = c, c
+		// Replies need a stream with id 1.
+		if _, err := client.add(&clientStream{requestID: "a", attempt: 1, nextSequence: 1}); e == endpoint(client) && err != nil {
 			panic(err)
 		}
 		for i, k := range kinds {
@@ -122,12 +124,12 @@
 				break
 			}
 		}
-		e.lost(c, io.EOF)
+		e.connectionLost(c, io.EOF)
 		c.cancel()
 	}
 }
 
-var fuzzServer = New(Settings{}, nil, handlerFuncs{
+var fuzzServer = NewServer(Settings{}, nil, handlerFuncs{
 	open:     echo,
 	reattach: func(context.Context, ServerStream, beechwire.Reattach) {},
 }, answerFunc(echoCall), &recorder{}, &recorder{}, nil, realClock)
--- a/internal/link/beechlink/outbox.go
+++ b/internal/link/beechlink/outbox.go
@@ -11,9 +11,9 @@
 )
 
 type (
-	// outbox holds what waits for one connection. Small messages go out in
-	// the order of send; of each large body or payload one piece goes out at
-	// a time, in turn, so that none blocks the small ones.
+	// outbox queues what is to be sent on one connection. Small messages are
+	// sent in the order of send. Large bodies and payloads are sent one chunk
+	// at a time, in turn, so that they do not block small messages.
 	outbox struct {
 		limit    int
 		counters *counters
@@ -21,31 +21,31 @@
 		done     chan struct{} // closed once the writer has ended
 
 		mu        sync.Mutex
-		waiting   []byte
+		queue     []byte
 		frames    uint64
 		transfers []*transfer
-		room      chan struct{} // closed when there is room again; nil while there is
+		room      chan struct{} // closed when there is room again; nil if nobody waits
 		finishing bool
 		err       error
 	}
 
-	// transfer is a body or payload that goes out in pieces.
+	// transfer is a body or payload that is sent in chunks.
 	transfer struct {
-		kind   kind
-		id     uint64 // stream or call
-		method string
-		rest   []byte
+		kind      kind
+		id        uint64 // stream or call
+		method    string
+		remaining []byte
 	}
 
 	closeWriter interface{ CloseWrite() error }
 )
 
 const (
-	writeBatch = 64 << 10
-	keptBuffer = 128 << 10
+	writeBatchBytes = 64 << 10
+	maxPooledBuffer = 128 << 10
 )
 
-var buffers = sync.Pool{New: func() any { return new([]byte) }}
+var bufferPool = sync.Pool{New: func() any { return new([]byte) }}
 
 func newOutbox(limit int, c *counters) *outbox {
 	return &outbox{
@@ -56,7 +56,6 @@
 	}
 }
 
-// send queues a message.
 func (o *outbox) send(k kind, m msgp.Marshaler) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -70,11 +69,11 @@
 	if o.finishing {
 		return ErrClosed
 	}
-	if o.waiting == nil {
-		o.waiting = (*buffers.Get().(*[]byte))[:0]
+	if o.queue == nil {
+		o.queue = (*bufferPool.Get().(*[]byte))[:0]
 	}
-	b, err := appendFrame(o.waiting, o.limit, k, m)
-	o.waiting = b
+	b, err := appendFrame(o.queue, o.limit, k, m)
+	o.queue = b
 	if err != nil {
 		return err
 	}
@@ -83,26 +82,26 @@
 	return nil
 }
 
-// sendWith queues a message and what follows it in pieces. A payload of one
-// piece goes out right behind its message.
-func (o *outbox) sendWith(k kind, m msgp.Marshaler, t *transfer) error {
+// sendWithTransfer queues a message and the transfer that belongs to it. A
+// transfer of a single chunk is queued directly after its message.
+func (o *outbox) sendWithTransfer(k kind, m msgp.Marshaler, t *transfer) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if err := o.sendLocked(k, m); err != nil {
 		return err
 	}
-	return o.startLocked(t)
+	return o.startTransferLocked(t)
 }
 
-func (o *outbox) start(t *transfer) error {
+func (o *outbox) startTransfer(t *transfer) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.startLocked(t)
+	return o.startTransferLocked(t)
 }
 
-func (o *outbox) startLocked(t *transfer) error {
-	if len(t.rest) <= pieceBytes {
-		return o.sendPiece(t)
+func (o *outbox) startTransferLocked(t *transfer) error {
+	if len(t.remaining) <= chunkBytes {
+		return o.sendChunk(t)
 	}
 	if o.err != nil {
 		return o.err
@@ -115,8 +114,8 @@
 	return nil
 }
 
-// stop forgets what is left of a stream's body.
-func (o *outbox) stop(k kind, id uint64) {
+// cancelTransfer drops what is left of a body or payload.
+func (o *outbox) cancelTransfer(k kind, id uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, t := range o.transfers {
@@ -133,18 +132,18 @@
 	o.transfers = nil
 }
 
-func (o *outbox) sendPiece(t *transfer) error {
-	count := min(len(t.rest), pieceBytes)
-	piece := t.rest[:count]
-	t.rest = t.rest[count:]
-	more := len(t.rest) > 0
+func (o *outbox) sendChunk(t *transfer) error {
+	count := min(len(t.remaining), chunkBytes)
+	chunk := t.remaining[:count]
+	t.remaining = t.remaining[count:]
+	more := len(t.remaining) > 0
 	switch t.kind {
 	case kindCall:
-		return o.sendLocked(kindCall, &beechwire.Call{Call: t.id, Method: t.method, Payload: piece, More: more})
+		return o.sendLocked(kindCall, &beechwire.Call{Call: t.id, Method: t.method, Payload: chunk, More: more})
 	case kindResult:
-		return o.sendLocked(kindResult, &beechwire.Result{Call: t.id, Payload: piece, More: more})
+		return o.sendLocked(kindResult, &beechwire.Result{Call: t.id, Payload: chunk, More: more})
 	default:
-		return o.sendLocked(kindBody, &beechwire.Body{Stream: t.id, Data: piece})
+		return o.sendLocked(kindBody, &beechwire.Body{Stream: t.id, Data: chunk})
 	}
 }
 
@@ -155,13 +154,13 @@
 	}
 }
 
-// waitRoom returns once fewer than queueLimit bytes wait. Without it an entry
-// that stops reading would make the agent hold every stream's credit in
-// bytes.
+// waitRoom returns once fewer than maxQueuedBytes bytes are queued. Without it,
+// an entry that stops reading would make the agent hold the whole credit of
+// every stream in memory.
 func (o *outbox) waitRoom(ctx context.Context) error {
 	for {
 		o.mu.Lock()
-		if o.err != nil || len(o.waiting) < queueLimit {
+		if o.err != nil || len(o.queue) < maxQueuedBytes {
 			err := o.err
 			o.mu.Unlock()
 			return err
@@ -179,13 +178,13 @@
 	}
 }
 
-func (o *outbox) queued() int {
+func (o *outbox) queuedBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.waiting)
+	return len(o.queue)
 }
 
-// finish makes the writer end after what is queued.
+// finish makes the writer end after it has sent what is queued.
 func (o *outbox) finish() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -201,32 +200,33 @@
 		o.err = err
 	}
 	o.transfers = nil
-	o.openRoom()
+	o.releaseSenders()
 	o.signal()
 }
 
-func (o *outbox) openRoom() {
+func (o *outbox) releaseSenders() {
 	if o.room != nil {
 		close(o.room)
 		o.room = nil
 	}
 }
 
-// take returns the next batch, or false once the writer is to end.
-func (o *outbox) take() ([]byte, bool) {
+// nextBatch waits for the next batch to write. It returns false if the writer
+// must end.
+func (o *outbox) nextBatch() ([]byte, bool) {
 	for {
 		o.mu.Lock()
-		o.takePieces()
-		if o.err != nil || (o.finishing && len(o.waiting) == 0 && len(o.transfers) == 0) {
+		o.fillBatch()
+		if o.err != nil || (o.finishing && len(o.queue) == 0 && len(o.transfers) == 0) {
 			o.mu.Unlock()
 			return nil, false
 		}
-		if len(o.waiting) > 0 {
-			batch := o.waiting
-			o.waiting = nil
+		if len(o.queue) > 0 {
+			batch := o.queue
+			o.queue = nil
 			o.counters.framesOut.Add(o.frames)
 			o.frames = 0
-			o.openRoom()
+			o.releaseSenders()
 			if len(o.transfers) > 0 {
 				o.signal()
 			}
@@ -238,33 +238,34 @@
 	}
 }
 
-// takePieces adds a piece of each transfer in turn until the batch is full.
-func (o *outbox) takePieces() {
+// fillBatch adds a chunk of each transfer in turn until the batch is full.
+func (o *outbox) fillBatch() {
 	finishing := o.finishing
 	o.finishing = false
-	for len(o.transfers) > 0 && len(o.waiting) < writeBatch {
+	for len(o.transfers) > 0 && len(o.queue) < writeBatchBytes {
 		t := o.transfers[0]
 		o.transfers = o.transfers[1:]
-		if o.sendPiece(t) == nil && len(t.rest) > 0 {
+		if o.sendChunk(t) == nil && len(t.remaining) > 0 {
 			o.transfers = append(o.transfers, t)
 		}
 	}
 	o.finishing = finishing
 }
 
-// write is the connection's one writer. It returns nil after finish.
-func (o *outbox) write(conn net.Conn) error {
+// writeLoop writes batches to conn until finish or fail. It is the only writer
+// of the connection. After finish it closes this side's direction.
+func (o *outbox) writeLoop(conn net.Conn) error {
 	defer close(o.done)
 	for {
-		batch, ok := o.take()
+		batch, ok := o.nextBatch()
 		if !ok {
 			break
 		}
 		n, err := conn.Write(batch)
 		o.counters.bytesOut.Add(uint64(n))
 		o.counters.writes.Add(1)
-		if cap(batch) <= keptBuffer {
-			buffers.Put(&batch)
+		if cap(batch) <= maxPooledBuffer {
+			bufferPool.Put(&batch)
 		}
 		if err != nil {
 			o.fail(err)
--- a/internal/link/beechlink/settings.go
+++ b/internal/link/beechlink/settings.go
@@ -6,63 +6,67 @@
 )
 
 const (
-	// pieceBytes is the most of a body or payload that goes out in one frame,
-	// so that a small stream waits for at most one piece of each large one.
-	pieceBytes = 16 << 10
+	// chunkBytes is the most of a body or payload that is sent in one frame, so
+	// that a small stream waits for at most one chunk of each large one.
+	chunkBytes = 16 << 10
 
-	// replyOverhead is charged against a stream's credit for each Data beside
-	// its bytes. Without it a server that answers in pieces of one byte would
-	// make the entry hold a hundred times the credit in bookkeeping.
+	// replyOverhead is charged against a stream's credit for each Data in
+	// addition to its bytes. Without it, a server that answers in chunks of one
+	// byte would make the entry use a hundred times the credit in memory for
+	// bookkeeping.
 	replyOverhead = 64
 
-	// queueLimit is how many bytes may wait for a connection before senders
-	// of Data are held.
-	queueLimit = 1 << 20
+	// maxQueuedBytes is the number of bytes that may be queued for a connection
+	// before senders of Data are blocked.
+	maxQueuedBytes = 1 << 20
 
-	// helloLimit is the longest frame taken from a peer that has not shown
-	// its key.
-	helloLimit = 4 << 10
+	// maxHelloBytes is the longest frame accepted from a peer that has not
+	// authenticated yet.
+	maxHelloBytes = 4 << 10
 
-	// callLimit is the number of the peer's calls answered at once on a
-	// connection.
-	callLimit = 64
+	// maxConcurrentCalls is the number of the peer's calls that are handled at
+	// the same time on a connection.
+	maxConcurrentCalls = 64
 
-	// pendingLimit is how many bytes of unfinished bodies and payloads a
-	// connection holds, in multiples of MaxBody.
-	pendingLimit = 4
+	// pendingBodyFactor limits the bytes of incomplete bodies, and of
+	// incomplete call payloads, that a connection holds, each in multiples of
+	// MaxBody.
+	pendingBodyFactor = 4
 )
 
-// leavingMessage is what streams are told that a draining agent does not take.
-const leavingMessage = "agent is leaving"
+// drainingMessage is the message of streams that a draining agent does not
+// admit.
+const drainingMessage = "agent is leaving"
 
 const (
-	// spareStreams is how many streams each connection of a link carries
-	// before a further one is opened. An idle entry thus holds one to each of
-	// hundreds of agents.
-	spareStreams = 64
+	// extraConnectionThreshold is the number of streams that each connection of
+	// a link carries before an extra connection is opened. An entry with little
+	// work thus holds one connection to each of hundreds of agents.
+	extraConnectionThreshold = 64
 
-	// spareTime is after how long without work a further connection is
-	// closed.
-	spareTime = 30 * time.Second
+	// extraIdleTimeout is the time without work after which an extra connection
+	// is closed.
+	extraIdleTimeout = 30 * time.Second
 )
 
-// DefaultSettings are those of both deployments.
+// DefaultSettings returns the settings that all deployments use.
 func DefaultSettings() Settings {
 	return Settings{
-		Connections: 2,
-		Credit:      32 << 10,
-		MaxFrame:    256 << 10,
-		MaxBody:     8 << 20,
-		Heartbeat:   500 * time.Millisecond,
-		Deadline:    1500 * time.Millisecond,
-		IdleSpread:  35 * time.Millisecond,
-		DialTimeout: time.Second,
-		MaxStreams:  4096,
+		Connections:               2,
+		Credit:                    32 << 10,
+		MaxFrame:                  256 << 10,
+		MaxBody:                   8 << 20,
+		Heartbeat:                 500 * time.Millisecond,
+		Deadline:                  1500 * time.Millisecond,
+		IdleIntervalPerConnection: 35 * time.Millisecond,
+		DialTimeout:               time.Second,
+		MaxStreams:                4096,
 	}
 }
 
-// filled returns s with the default in place of each zero but the key.
-func (s Settings) filled() Settings {
+// withDefaults returns s with defaults in place of fields that are zero or
+// negative. Key has no default.
+func (s Settings) withDefaults() Settings {
 	d := DefaultSettings()
 	s.Connections = orDefault(s.Connections, d.Connections)
 	s.Credit = orDefault(s.Credit, d.Credit)
@@ -71,7 +75,7 @@
 	s.MaxStreams = orDefault(s.MaxStreams, d.MaxStreams)
 	s.Heartbeat = orDefault(s.Heartbeat, d.Heartbeat)
 	s.Deadline = orDefault(s.Deadline, d.Deadline)
-	s.IdleSpread = orDefault(s.IdleSpread, d.IdleSpread)
+	s.IdleIntervalPerConnection = orDefault(s.IdleIntervalPerConnection, d.IdleIntervalPerConnection)
 	s.DialTimeout = orDefault(s.DialTimeout, d.DialTimeout)
 	return s
 }
@@ -83,11 +87,11 @@
 	return value
 }
 
-// Validate names the first field whose value cannot work.
+// Validate returns an error that names the first field with an unusable value.
 func (s Settings) Validate() error {
-	f := s.filled()
-	if f.MaxFrame < 2*pieceBytes {
-		return fmt.Errorf("maxFrame is %d, at least %d is needed", f.MaxFrame, 2*pieceBytes)
+	f := s.withDefaults()
+	if f.MaxFrame < 2*chunkBytes {
+		return fmt.Errorf("maxFrame is %d, at least %d is needed", f.MaxFrame, 2*chunkBytes)
 	}
 	if f.Credit < 1024 {
 		return fmt.Errorf("credit is %d, at least 1024 is needed", f.Credit)
--- a/internal/process/beechagent/agent.go
+++ b/internal/process/beechagent/agent.go
@@ -116,7 +116,7 @@
 	}
 	a.backend = newBackendState()
 	a.scheduler = newScheduler(a.queueSettings(nil), d.Clock, a.backend.queueLoad)
-	a.server = beechlink.New(
+	a.server = beechlink.NewServer(
 		beechlink.Settings{Key: settings.Secret}, a.hello, a, a, a, a, d.LinkTLS, d.Clock)
 	if err := a.supervise(); err != nil {
 		listener.Close()
@@ -176,7 +176,7 @@
 // another server.
 func (a *Agent) drain() error {
 	a.leaving.Store(true)
-	a.server.Push()
+	a.server.PushHeartbeat()
 	a.log.Info("agent leaves", beechlog.Step("drain"))
 	a.clock.Sleep(drainNotice)
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
--- a/internal/process/beechagent/backend.go
+++ b/internal/process/beechagent/backend.go
@@ -243,7 +243,7 @@
 	a.counters.Crashes.Add(1)
 	a.suspects.RecordCrash(fingerprints)
 	a.scheduler.queue.CacheLost()
-	a.server.Push()
+	a.server.PushHeartbeat()
 	a.log.Warn("engine crashed", beechlog.Step("report"), beechlog.Peer(a.settings.Backend), zap.Int("running", len(fingerprints)))
 }
 
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -32,7 +32,7 @@
 
 var errUnknownMethod = errors.New("unknown method")
 
-// Answer implements beechlink.Caller. It handles calls from entry hosts.
+// Answer implements beechlink.CallHandler. It handles calls from entry hosts.
 func (a *Agent) Answer(ctx context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
 	switch method {
 	case beechwire.MethodConfiguration:
--- a/internal/process/beechagent/entryhosts.go
+++ b/internal/process/beechagent/entryhosts.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Beat implements beechlink.Pulse. It returns the agent's own heartbeat.
-func (a *Agent) Beat() beechwire.Heartbeat {
+// CurrentHeartbeat implements beechlink.HeartbeatSource. It returns the agent's own heartbeat.
+func (a *Agent) CurrentHeartbeat() beechwire.Heartbeat {
 	return beechwire.Heartbeat{
 		Incarnation: a.incarnation,
 		Generation:  a.holder.Generation(),
--- a/internal/process/beechentry/entry.go
+++ b/internal/process/beechentry/entry.go
@@ -178,7 +178,7 @@
 // sends in that time are served.
 func (e *Entry) drain() error {
 	e.draining.Store(true)
-	e.fleet.dialer.Push()
+	e.fleet.dialer.PushHeartbeat()
 	e.log.Info("entry draining", beechlog.Step("drain"))
 	e.clock.Sleep(drainDelay)
 	ctx, cancel := context.WithTimeout(context.Background(), drainTimeout)
--- a/internal/process/beechentry/replies.go
+++ b/internal/process/beechentry/replies.go
@@ -74,7 +74,7 @@
 	if r.Crashed {
 		j.request.Crashes++
 		e.suspects.Merge([]beechsuspect.Record{{Fingerprint: j.request.Fingerprint, Crashes: j.request.Crashes}})
-		e.fleet.dialer.Push()
+		e.fleet.dialer.PushHeartbeat()
 	}
 	return interrupted{ran: parseRan(r.Ran), crashed: r.Crashed, reason: r.Reason}
 }
