--- a/internal/link/beechlink/bench_test.go
+++ b/internal/link/beechlink/bench_test.go
@@ -49,8 +49,8 @@
 // serveAgents prints the address of each agent and serves until standard input
 // ends.
 func serveAgents(count int) {
-	pulse := &changingLoadSource{}
-	s := NewServer(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, pulse, nil, realClock)
+	source := &changingLoadSource{}
+	s := NewServer(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, source, nil, realClock)
 	for range count {
 		l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
@@ -273,15 +273,15 @@
 // BenchmarkBeat encodes a beat with a changed load and applies it.
 func BenchmarkBeat(b *testing.B) {
 	var (
-		w     beatEncoder
-		pulse changingLoadSource
-		state beechwire.Heartbeat
-		frame []byte
+		w      beatEncoder
+		source changingLoadSource
+		state  beechwire.Heartbeat
+		frame  []byte
 	)
-	w.commit(pulse.CurrentHeartbeat(), 0)
+	w.commit(source.CurrentHeartbeat(), 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		h := pulse.CurrentHeartbeat()
+		h := source.CurrentHeartbeat()
 		beat, _ := w.delta(h, 0)
 		w.commit(h, 0)
 		frame, _ = appendFrame(frame[:0], 1<<20, kindBeat, &beat)
--- a/internal/link/beechlink/client_test.go
+++ b/internal/link/beechlink/client_test.go
@@ -189,30 +189,30 @@
 	}
 	p := newPair(t, Settings{}, handlerFuncs{open: answer})
 	for _, replies := range []bool{false, true} {
-		cut := newCuttingProxy(t, p.address.String(), replies, 32<<10)
+		proxy := newCuttingProxy(t, p.address.String(), replies, 32<<10)
 		whole, lost := 0, 0
 		for limit := int64(0); whole < 20; limit += 3 {
-			cut.limit.Store(limit)
-			if requestThroughProxy(t, cut) {
+			proxy.limit.Store(limit)
+			if requestThroughProxy(t, proxy) {
 				whole++
 			} else {
 				lost++
 			}
 		}
 		is.True(lost > 50)
-		cut.limit.Store(-1)
-		is.True(requestThroughProxy(t, cut))
-		cut.close()
+		proxy.limit.Store(-1)
+		is.True(requestThroughProxy(t, proxy))
+		proxy.close()
 	}
 }
 
 // requestThroughProxy sends a request through the proxy and reports whether the
 // answer was complete.
-func requestThroughProxy(t *testing.T, cut *cuttingProxy) bool {
+func requestThroughProxy(t *testing.T, proxy *cuttingProxy) bool {
 	is := is.New(t)
 	d := newDialer(Settings{Connections: 1}, &recorder{}, nil, realClock)
 	defer d.Close()
-	c := d.Dial(addressOf(cut.listener.Addr()))
+	c := d.Dial(addressOf(proxy.listener.Addr()))
 	waitFor(t, "the handshake is over", func() bool {
 		k := d.Counters()
 		return c.Ready() || k.Rejected+k.Lost+k.Up > 0
@@ -245,19 +245,19 @@
 	l := loopback(t)
 	defer l.Close()
 	r := &recorder{}
-	pulse := &notifyingSource{polls: make(chan struct{}, 1)}
-	d := NewDialer(Settings{Connections: 1}, hello(beechwire.RoleEntry, 5), r, answerFunc(echoCall), pulse, nil, clock)
+	source := &notifyingSource{polls: make(chan struct{}, 1)}
+	d := NewDialer(Settings{Connections: 1}, hello(beechwire.RoleEntry, 5), r, answerFunc(echoCall), source, nil, clock)
 	defer d.Close()
 	c := d.Dial(addressOf(l.Addr()))
 	acceptAsAgent(t, l)
 	waitFor(t, "the link is up", c.Ready)
 
-	<-pulse.polls // the poll for the first beat
+	<-source.polls // the poll for the first beat
 	advance := func() {
 		clock.Advance(d.settings.Heartbeat / 2)
-		<-pulse.polls
+		<-source.polls
 		d.PushHeartbeat() // the poll of the next round shows that this round has ended
-		<-pulse.polls
+		<-source.polls
 	}
 	for range 10 { // an idle connection may be silent for this long
 		advance()
@@ -273,7 +273,7 @@
 	is.True(errors.As(err, &lost))
 	is.True(errors.Is(err, errPeerTimeout))
 	is.True(clock.Since(began) <= 2*time.Second)
-	waitFor(t, "the owner is told", func() bool {
+	waitFor(t, "Events reports the loss", func() bool {
 		_, downs, _ := r.counts()
 		return downs == 1
 	})
@@ -299,7 +299,7 @@
 	defer d.Close()
 	c := d.Dial(addressOf(l.Addr()))
 	acceptAsAgent(t, l)
-	waitFor(t, "the old one is up", c.Ready)
+	waitFor(t, "the old process is linked", c.Ready)
 	s := openStream(t, c, "a")
 	for range extraConnectionThreshold { // enough for a second connection to be opened
 		openStream(t, c, "b")
@@ -312,7 +312,7 @@
 	var lost *LostError
 	is.True(errors.As(err, &lost))
 	is.True(strings.Contains(err.Error(), "replaced by incarnation 8"))
-	waitFor(t, "the owner was told in order", func() bool {
+	waitFor(t, "Events has reported both", func() bool {
 		ups, downs, _ := r.counts()
 		return ups == 2 && downs == 1
 	})
@@ -356,7 +356,7 @@
 	}
 	is.Equal(p.dialer.Counters().Up, uint64(1))
 	streams = append(streams, openStream(t, p.client, "a"))
-	waitFor(t, "a second is up", func() bool { return len(p.dialer.sessions.allConnections()) == 2 })
+	waitFor(t, "a second connection is up", func() bool { return len(p.dialer.sessions.allConnections()) == 2 })
 	p.client.mu.Lock()
 	kept, spare := p.client.endpoints[0], p.client.endpoints[1]
 	p.client.mu.Unlock()
@@ -373,7 +373,7 @@
 	s.Close(false)
 	later(3 * extraIdleTimeout)
 	is.True(!spare.usable())
-	waitFor(t, "the second is closed", func() bool { return len(p.dialer.sessions.allConnections()) == 1 })
+	waitFor(t, "the second connection is closed", func() bool { return len(p.dialer.sessions.allConnections()) == 1 })
 	for _, s := range streams {
 		s.Close(false)
 	}
--- a/internal/link/beechlink/pair_test.go
+++ b/internal/link/beechlink/pair_test.go
@@ -248,7 +248,7 @@
 	waitFor(t, "the agent hears of the generation", func() bool { return p.agent.latestHeartbeat().Generation == 9 })
 	waitFor(t, "the agent's peers show it", func() bool { return p.server.Peers()[0].Generation == 9 })
 	p.server.Close()
-	waitFor(t, "the entry is told once of the loss", func() bool {
+	waitFor(t, "the loss is reported once to the entry", func() bool {
 		ups, downs, _ := p.entry.counts()
 		return ups == 1 && downs == 1
 	})
--- a/internal/link/beechlink/server_test.go
+++ b/internal/link/beechlink/server_test.go
@@ -242,10 +242,10 @@
 		echo(ctx, s, r, body)
 	}})
 	running := openStream(t, p.client, "r")
-	waitFor(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
+	waitFor(t, "the request has started", func() bool { return p.server.Counters().Opened == 1 })
 	drained := make(chan error)
 	go func() { drained <- p.server.Drain(context.Background()) }()
-	waitFor(t, "the drain has begun", p.server.isDraining)
+	waitFor(t, "the drain has started", p.server.isDraining)
 	s, err := p.client.Reattach(t.Context(), beechwire.Reattach{RequestID: "r"})
 	is.NoErr(err)
 	_, last, err := collect(t.Context(), s)
@@ -275,10 +275,10 @@
 	for i := range 50 {
 		streams = append(streams, openStream(t, p.client, fmt.Sprint(i)))
 	}
-	waitFor(t, "all have begun", func() bool { return p.server.Counters().Opened == 50 })
+	waitFor(t, "all requests have started", func() bool { return p.server.Counters().Opened == 50 })
 	drained := make(chan error)
 	go func() { drained <- p.server.Drain(context.Background()) }()
-	waitFor(t, "the drain has begun", p.server.isDraining)
+	waitFor(t, "the drain has started", p.server.isDraining)
 	_, last, err := collect(context.Background(), openStream(t, p.client, "late"))
 	is.NoErr(err)
 	refused, ok := last.(RefusedReply)
@@ -329,7 +329,7 @@
 	is := is.New(t)
 	p := newPair(t, Settings{}, handlerFuncs{open: func(ctx context.Context, _ ServerStream, _ beechwire.Request, _ []byte) { <-ctx.Done() }})
 	s := openStream(t, p.client, "a")
-	waitFor(t, "it has begun", func() bool { return p.server.Counters().Opened == 1 })
+	waitFor(t, "the request has started", func() bool { return p.server.Counters().Opened == 1 })
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	is.True(errors.Is(p.server.Drain(ctx), context.Canceled))
@@ -422,11 +422,11 @@
 		}
 		_ = s.Send(ctx, EndReply{End: beechwire.End{Last: sequence}})
 	}})
-	cut := newCuttingProxy(t, p.address.String(), true, 700)
-	defer cut.close()
+	proxy := newCuttingProxy(t, p.address.String(), true, 700)
+	defer proxy.close()
 	d := newDialer(Settings{Credit: 4 << 10}, &recorder{}, nil, realClock)
 	defer d.Close()
-	c := d.Dial(addressOf(cut.listener.Addr()))
+	c := d.Dial(addressOf(proxy.listener.Addr()))
 	waitFor(t, "the link is up", c.Ready)
 	var callers sync.WaitGroup
 	for i := range 200 {
@@ -578,5 +578,5 @@
 	// Each stream may have passed the check with one more chunk.
 	is.True(c.out.queuedBytes() <= maxQueuedBytes+streams*(size+replyOverhead))
 	f.conn.Close()
-	waitFor(t, "all have ended", func() bool { return c.endpoint.streamCount() == 0 })
+	waitFor(t, "all streams have ended", func() bool { return c.endpoint.streamCount() == 0 })
 }
