--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -15,8 +15,8 @@
 	"github.com/beechring/beechring/internal/link/beechlink"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechbackend"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
-	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/prompt/beechindex"
 )
 
@@ -82,7 +82,7 @@
 func (t *attempt) head(answer *beechbackend.Answer) beechwire.Head {
 	head := beechwire.Head{Status: answer.Status, ContentType: answer.ContentType, Incarnation: t.agent.incarnation}
 	if t.generation.request.Service != "" {
-		head.Headers = beechshare.WireAnswerHeaders(answer.Header)
+		head.Headers = beechconvert.WireAnswerHeaders(answer.Header)
 	}
 	return head
 }
@@ -91,7 +91,7 @@
 	r := &t.generation.request
 	if r.Service != "" {
 		return t.agent.service.Relay(ctx, beechbackend.RelayRequest{
-			RequestID: r.ID, Method: r.Method, Path: r.Path, ContentType: r.ContentType, Header: beechshare.HTTPHeader(r.Headers), Body: body,
+			RequestID: r.ID, Method: r.Method, Path: r.Path, ContentType: r.ContentType, Header: beechconvert.HTTPHeader(r.Headers), Body: body,
 		})
 	}
 	return t.agent.engine.Generate(ctx, beechbackend.GenerateRequest{
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -11,8 +11,8 @@
 
 	"github.com/beechring/beechring/internal/link/beechlink"
 	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
-	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/state/beechrecord"
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
@@ -204,5 +204,5 @@
 }
 
 func (a *Agent) wireSuspects() []beechwire.Suspect {
-	return beechshare.WireSuspects(a.suspects.List())
+	return beechconvert.WireSuspects(a.suspects.List())
 }
--- a/internal/process/beechagent/entryhosts.go
+++ b/internal/process/beechagent/entryhosts.go
@@ -8,8 +8,8 @@
 
 	"github.com/beechring/beechring/internal/link/beechlink"
 	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
-	"github.com/beechring/beechring/internal/process/beechshare"
 )
 
 type (
@@ -98,7 +98,7 @@
 func (a *Agent) Heartbeat(p beechlink.Peer, beat beechwire.Heartbeat) {
 	a.pullIfNewer(p, beat.Generation)
 	if len(beat.Suspects) > 0 {
-		a.suspects.Merge(beechshare.SuspectRecords(beat.Suspects))
+		a.suspects.Merge(beechconvert.SuspectRecords(beat.Suspects))
 	}
 }
 
@@ -112,7 +112,7 @@
 		Entries:     a.entryCount(),
 		Load:        a.wireLoad(),
 		Models:      a.offered(),
-		Suspects:    beechshare.WireSuspects(a.suspects.RecentChanges()),
+		Suspects:    beechconvert.WireSuspects(a.suspects.RecentChanges()),
 	}
 }
 
--- a/internal/process/beechshare/suspects.go
+++ b/internal/process/beechconvert/suspects.go
@@ -1,4 +1,4 @@
-package beechshare
+package beechconvert
 
 import (
 	"cmp"
--- a/internal/process/beechentry/fleet.go
+++ b/internal/process/beechentry/fleet.go
@@ -14,8 +14,8 @@
 	"github.com/beechring/beechring/internal/decision/beechroute"
 	"github.com/beechring/beechring/internal/link/beechlink"
 	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
-	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/state/beechmember"
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
@@ -196,7 +196,7 @@
 	f.mu.Unlock()
 	f.members.UpdateLeaving(p.Address, h.Incarnation, h.Leaving)
 	f.recordLoad(p.Address, h.Load)
-	f.entry.suspects.Merge(beechshare.SuspectRecords(h.Suspects))
+	f.entry.suspects.Merge(beechconvert.SuspectRecords(h.Suspects))
 	f.entry.pullIfNewer(p.Address, h.Generation)
 	if changed || h.Leaving {
 		f.rebuild()
@@ -210,7 +210,7 @@
 		Generation:  f.entry.holder.Generation(),
 		Leaving:     f.entry.draining.Load(),
 		Ready:       f.entry.ready(),
-		Suspects:    beechshare.WireSuspects(f.entry.suspects.RecentChanges()),
+		Suspects:    beechconvert.WireSuspects(f.entry.suspects.RecentChanges()),
 	}
 }
 
--- a/internal/process/beechentry/service.go
+++ b/internal/process/beechentry/service.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"github.com/beechring/beechring/internal/link/beechwire"
-	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/state/beechmanifest"
 )
 
@@ -48,7 +48,7 @@
 		Method:      r.Method,
 		Path:        path,
 		ContentType: r.Header.Get("Content-Type"),
-		Headers:     beechshare.WireRequestHeaders(r.Header),
+		Headers:     beechconvert.WireRequestHeaders(r.Header),
 		Generation:  c.Generation,
 		Priority:    c.PriorityRank(workspace.Priority),
 		Repeatable:  !once,
--- a/internal/process/beechentry/share.go
+++ b/internal/process/beechentry/share.go
@@ -10,8 +10,8 @@
 
 	"github.com/beechring/beechring/internal/decision/beechroute"
 	"github.com/beechring/beechring/internal/link/beechwire"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
-	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/state/beechmember"
 	"github.com/beechring/beechring/internal/state/beechstore"
@@ -131,7 +131,7 @@
 	if err := e.fleet.call(asking, agent, beechwire.MethodSnapshot, &beechwire.ConfigurationAsk{}, &got); err != nil {
 		return false
 	}
-	e.suspects.Merge(beechshare.SuspectRecords(got.Suspects))
+	e.suspects.Merge(beechconvert.SuspectRecords(got.Suspects))
 	if len(got.Members) == 0 {
 		return false
 	}
--- a/internal/process/beechentry/writer.go
+++ b/internal/process/beechentry/writer.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/beechring/beechring/internal/link/beechwire"
-	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 )
 
 type (
@@ -164,7 +164,7 @@
 func (p *plainWriter) end() error {
 	p.written = true
 	header := p.out.Header()
-	maps.Copy(header, beechshare.HTTPHeader(p.headers))
+	maps.Copy(header, beechconvert.HTTPHeader(p.headers))
 	if p.contentType != "" {
 		header.Set("Content-Type", p.contentType)
 	}
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -9,7 +9,7 @@
 
 	"github.com/beechring/beechring/internal/link/beechbeat"
 	"github.com/beechring/beechring/internal/link/beechwire"
-	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/request/beechcall"
 	"github.com/beechring/beechring/internal/request/beechplace"
@@ -46,7 +46,7 @@
 // followRound contacts the keepers of this zone, or of all zones.
 func (g *Gate) followRound(farthest beechbeat.Way) {
 	targets := g.targets()
-	suspects := beechshare.WireSuspects(beechshare.MostCrashes(g.suspects.RecentChanges()))
+	suspects := beechconvert.WireSuspects(beechconvert.MostCrashes(g.suspects.RecentChanges()))
 	for _, s := range g.keeperServers() {
 		if farthest == beechbeat.Far || g.wayTo(s) == beechbeat.Near || g.placer.KeeperSilent(s.ID) {
 			g.sendFollow(s, targets[s.ID], suspects)
@@ -155,7 +155,7 @@
 		Reading: state.Read, Running: state.Run, Waiting: state.Wait, CacheUsed: state.Used, CacheTotal: state.Room, Parts: state.Parts, Gone: state.Gone, Kept: state.Kept,
 	})
 	g.observePhase(engine, beechrollout.Phase(state.Phase), weights, time.Duration(state.Took)*time.Millisecond)
-	g.suspects.Merge(beechshare.SuspectRecords(state.Suspects))
+	g.suspects.Merge(beechconvert.SuspectRecords(state.Suspects))
 	g.setGates(state.Gates)
 }
 
--- a/internal/process/beechgate/rollout.go
+++ b/internal/process/beechgate/rollout.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/link/beechwire"
-	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
@@ -23,7 +23,7 @@
 	targets := g.targets()
 	for _, s := range g.keeperServers() {
 		if slices.ContainsFunc(targets[s.ID], func(t beechwire.Target) bool { return t.Granted }) {
-			g.sendFollow(s, targets[s.ID], beechshare.WireSuspects(nil))
+			g.sendFollow(s, targets[s.ID], beechconvert.WireSuspects(nil))
 		}
 	}
 }
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -14,9 +14,9 @@
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 	"github.com/beechring/beechring/internal/process/beechlog"
 	"github.com/beechring/beechring/internal/process/beechsettings"
-	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/request/beechrollout"
 )
@@ -206,7 +206,7 @@
 		k.notifyGate(from, gate, now)
 	}
 	k.mu.Unlock()
-	k.suspects.Merge(beechshare.SuspectRecords(follow.Suspects))
+	k.suspects.Merge(beechconvert.SuspectRecords(follow.Suspects))
 	if !known {
 		level := zap.DebugLevel
 		if k.wayTo(gate) == beechbeat.Near {
--- a/internal/process/beechkeeper/notify.go
+++ b/internal/process/beechkeeper/notify.go
@@ -12,7 +12,7 @@
 	"github.com/beechring/beechring/internal/decision/beechrelay"
 	"github.com/beechring/beechring/internal/link/beechbeat"
 	"github.com/beechring/beechring/internal/link/beechwire"
-	"github.com/beechring/beechring/internal/process/beechshare"
+	"github.com/beechring/beechring/internal/process/beechconvert"
 )
 
 // recipient is a gate, or all gates of another zone, with what it has been sent.
@@ -184,7 +184,7 @@
 		Number: k.lastNumber, Port: k.settings.Engine.Port(), Phase: int(k.phase), Run: k.lastReport.Running, Wait: k.lastReport.Waiting,
 		Used: k.lastReport.CacheUsed, Room: k.lastReport.CacheTotal, Read: k.backlog.Remaining(now), Gates: len(k.gates),
 		Born: k.lastReport.Born, Tries: k.updater.UnansweredOrders(), Old: k.updater.SupersededFor(now).Milliseconds(), Took: k.updater.LoadTime().Milliseconds(),
-		Parts: r.added.take(), Gone: r.removed.take(), Kept: r.stored.take(), Suspects: beechshare.WireSuspects(beechshare.MostCrashes(k.suspects.RecentChanges())),
+		Parts: r.added.take(), Gone: r.removed.take(), Kept: r.stored.take(), Suspects: beechconvert.WireSuspects(beechconvert.MostCrashes(k.suspects.RecentChanges())),
 	}
 	for _, model := range slices.Sorted(maps.Keys(k.lastReport.Versions)) {
 		message.Have = append(message.Have, beechwire.Weights{Model: model, Version: k.lastReport.Versions[model]})
