--- a/internal/link/beechbeat/beat.go
+++ b/internal/link/beechdatagram/datagram.go
@@ -1,4 +1,4 @@
-// Package beechbeat carries the datagrams between gates and keepers. Each tells
+// Package beechdatagram carries the datagrams between gates and keepers. Each tells
 // a whole state and is repeated, so that one that is lost is made good by the
 // next, and no connection is kept, watched and timed out for it.
 //
@@ -9,10 +9,10 @@
 //
 // # Usage
 //
-//	socket, err := beechbeat.Open(address)
-//	go socket.Receive(ctx, func(from netip.AddrPort, m beechbeat.Message) { ... })
-//	err = socket.Send(to, beechbeat.Follow{Follow: &beechwire.Follow{...}})
-package beechbeat
+//	socket, err := beechdatagram.Open(address)
+//	go socket.Receive(ctx, func(from netip.AddrPort, m beechdatagram.Message) { ... })
+//	err = socket.Send(to, beechdatagram.Follow{Follow: &beechwire.Follow{...}})
+package beechdatagram
 
 import (
 	"context"
@@ -77,9 +77,9 @@
 	// Entries is a gate's word to the others of its zone on servers' entries.
 	Entries struct{ *beechwire.Entries }
 
-	// Way is whether a datagram crosses the border of an availability zone, where
+	// Scope is whether a datagram crosses the border of an availability zone, where
 	// bytes are paid for.
-	Way bool
+	Scope bool
 
 	// Socket sends and receives. It is safe for concurrent use.
 	Socket struct {
@@ -91,29 +91,29 @@
 
 // Ways of a datagram.
 const (
-	Near Way = false
-	Far  Way = true
+	SameZone  Scope = false
+	CrossZone Scope = true
 )
 
 const (
-	kindFollow   = 'F'
-	kindTell     = 'T'
-	kindAnnounce = 'A'
-	kindPass     = 'R'
-	kindPassed   = 'r'
-	kindPeers    = 'P'
-	kindInquiry  = 'I'
-	kindVouch    = 'V'
-	kindEntries  = 'E'
-	kindRoster   = 'Z'
-	kindSpent    = 'S'
-	kindPaces    = 'Q'
-	kindLimits   = 'L'
-	kindFull     = 'B'
-	datagramMost = 16 << 10
+	kindFollow       = 'F'
+	kindTell         = 'T'
+	kindAnnounce     = 'A'
+	kindPass         = 'R'
+	kindPassed       = 'r'
+	kindPeers        = 'P'
+	kindInquiry      = 'I'
+	kindVouch        = 'V'
+	kindEntries      = 'E'
+	kindRoster       = 'Z'
+	kindSpent        = 'S'
+	kindPaces        = 'Q'
+	kindLimits       = 'L'
+	kindFull         = 'B'
+	maxDatagramBytes = 16 << 10
 )
 
-var errKind = errors.New("no kind of datagram")
+var errUnknownKind = errors.New("no kind of datagram")
 
 func (Follow) message()   {}
 func (Tell) message()     {}
@@ -171,17 +171,17 @@
 	case Full:
 		return v.MarshalMsg([]byte{kindFull})
 	}
-	return nil, errKind
+	return nil, errUnknownKind
 }
 
 // Decode reads a datagram.
 func Decode(data []byte) (Message, error) {
 	if len(data) == 0 {
-		return nil, fmt.Errorf("decode a datagram: %w", errKind)
+		return nil, fmt.Errorf("decode a datagram: %w", errUnknownKind)
 	}
-	m, body := empty(data[0])
+	m, body := newMessage(data[0])
 	if m == nil {
-		return nil, fmt.Errorf("decode a datagram: %w", errKind)
+		return nil, fmt.Errorf("decode a datagram: %w", errUnknownKind)
 	}
 	if _, err := body.UnmarshalMsg(data[1:]); err != nil {
 		return nil, fmt.Errorf("decode a datagram: %w", err)
@@ -189,8 +189,8 @@
 	return m, nil
 }
 
-// empty gives a message of a kind, and what it is decoded into; nil is no kind.
-func empty(kind byte) (Message, msgp.Unmarshaler) {
+// newMessage gives a message of a kind, and what it is decoded into; nil is no kind.
+func newMessage(kind byte) (Message, msgp.Unmarshaler) {
 	switch kind {
 	case kindFollow:
 		m := &beechwire.Follow{}
@@ -239,13 +239,13 @@
 }
 
 // Send sends a message. That it went out does not mean that it arrives.
-func (s *Socket) Send(to netip.AddrPort, way Way, m Message) error {
+func (s *Socket) Send(to netip.AddrPort, way Scope, m Message) error {
 	return s.SendAll([]netip.AddrPort{to}, way, m)
 }
 
 // SendAll sends a message to several processes, encoded once. The error is the
 // first of those that could not be sent to.
-func (s *Socket) SendAll(all []netip.AddrPort, way Way, m Message) error {
+func (s *Socket) SendAll(all []netip.AddrPort, way Scope, m Message) error {
 	data, err := Encode(m)
 	if err != nil {
 		return err
@@ -260,8 +260,8 @@
 	return failed
 }
 
-// Sent is the bytes sent, without headers, by kind of message and way.
-func (s *Socket) Sent() *expvar.Map { return s.sent }
+// SentBytes is the bytes sent, without headers, by kind of message and way.
+func (s *Socket) SentBytes() *expvar.Map { return s.sent }
 
 func kindName(kind byte) string {
 	switch kind {
@@ -296,8 +296,8 @@
 }
 
 // String names a way, as metrics do.
-func (w Way) String() string {
-	if w == Far {
+func (w Scope) String() string {
+	if w == CrossZone {
 		return "far"
 	}
 	return "near"
@@ -307,7 +307,7 @@
 func (s *Socket) Receive(ctx context.Context, take func(from netip.AddrPort, m Message)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
-	buffer := make([]byte, datagramMost)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
@@ -328,8 +328,8 @@
 	}
 }
 
-// Malformed counts datagrams that could not be decoded.
-func (s *Socket) Malformed() int64 { return s.malformed.Load() }
+// MalformedCount counts datagrams that could not be decoded.
+func (s *Socket) MalformedCount() int64 { return s.malformed.Load() }
 
 // Address is the address that the socket is bound to.
 func (s *Socket) Address() netip.AddrPort {
--- a/internal/link/beechbeat/beat_test.go
+++ b/internal/link/beechdatagram/datagram_test.go
@@ -1,4 +1,4 @@
-package beechbeat
+package beechdatagram
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 	Entries{&beechwire.Entries{After: 4, Revision: 6, List: []beechwire.Entry{{Key: "servers/i-1", Value: []byte("{}"), Revision: 6, Created: 2}}}},
 }
 
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, m := range messages {
 		data, err := Encode(m)
@@ -45,7 +45,7 @@
 
 // A keeper's word goes to each gate several times a second, and to other zones
 // bytes are paid for. With field names it took 250.
-func TestKeepersWordIsSmall(t *testing.T) {
+func TestTellIsSmall(t *testing.T) {
 	is := is.New(t)
 	data, err := Encode(messages[2])
 	is.NoErr(err)
@@ -55,7 +55,7 @@
 // Releases run side by side while a fleet is upgraded, and anything may be sent to
 // an open port. What is not known is passed over and counted, and the words after
 // it are heard.
-func TestUnknownDatagramsArePassedOver(t *testing.T) {
+func TestUnknownDatagramsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
@@ -78,18 +78,18 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the known word is not heard")
 	}
-	is.Equal(s.Malformed(), int64(6))
+	is.Equal(s.MalformedCount(), int64(6))
 }
 
-func TestBytesAreCountedByKindAndWay(t *testing.T) {
+func TestSentBytesByKindAndScope(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
 	defer s.Close()
-	is.NoErr(s.Send(s.Address(), Far, messages[4]))
-	is.NoErr(s.Send(s.Address(), Near, messages[4]))
-	is.NoErr(s.Send(s.Address(), Near, messages[4]))
-	is.Equal(s.Sent().String(), `{"inquiry far": 3, "inquiry near": 6}`)
+	is.NoErr(s.Send(s.Address(), CrossZone, messages[4]))
+	is.NoErr(s.Send(s.Address(), SameZone, messages[4]))
+	is.NoErr(s.Send(s.Address(), SameZone, messages[4]))
+	is.Equal(s.SentBytes().String(), `{"inquiry far": 3, "inquiry near": 6}`)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -22,7 +22,7 @@
 	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechguard"
 	"github.com/beechring/beechring/internal/link/beechpool"
 	"github.com/beechring/beechring/internal/process/beechlog"
@@ -75,7 +75,7 @@
 		overloaded     *beechsaturation.Tracker // servers that reject requests
 		otherZones     *roster                  // gates of the other zones
 		core           *beechattempt.Dispatcher
-		socket         *beechbeat.Socket
+		socket         *beechdatagram.Socket
 		peers          *beechreader.Group // gates of this zone, which share their reads of the store
 		operatorMirror *beechmirror.Mirror
 		serverMirror   *beechmirror.Mirror
@@ -137,7 +137,7 @@
 
 // New returns a gate that is bound to its heartbeat address. It serves once Run is called.
 func New(s *beechsettings.Gate, deps Dependencies) (*Gate, error) {
-	socket, err := beechbeat.Open(s.Beats)
+	socket, err := beechdatagram.Open(s.Beats)
 	if err != nil {
 		return nil, err
 	}
@@ -302,7 +302,7 @@
 		if slow := slowEngines(g.placer.Paces()); len(slow) > 0 {
 			g.log.Info("engines slower than the median", zap.Any("times", slow))
 		}
-		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.Sent()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
+		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.SentBytes()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
 	})
 }
 
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -7,7 +7,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechshare"
 	"github.com/beechring/beechring/internal/process/beechtask"
@@ -24,16 +24,16 @@
 // followKeepers periodically sends keepers the target versions of their engines and asks for the
 // engines' state.
 func (g *Gate) followKeepers(ctx context.Context) error {
-	g.followRound(beechbeat.Far)
+	g.followRound(beechdatagram.CrossZone)
 	next := g.clock.After(followInterval)
 	for round := 1; ; round++ {
-		farthest := beechbeat.Far
+		farthest := beechdatagram.CrossZone
 		select {
 		case <-g.turnEnded:
 			g.grantTurns()
 			continue
 		case <-next:
-			farthest = beechbeat.Way(round%otherZoneRounds == 0)
+			farthest = beechdatagram.Scope(round%otherZoneRounds == 0)
 		case <-g.followDue:
 		case <-ctx.Done():
 			return ctx.Err()
@@ -44,18 +44,18 @@
 }
 
 // followRound contacts the keepers of this zone, or of all zones.
-func (g *Gate) followRound(farthest beechbeat.Way) {
+func (g *Gate) followRound(farthest beechdatagram.Scope) {
 	targets := g.targets()
 	suspects := beechshare.WireSuspects(beechshare.MostCrashes(g.suspects.RecentChanges()))
 	for _, s := range g.keeperServers() {
-		if farthest == beechbeat.Far || g.wayTo(s) == beechbeat.Near || g.placer.KeeperSilent(s.ID) {
+		if farthest == beechdatagram.CrossZone || g.wayTo(s) == beechdatagram.SameZone || g.placer.KeeperSilent(s.ID) {
 			g.sendFollow(s, targets[s.ID], suspects)
 		}
 	}
 }
 
 // wayTo returns whether messages to a server's keeper leave this zone.
-func (g *Gate) wayTo(s beechcall.Server) beechbeat.Way { return s.Zone != g.settings.Zone }
+func (g *Gate) wayTo(s beechcall.Server) beechdatagram.Scope { return s.Zone != g.settings.Zone }
 
 // keeperServers returns the servers that have a keeper, or none if this gate is draining.
 // Plain services have no keeper, and neither do entries for services that operators have not
@@ -83,10 +83,10 @@
 func (g *Gate) sendFollow(s beechcall.Server, targets []beechwire.Target, suspects []beechwire.Suspect) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
 	follow := &beechwire.Follow{Zone: g.settings.Zone, Targets: targets, Ask: g.placer.KeeperSilent(s.ID), Rate: g.placer.PrefillRate()}
-	if g.wayTo(s) == beechbeat.Near {
+	if g.wayTo(s) == beechdatagram.SameZone {
 		follow.Gate, follow.Suspects = g.settings.Name, suspects
 	}
-	if err := g.socket.Send(address, g.wayTo(s), beechbeat.Follow{Follow: follow}); err != nil {
+	if err := g.socket.Send(address, g.wayTo(s), beechdatagram.Follow{Follow: follow}); err != nil {
 		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
@@ -94,49 +94,49 @@
 // announcePrompt tells a keeper about a prompt sent to its engine.
 func (g *Gate) announcePrompt(s beechcall.Server, tokens int, parts []uint64, saved bool) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
-	if err := g.socket.Send(address, g.wayTo(s), beechbeat.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
+	if err := g.socket.Send(address, g.wayTo(s), beechdatagram.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
 		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
 
 // receive handles a message of a keeper or another gate.
-func (g *Gate) receive(from netip.AddrPort, m beechbeat.Message) {
+func (g *Gate) receive(from netip.AddrPort, m beechdatagram.Message) {
 	switch v := m.(type) {
-	case beechbeat.Tell:
+	case beechdatagram.Tell:
 		g.receiveState(from.Addr(), v.Tell)
-	case beechbeat.Pass:
+	case beechdatagram.Pass:
 		g.relayState(from.Addr(), v)
-	case beechbeat.Passed:
+	case beechdatagram.Passed:
 		g.receiveRelayed(from, v)
-	case beechbeat.Peers:
+	case beechdatagram.Peers:
 		g.receivePeers(v)
-	case beechbeat.Roster:
+	case beechdatagram.Roster:
 		g.receiveRoster(v)
-	case beechbeat.Spent:
+	case beechdatagram.Spent:
 		g.receiveUsage(from, v)
-	case beechbeat.Paces:
+	case beechdatagram.Paces:
 		g.receivePaces(from, v)
-	case beechbeat.Limits:
+	case beechdatagram.Limits:
 		g.receiveLimits(from, v)
-	case beechbeat.Full:
+	case beechdatagram.Full:
 		g.receiveOverloads(from, v)
-	case beechbeat.Inquiry:
+	case beechdatagram.Inquiry:
 		g.sendToPeers([]netip.AddrPort{from}, g.mirrorStatus(v.Number))
-	case beechbeat.Vouch:
+	case beechdatagram.Vouch:
 		g.receiveVouch(v)
-	case beechbeat.Entries:
+	case beechdatagram.Entries:
 		g.receiveEntries(from, v)
 	}
 }
 
 // relayState applies a keeper's state and relays it to the other gates of this zone.
-func (g *Gate) relayState(host netip.Addr, p beechbeat.Pass) {
-	relayed := beechbeat.Passed{Passed: &beechwire.Passed{Host: host.String(), Tell: p.Tell}}
+func (g *Gate) relayState(host netip.Addr, p beechdatagram.Pass) {
+	relayed := beechdatagram.Passed{Passed: &beechwire.Passed{Host: host.String(), Tell: p.Tell}}
 	g.sendToZone(relayed)
 	g.receiveState(host, &p.Tell)
 }
 
-func (g *Gate) receiveRelayed(from netip.AddrPort, p beechbeat.Passed) {
+func (g *Gate) receiveRelayed(from netip.AddrPort, p beechdatagram.Passed) {
 	host, err := netip.ParseAddr(p.Host)
 	if err != nil || !g.peers.HasPeer(from) {
 		return
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -12,7 +12,7 @@
 
 	"github.com/beechring/beechring/internal/decision/beechquota"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
 )
@@ -73,10 +73,10 @@
 			continue
 		}
 		for _, limits := range packLimits(g.limits.NextUpdate()) {
-			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
+			g.sendToGates(round, urgent, func(pass bool) beechdatagram.Message {
 				message := *limits
 				message.Sent.Pass = pass
-				return beechbeat.Limits{Limits: &message}
+				return beechdatagram.Limits{Limits: &message}
 			})
 		}
 		g.clock.Sleep(usageSendPause)
@@ -89,14 +89,14 @@
 }
 
 // receiveLimits handles limits sent by another gate.
-func (g *Gate) receiveLimits(from netip.AddrPort, l beechbeat.Limits) {
+func (g *Gate) receiveLimits(from netip.AddrPort, l beechdatagram.Limits) {
 	if !g.isKnownGate(from) {
 		return
 	}
 	if l.Sent.Pass {
 		relayed := *l.Limits
 		relayed.Sent.Pass = false
-		g.sendToZone(beechbeat.Limits{Limits: &relayed})
+		g.sendToZone(beechdatagram.Limits{Limits: &relayed})
 	}
 	update := beechthrottle.Update{Quota: unpackUsage(&l.Sent, fixedPointScale)}
 	for _, limit := range l.List {
--- a/internal/process/beechgate/metrics.go
+++ b/internal/process/beechgate/metrics.go
@@ -4,7 +4,7 @@
 	"expvar"
 	"net/http"
 
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/process/beechmetric"
 	"github.com/beechring/beechring/internal/request/beechattempt"
 )
@@ -45,7 +45,7 @@
 	m.vars.Set("limits", expvar.Func(func() any { return g.limits.State() }))
 	m.vars.Set("full", expvar.Func(func() any { return g.overloaded.State() }))
 	m.vars.Set("bodyBytes", m.bodies)
-	m.vars.Set("datagramBytes", g.socket.Sent())
+	m.vars.Set("datagramBytes", g.socket.SentBytes())
 	if g.deps.StoreUse != nil {
 		m.vars.Set("store", g.deps.StoreUse)
 	}
@@ -61,7 +61,7 @@
 		return 0
 	}))
 	m.vars.Set("connectionsMade", expvar.Func(func() any { return g.deps.Pool.Made() }))
-	m.vars.Set("datagramsMalformed", expvar.Func(func() any { return g.socket.Malformed() }))
+	m.vars.Set("datagramsMalformed", expvar.Func(func() any { return g.socket.MalformedCount() }))
 	m.vars.Set("gates", expvar.Func(func() any {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -70,7 +70,7 @@
 	return m
 }
 
-func (m *metrics) recordEnding(e beechattempt.Result, way beechbeat.Way) {
+func (m *metrics) recordEnding(e beechattempt.Result, way beechdatagram.Scope) {
 	m.bodies.Add(way.String(), int64(e.Attempts*len(e.Call.Body)))
 	m.endings.Add(e.Outcome, 1)
 	if e.Attempts > 1 {
--- a/internal/process/beechgate/overload.go
+++ b/internal/process/beechgate/overload.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/beechring/beechring/internal/decision/beechsaturation"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
 )
@@ -33,8 +33,8 @@
 		}
 		servers = servers[:min(len(servers), maxOverloadedServers)]
 		if len(servers) > 0 {
-			g.sendToGates(round, false, func(pass bool) beechbeat.Message {
-				return beechbeat.Full{Full: &beechwire.Full{Pass: pass, List: servers}}
+			g.sendToGates(round, false, func(pass bool) beechdatagram.Message {
+				return beechdatagram.Full{Full: &beechwire.Full{Pass: pass, List: servers}}
 			})
 		}
 		select {
@@ -46,12 +46,12 @@
 }
 
 // receiveOverloads handles the overloaded servers sent by another gate.
-func (g *Gate) receiveOverloads(from netip.AddrPort, f beechbeat.Full) {
+func (g *Gate) receiveOverloads(from netip.AddrPort, f beechdatagram.Full) {
 	if !g.isKnownGate(from) {
 		return
 	}
 	if f.Pass {
-		g.sendToZone(beechbeat.Full{Full: &beechwire.Full{List: f.List}})
+		g.sendToZone(beechdatagram.Full{Full: &beechwire.Full{List: f.List}})
 	}
 	overloads := make([]beechsaturation.FullServer, 0, len(f.List))
 	for _, s := range f.List {
--- a/internal/process/beechgate/paces.go
+++ b/internal/process/beechgate/paces.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/request/beechplace"
@@ -38,19 +38,19 @@
 			return
 		}
 		round++
-		g.sendToGates(round, false, func(pass bool) beechbeat.Message {
-			return beechbeat.Paces{Paces: &beechwire.Paces{Pass: pass, List: list}}
+		g.sendToGates(round, false, func(pass bool) beechdatagram.Message {
+			return beechdatagram.Paces{Paces: &beechwire.Paces{Pass: pass, List: list}}
 		})
 	})
 }
 
 // receivePaces merges the samples of another gate.
-func (g *Gate) receivePaces(from netip.AddrPort, p beechbeat.Paces) {
+func (g *Gate) receivePaces(from netip.AddrPort, p beechdatagram.Paces) {
 	if !g.isKnownGate(from) {
 		return
 	}
 	if p.Pass {
-		g.sendToZone(beechbeat.Paces{Paces: &beechwire.Paces{List: p.List}})
+		g.sendToZone(beechdatagram.Paces{Paces: &beechwire.Paces{List: p.List}})
 	}
 	for _, s := range p.List {
 		g.placer.MergePaceReport(beechplace.PaceReport{Engine: s.Engine, Samples: s.Samples, Log: float64(s.Log) / fixedPointScale})
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -10,7 +10,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechtask"
 	"github.com/beechring/beechring/internal/state/beechmirror"
@@ -59,17 +59,17 @@
 			return
 		}
 		inquiry := g.peers.StartInquiry(g.deps.Age.Now())
-		g.sendToPeers(readers, beechbeat.Inquiry{Inquiry: &beechwire.Inquiry{Number: inquiry}})
+		g.sendToPeers(readers, beechdatagram.Inquiry{Inquiry: &beechwire.Inquiry{Number: inquiry}})
 	})
 }
 
-func (g *Gate) sendToPeers(peers []netip.AddrPort, m beechbeat.Message) {
-	if err := g.socket.SendAll(peers, beechbeat.Near, m); err != nil {
+func (g *Gate) sendToPeers(peers []netip.AddrPort, m beechdatagram.Message) {
+	if err := g.socket.SendAll(peers, beechdatagram.SameZone, m); err != nil {
 		g.log.Debug("send to gate failed", zap.Error(err))
 	}
 }
 
-func (g *Gate) receivePeers(p beechbeat.Peers) {
+func (g *Gate) receivePeers(p beechdatagram.Peers) {
 	peers := make([]netip.AddrPort, 0, len(p.Gates))
 	for _, text := range p.Gates {
 		if peer, err := netip.ParseAddrPort(text); err == nil {
@@ -97,8 +97,8 @@
 
 // mirrorStatus returns the state of this gate's mirrors. With the number of an inquiry it
 // proves their age; with 0 it only tells their contents.
-func (g *Gate) mirrorStatus(number uint64) beechbeat.Vouch {
-	return beechbeat.Vouch{Vouch: &beechwire.Vouch{Number: number, Operators: mirrorCopy(g.operatorMirror), Servers: mirrorCopy(g.serverMirror)}}
+func (g *Gate) mirrorStatus(number uint64) beechdatagram.Vouch {
+	return beechdatagram.Vouch{Vouch: &beechwire.Vouch{Number: number, Operators: mirrorCopy(g.operatorMirror), Servers: mirrorCopy(g.serverMirror)}}
 }
 
 // mirrorCopy returns the state of a mirror. Its age is rounded up, so that peers never take it
@@ -111,7 +111,7 @@
 	return beechwire.Copy{Digest: status.Digest, Age: (age + time.Millisecond - 1).Milliseconds(), Watched: status.Watching}
 }
 
-func (g *Gate) receiveVouch(vouch beechbeat.Vouch) {
+func (g *Gate) receiveVouch(vouch beechdatagram.Vouch) {
 	g.applyVouch(g.operatorMirror, vouch.Number, vouch.Operators)
 	g.applyVouch(g.serverMirror, vouch.Number, vouch.Servers)
 }
@@ -146,7 +146,7 @@
 		return
 	}
 	for _, entries := range packEntries(c) {
-		g.sendToPeers(peers, beechbeat.Entries{Entries: entries})
+		g.sendToPeers(peers, beechdatagram.Entries{Entries: entries})
 	}
 }
 
@@ -169,7 +169,7 @@
 	return messages
 }
 
-func (g *Gate) receiveEntries(from netip.AddrPort, e beechbeat.Entries) {
+func (g *Gate) receiveEntries(from netip.AddrPort, e beechdatagram.Entries) {
 	if !g.peers.HasPeer(from) {
 		return
 	}
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -8,7 +8,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/decision/beechquota"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechsettings"
 	"github.com/beechring/beechring/internal/process/beechtask"
@@ -118,10 +118,10 @@
 			continue // without quotas there is nothing to agree on
 		}
 		for _, usage := range packUsage(g.quotas.NextUpdate(), 1) {
-			g.sendToGates(round, urgent, func(pass bool) beechbeat.Message {
+			g.sendToGates(round, urgent, func(pass bool) beechdatagram.Message {
 				message := *usage
 				message.Pass = pass
-				return beechbeat.Spent{Spent: &message}
+				return beechdatagram.Spent{Spent: &message}
 			})
 		}
 		g.clock.Sleep(usageSendPause)
@@ -129,14 +129,14 @@
 }
 
 // receiveUsage handles quota usage sent by another gate.
-func (g *Gate) receiveUsage(from netip.AddrPort, s beechbeat.Spent) {
+func (g *Gate) receiveUsage(from netip.AddrPort, s beechdatagram.Spent) {
 	if !g.isKnownGate(from) {
 		return
 	}
 	if s.Pass {
 		relayed := *s.Spent
 		relayed.Pass = false
-		g.sendToZone(beechbeat.Spent{Spent: &relayed})
+		g.sendToZone(beechdatagram.Spent{Spent: &relayed})
 	}
 	g.quotas.ApplyUpdate(unpackUsage(s.Spent, 1))
 }
--- a/internal/process/beechgate/roster.go
+++ b/internal/process/beechgate/roster.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/decision/beechrelay"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 )
 
 // rosterTTL is how long messages are sent to a gate of another zone after keepers last listed
@@ -32,7 +32,7 @@
 func newRoster() *roster { return &roster{gates: make(map[netip.AddrPort]rosterEntry)} }
 
 // update adds the gates listed by a keeper.
-func (r *roster) update(message beechbeat.Roster, now time.Time) {
+func (r *roster) update(message beechdatagram.Roster, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, zone := range message.Zones {
@@ -47,7 +47,7 @@
 }
 
 // receiveRoster handles a keeper's list of the gates of other zones.
-func (g *Gate) receiveRoster(message beechbeat.Roster) {
+func (g *Gate) receiveRoster(message beechdatagram.Roster) {
 	now := g.clock.Now()
 	first := len(g.otherZones.zones(now)) == 0
 	g.otherZones.update(message, now)
@@ -78,12 +78,12 @@
 }
 
 // sendToZone sends a message to all other gates of this zone.
-func (g *Gate) sendToZone(m beechbeat.Message) { g.sendToPeers(g.peers.Peers(g.clock.Now()), m) }
+func (g *Gate) sendToZone(m beechdatagram.Message) { g.sendToPeers(g.peers.Peers(g.clock.Now()), m) }
 
 // sendToGates sends the message of the given round to all other gates: directly within this
 // zone, and through relays, which pass it on, in each other zone. An urgent message is sent to
 // all relays, so that it is not lost with one of them.
-func (g *Gate) sendToGates(round uint32, urgent bool, message func(pass bool) beechbeat.Message) {
+func (g *Gate) sendToGates(round uint32, urgent bool, message func(pass bool) beechdatagram.Message) {
 	g.sendToZone(message(false))
 	for _, zone := range g.otherZones.zones(g.clock.Now()) {
 		targets := zone
@@ -91,7 +91,7 @@
 		if relays != nil {
 			targets = beechrelay.Recipients(relays, round, urgent)
 		}
-		if err := g.socket.SendAll(targets, beechbeat.Far, message(relays != nil)); err != nil {
+		if err := g.socket.SendAll(targets, beechdatagram.CrossZone, message(relays != nil)); err != nil {
 			g.log.Debug("send to gate failed", zap.Error(err))
 		}
 	}
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -13,7 +13,7 @@
 
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/process/beechlog"
 	"github.com/beechring/beechring/internal/process/beechsettings"
 	"github.com/beechring/beechring/internal/process/beechshare"
@@ -74,7 +74,7 @@
 	Keeper struct {
 		settings   *beechsettings.Keeper
 		deps       Dependencies
-		socket     *beechbeat.Socket
+		socket     *beechdatagram.Socket
 		supervisor *suture.Supervisor
 		suspects   *beechsuspect.Registry
 		metrics    *metrics
@@ -119,7 +119,7 @@
 
 // New returns a keeper that listens on its address for heartbeats.
 func New(s *beechsettings.Keeper, deps Dependencies) (*Keeper, error) {
-	socket, err := beechbeat.Open(s.Beats)
+	socket, err := beechdatagram.Open(s.Beats)
 	if err != nil {
 		return nil, err
 	}
@@ -141,7 +141,7 @@
 	k.supervisor.Add(beechtask.Task{Name: "watch cache", Run: k.watchCache})
 	k.supervisor.Add(beechtask.Task{Name: "log traffic", Run: func(ctx context.Context) error {
 		return beechtask.Every(ctx, deps.Clock, trafficInterval, func() {
-			deps.Log.Info("traffic", beechlog.Counts("datagrams", socket.Sent()))
+			deps.Log.Info("traffic", beechlog.Counts("datagrams", socket.SentBytes()))
 		})
 	}})
 	return k, nil
@@ -159,18 +159,18 @@
 }
 
 // receive handles a message from a gate.
-func (k *Keeper) receive(from netip.AddrPort, m beechbeat.Message) {
+func (k *Keeper) receive(from netip.AddrPort, m beechdatagram.Message) {
 	switch v := m.(type) {
-	case beechbeat.Follow:
+	case beechdatagram.Follow:
 		k.receiveFollow(from, v)
-	case beechbeat.Announce:
+	case beechdatagram.Announce:
 		k.receiveAnnounce(v)
 	}
 }
 
 // receiveAnnounce records an announced prompt. Long prompts are reported to all gates at
 // once: without that, their next requests would be queued behind the prompt unknowingly.
-func (k *Keeper) receiveAnnounce(a beechbeat.Announce) {
+func (k *Keeper) receiveAnnounce(a beechdatagram.Announce) {
 	now := k.deps.Clock.Now()
 	k.mu.Lock()
 	k.backlog.Add(a.Read, now)
@@ -184,7 +184,7 @@
 }
 
 // receiveFollow handles a gate's periodic message, which has the targets for the engine.
-func (k *Keeper) receiveFollow(from netip.AddrPort, follow beechbeat.Follow) {
+func (k *Keeper) receiveFollow(from netip.AddrPort, follow beechdatagram.Follow) {
 	now := k.deps.Clock.Now()
 	k.mu.Lock()
 	gate, known := k.gates[from]
@@ -209,7 +209,7 @@
 	k.suspects.Merge(beechshare.SuspectRecords(follow.Suspects))
 	if !known {
 		level := zap.DebugLevel
-		if k.wayTo(gate) == beechbeat.Near {
+		if k.wayTo(gate) == beechdatagram.SameZone {
 			level = zap.InfoLevel // a line per keeper and gate would grow with the square of the fleet
 		}
 		k.deps.Log.Log(level, "gate follows", zap.String("gate", follow.Gate), zap.Stringer("peer", from))
--- a/internal/process/beechkeeper/keeper_test.go
+++ b/internal/process/beechkeeper/keeper_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechsettings"
 	"github.com/beechring/beechring/internal/request/beechrollout"
@@ -51,7 +51,7 @@
 
 // gate is a gate's socket with the messages that it has received.
 type gate struct {
-	*beechbeat.Socket
+	*beechdatagram.Socket
 	tells   chan *beechwire.Tell
 	relayed chan *beechwire.Tell // to be forwarded
 
@@ -59,7 +59,7 @@
 }
 
 func newGate(t *testing.T) *gate {
-	socket, err := beechbeat.Open(netip.MustParseAddrPort("127.0.0.1:0"))
+	socket, err := beechdatagram.Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,13 +67,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() {
-		_ = socket.Receive(ctx, func(_ netip.AddrPort, m beechbeat.Message) {
+		_ = socket.Receive(ctx, func(_ netip.AddrPort, m beechdatagram.Message) {
 			switch v := m.(type) {
-			case beechbeat.Tell:
+			case beechdatagram.Tell:
 				g.tells <- v.Tell
-			case beechbeat.Pass:
+			case beechdatagram.Pass:
 				g.relayed <- &v.Tell
-			case beechbeat.Roster:
+			case beechdatagram.Roster:
 				g.rosters <- v.Roster
 			}
 		})
@@ -109,10 +109,10 @@
 	is := is.New(t)
 	far := newGate(t)
 	k := newKeeper(t, engine{})
-	k.receive(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	k.receive(far.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
 	is.True(far.nextTell() != nil) // a new gate gets the state at once
 
-	k.receive(far.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: 6000}})
+	k.receive(far.Address(), beechdatagram.Announce{Announce: &beechwire.Announce{Read: 6000}})
 	tell := far.nextTell()
 	is.True(tell != nil)
 	is.Equal(tell.Read, 6000)
@@ -123,10 +123,10 @@
 func TestNewGateGetsCachedParts(t *testing.T) {
 	is := is.New(t)
 	k := newKeeper(t, engine{})
-	k.receive(netip.MustParseAddrPort("127.0.0.1:9"), beechbeat.Announce{Announce: &beechwire.Announce{Parts: []uint64{1, 2, 3}}})
+	k.receive(netip.MustParseAddrPort("127.0.0.1:9"), beechdatagram.Announce{Announce: &beechwire.Announce{Parts: []uint64{1, 2, 3}}})
 	k.removeParts([]Part{{Key: 2}})
 	newcomer := newGate(t)
-	k.receive(newcomer.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	k.receive(newcomer.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
 	tell := newcomer.nextTell()
 	is.True(tell != nil)
 	is.Equal(tell.Parts, []uint64{1, 3})
@@ -138,7 +138,7 @@
 	is := is.New(t)
 	k := newKeeper(t, engine{held: []Part{{Key: 1, Tokens: 3000}, {Key: 2, Tokens: 40}, {Key: 3, Tokens: 2500}}})
 	g := newGate(t)
-	k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
+	k.receive(g.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{}})
 	is.Equal(len(g.nextTell().Parts), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -163,7 +163,7 @@
 	for range 5 {
 		g := newGate(t)
 		gates = append(gates, g)
-		k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+		k.receive(g.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
 		is.True(g.nextTell() != nil) // a new gate gets the state directly
 	}
 	relayedCount := func() (n int) {
@@ -181,10 +181,10 @@
 			<-g.relayed
 		}
 	}
-	k.receive(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
+	k.receive(gates[0].Address(), beechdatagram.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
 	first := relayedCount()
 	is.True(first >= 1 && first <= 2)
-	k.receive(gates[0].Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
+	k.receive(gates[0].Address(), beechdatagram.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{7}}})
 	is.Equal(relayedCount(), 1)
 	k.setPhase(beechrollout.Leaving, nil)
 	k.notify(false)
@@ -195,7 +195,7 @@
 		relays += len(g.relayed)
 	}
 	is.Equal(relays, 2)
-	k.receive(gates[2].Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft", Ask: true}})
+	k.receive(gates[2].Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: "loft", Ask: true}})
 	tell := gates[2].nextTell()
 	is.True(tell != nil)
 	is.Equal(tell.Phase, int(beechrollout.Leaving))
@@ -208,8 +208,8 @@
 	is := is.New(t)
 	k := newKeeper(t, engine{})
 	near, far := newGate(t), newGate(t)
-	k.receive(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone}})
-	k.receive(far.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
+	k.receive(near.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone}})
+	k.receive(far.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: "loft"}})
 	rosters := func() int {
 		k.notify(false)
 		time.Sleep(50 * time.Millisecond) // datagrams to this host have arrived by then
@@ -217,7 +217,7 @@
 	}
 	is.Equal(rosters(), 1)
 	is.Equal(rosters(), 1) // the list is not repeated
-	k.receive(near.Address(), beechbeat.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone, Ask: true}})
+	k.receive(near.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{Zone: k.settings.Zone, Ask: true}})
 	is.Equal(rosters(), 2)
 	roster := <-near.rosters
 	is.Equal(len(roster.Zones), 1)
@@ -234,9 +234,9 @@
 	reports := make(chan Report, 2)
 	k := newKeeper(t, engine{reports: reports})
 	g := newGate(t)
-	k.receive(g.Address(), beechbeat.Follow{Follow: &beechwire.Follow{}})
+	k.receive(g.Address(), beechdatagram.Follow{Follow: &beechwire.Follow{}})
 	is.True(g.nextTell() != nil)
-	k.receive(g.Address(), beechbeat.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{1, 2}}})
+	k.receive(g.Address(), beechdatagram.Announce{Announce: &beechwire.Announce{Read: longPromptTokens, Parts: []uint64{1, 2}}})
 	is.Equal(g.nextTell().Parts, []uint64{1, 2})
 	for _, born := range []uint64{100, 200} {
 		reports <- Report{Report: beechrollout.Report{Born: born}}
--- a/internal/process/beechkeeper/metrics.go
+++ b/internal/process/beechkeeper/metrics.go
@@ -30,8 +30,8 @@
 	m.vars.Set("reportsMissing", m.missedReports)
 	m.vars.Set("startedAnew", m.restarts)
 	m.vars.Set("loadMicros", expvar.Func(m.loadTimes.Percentiles))
-	m.vars.Set("datagramsMalformed", expvar.Func(func() any { return k.socket.Malformed() }))
-	m.vars.Set("datagramBytes", k.socket.Sent())
+	m.vars.Set("datagramsMalformed", expvar.Func(func() any { return k.socket.MalformedCount() }))
+	m.vars.Set("datagramBytes", k.socket.SentBytes())
 	m.vars.Set("engine", expvar.Func(func() any {
 		k.mu.Lock()
 		defer k.mu.Unlock()
--- a/internal/process/beechkeeper/notify.go
+++ b/internal/process/beechkeeper/notify.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"github.com/beechring/beechring/internal/decision/beechrelay"
-	"github.com/beechring/beechring/internal/link/beechbeat"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
 	"github.com/beechring/beechring/internal/link/beechwire"
 	"github.com/beechring/beechring/internal/process/beechshare"
 )
@@ -58,7 +58,7 @@
 		if k.isDirect(gate) && (state != gate.sentState || urgent || now.Sub(gate.sentAt) >= k.gateInterval(k.wayTo(gate))) {
 			k.notifyGate(address, gate, now)
 		}
-		if k.wayTo(gate) == beechbeat.Near && now.Sub(gate.peersSentAt) >= peersInterval {
+		if k.wayTo(gate) == beechdatagram.SameZone && now.Sub(gate.peersSentAt) >= peersInterval {
 			gate.peersSentAt = now
 			k.sendPeers(address)
 		}
@@ -85,7 +85,7 @@
 func (k *Keeper) updateRelays() {
 	gates := make(map[string][]netip.AddrPort)
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechbeat.Far {
+		if k.wayTo(gate) == beechdatagram.CrossZone {
 			gates[gate.zone] = append(gates[gate.zone], address)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // isDirect reports whether a gate is sent messages directly. The caller holds the lock.
 func (k *Keeper) isDirect(gate *gateState) bool {
-	return k.wayTo(gate) == beechbeat.Near || k.relayedZones[gate.zone] == nil
+	return k.wayTo(gate) == beechdatagram.SameZone || k.relayedZones[gate.zone] == nil
 }
 
 // recipients returns all recipients of changes to the engine's cache. The caller holds the
@@ -126,16 +126,16 @@
 }
 
 // wayTo reports whether messages to a gate leave this zone.
-func (k *Keeper) wayTo(gate *gateState) beechbeat.Way { return gate.zone != k.settings.Zone }
+func (k *Keeper) wayTo(gate *gateState) beechdatagram.Scope { return gate.zone != k.settings.Zone }
 
 // gateInterval returns the time between messages to a gate. It grows with the number of
 // gates, since the total number of messages would otherwise grow with its square. Long
 // prompts are reported to the gates of all zones at once: gates that learned of one an
 // interval later would queue requests behind it unknowingly.
-func (k *Keeper) gateInterval(way beechbeat.Way) time.Duration {
+func (k *Keeper) gateInterval(way beechdatagram.Scope) time.Duration {
 	factor := time.Duration(max(len(k.gates)/gatesAtBaseInterval, 1))
 	switch {
-	case k.engineBusy() && way == beechbeat.Near:
+	case k.engineBusy() && way == beechdatagram.SameZone:
 		return nearInterval
 	case k.engineBusy():
 		return min(farInterval*factor, maxInterval)
@@ -155,7 +155,7 @@
 
 // notifyGate sends the state to one gate. The caller holds the lock.
 func (k *Keeper) notifyGate(address netip.AddrPort, gate *gateState, now time.Time) {
-	k.send([]netip.AddrPort{address}, k.wayTo(gate), beechbeat.Tell{Tell: k.stateMessage(&gate.recipient, now)})
+	k.send([]netip.AddrPort{address}, k.wayTo(gate), beechdatagram.Tell{Tell: k.stateMessage(&gate.recipient, now)})
 }
 
 // notifyZone sends the state to the gates of another zone through their relays. A change of
@@ -165,11 +165,11 @@
 	changed := k.currentState() != r.sentState
 	r.messages++
 	to := beechrelay.Recipients(r.relays, r.messages, changed)
-	k.send(to, beechbeat.Far, beechbeat.Pass{Pass: &beechwire.Pass{Tell: *k.stateMessage(r, now)}})
+	k.send(to, beechdatagram.CrossZone, beechdatagram.Pass{Pass: &beechwire.Pass{Tell: *k.stateMessage(r, now)}})
 	k.deps.Log.Debug("state sent to zone", zap.String("zone", zone), zap.Stringers("peers", to))
 }
 
-func (k *Keeper) send(to []netip.AddrPort, way beechbeat.Way, m beechbeat.Message) {
+func (k *Keeper) send(to []netip.AddrPort, way beechdatagram.Scope, m beechdatagram.Message) {
 	if err := k.socket.SendAll(to, way, m); err != nil {
 		k.deps.Log.Debug("sending to gates failed", zap.Error(err))
 	}
@@ -196,7 +196,7 @@
 func (k *Keeper) roster() *beechwire.Roster {
 	zones := make(map[string][]string)
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechbeat.Far {
+		if k.wayTo(gate) == beechdatagram.CrossZone {
 			text, _ := address.MarshalBinary() // never fails
 			zones[gate.zone] = append(zones[gate.zone], string(text))
 		}
@@ -214,12 +214,12 @@
 func (k *Keeper) sendPeers(address netip.AddrPort) {
 	peers := &beechwire.Peers{}
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechbeat.Near {
+		if k.wayTo(gate) == beechdatagram.SameZone {
 			peers.Gates = append(peers.Gates, address.String())
 		}
 	}
-	k.send([]netip.AddrPort{address}, beechbeat.Near, beechbeat.Peers{Peers: peers})
+	k.send([]netip.AddrPort{address}, beechdatagram.SameZone, beechdatagram.Peers{Peers: peers})
 	if roster := k.roster(); len(roster.Zones) > 0 {
-		k.send([]netip.AddrPort{address}, beechbeat.Near, beechbeat.Roster{Roster: roster})
+		k.send([]netip.AddrPort{address}, beechdatagram.SameZone, beechdatagram.Roster{Roster: roster})
 	}
 }
