--- a/internal/link/beechdatagram/datagram.go
+++ b/internal/link/beechdatagram/datagram.go
@@ -1,11 +1,12 @@
-// Package beechdatagram carries the datagrams between gates and keepers. Each tells
-// a whole state and is repeated, so that one that is lost is made good by the
-// next, and no connection is kept, watched and timed out for it.
+// Package beechdatagram exchanges UDP datagrams between gates and keepers. Senders
+// repeat their state instead of sending changes once, so a lost datagram is replaced
+// by the next one and no connections have to be kept, monitored and timed out.
 //
-// A datagram is one byte for the kind and the message in msgpack, as an array
-// without field names. A kind never changes its fields: a message that gains one
-// becomes another kind, so that releases side by side pass over what they do not
-// know, and count it. What cannot be decoded is counted too.
+// A datagram is one byte for the kind of message, followed by the message in msgpack
+// as an array without field names. The fields of a kind never change: a message that
+// gains a field becomes a new kind. Processes of different releases can therefore run
+// side by side; each skips and counts the datagrams of kinds that it does not know,
+// together with those that it cannot decode.
 //
 // # Usage
 //
@@ -34,62 +35,64 @@
 	// or a Full.
 	Message interface{ message() }
 
-	// Follow is a gate's word to a keeper.
+	// Follow is sent by a gate to a keeper: it asks for the engine's state, and names
+	// the weights that the engine should have.
 	Follow struct{ *beechwire.Follow }
 
-	// Tell is a keeper's word to a gate.
+	// Tell is sent by a keeper to a gate: the state of its engine.
 	Tell struct{ *beechwire.Tell }
 
-	// Announce is a gate's word to a keeper of a long prompt on its way.
+	// Announce is sent by a gate to a keeper: a long prompt is on its way to the engine.
 	Announce struct{ *beechwire.Announce }
 
-	// Pass is a keeper's word to a gate that passes it on to its zone.
+	// Pass is sent by a keeper to a gate, which forwards it to the gates of its zone.
 	Pass struct{ *beechwire.Pass }
 
-	// Passed is a word that was passed on.
+	// Passed is a keeper's Pass, forwarded by a gate.
 	Passed struct{ *beechwire.Passed }
 
-	// Peers is a keeper's word to gates of its zone, of one another.
+	// Peers is sent by a keeper to the gates of its zone: the addresses of these gates.
 	Peers struct{ *beechwire.Peers }
 
-	// Roster is a keeper's word to gates of its zone, of those of other zones.
+	// Roster is sent by a keeper to the gates of its zone: the gates of other zones.
 	Roster struct{ *beechwire.Roster }
 
-	// Spent is a gate's word to the others on what it has admitted.
+	// Spent is sent by a gate to the others: how much it has admitted by workspace.
 	Spent struct{ *beechwire.Spent }
 
-	// Paces is a gate's word to the others on how fast engines are.
+	// Paces is sent by a gate to the others: how fast engines are.
 	Paces struct{ *beechwire.Paces }
 
-	// Limits is a gate's word to the others on what servers take, and what it has sent
-	// them.
+	// Limits is sent by a gate to the others: the rate limits of servers, and how much
+	// it has sent to these servers.
 	Limits struct{ *beechwire.Limits }
 
-	// Full is a gate's word to the others on which servers turn work away.
+	// Full is sent by a gate to the others: the servers that reject requests.
 	Full struct{ *beechwire.Full }
 
-	// Inquiry is a gate's question to another.
+	// Inquiry is sent by a gate to another: it asks how old the other's copies of the
+	// operators' document and of the list of servers are.
 	Inquiry struct{ *beechwire.Inquiry }
 
 	// Vouch is the answer to an Inquiry.
 	Vouch struct{ *beechwire.Vouch }
 
-	// Entries is a gate's word to the others of its zone on servers' entries.
+	// Entries is sent by a gate to the others of its zone: changed entries of servers.
 	Entries struct{ *beechwire.Entries }
 
-	// Scope is whether a datagram crosses the border of an availability zone, where
-	// bytes are paid for.
+	// Scope tells whether a datagram leaves its availability zone. Traffic between
+	// zones is billed by the byte.
 	Scope bool
 
-	// Socket sends and receives. It is safe for concurrent use.
+	// Socket sends and receives messages. It is safe for concurrent use.
 	Socket struct {
 		conn      *net.UDPConn
 		malformed atomic.Int64
-		sent      *expvar.Map // bytes by kind and way
+		sent      *expvar.Map // bytes by kind and scope
 	}
 )
 
-// Ways of a datagram.
+// The scopes of datagrams.
 const (
 	SameZone  Scope = false
 	CrossZone Scope = true
@@ -113,7 +116,7 @@
 	maxDatagramBytes = 16 << 10
 )
 
-var errUnknownKind = errors.New("no kind of datagram")
+var errUnknownKind = errors.New("unknown kind of datagram")
 
 func (Follow) message()   {}
 func (Tell) message()     {}
@@ -130,16 +133,16 @@
 func (Limits) message()   {}
 func (Full) message()     {}
 
-// Open binds an address.
+// Open binds a UDP socket to an address.
 func Open(address netip.AddrPort) (*Socket, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, fmt.Errorf("bind %s for beats: %w", address, err)
+		return nil, fmt.Errorf("bind UDP socket to %s: %w", address, err)
 	}
 	return &Socket{conn: conn, sent: new(expvar.Map)}, nil
 }
 
-// Encode gives a message as a datagram.
+// Encode returns the datagram of a message.
 func Encode(m Message) ([]byte, error) {
 	switch v := m.(type) {
 	case Follow:
@@ -174,7 +177,7 @@
 	return nil, errUnknownKind
 }
 
-// Decode reads a datagram.
+// Decode returns the message of a datagram.
 func Decode(data []byte) (Message, error) {
 	if len(data) == 0 {
 		return nil, fmt.Errorf("decode a datagram: %w", errUnknownKind)
@@ -189,7 +192,8 @@
 	return m, nil
 }
 
-// newMessage gives a message of a kind, and what it is decoded into; nil is no kind.
+// newMessage returns an empty message of the given kind, and the value inside it to decode
+// into. Both are nil if the kind is unknown.
 func newMessage(kind byte) (Message, msgp.Unmarshaler) {
 	switch kind {
 	case kindFollow:
@@ -238,19 +242,19 @@
 	return nil, nil
 }
 
-// Send sends a message. That it went out does not mean that it arrives.
-func (s *Socket) Send(to netip.AddrPort, way Scope, m Message) error {
-	return s.SendAll([]netip.AddrPort{to}, way, m)
+// Send sends a message to one process. A nil error does not mean that it arrives.
+func (s *Socket) Send(to netip.AddrPort, scope Scope, m Message) error {
+	return s.SendAll([]netip.AddrPort{to}, scope, m)
 }
 
-// SendAll sends a message to several processes, encoded once. The error is the
-// first of those that could not be sent to.
-func (s *Socket) SendAll(all []netip.AddrPort, way Scope, m Message) error {
+// SendAll encodes a message once and sends it to several processes. It continues after
+// a failure and returns the first error.
+func (s *Socket) SendAll(all []netip.AddrPort, scope Scope, m Message) error {
 	data, err := Encode(m)
 	if err != nil {
 		return err
 	}
-	s.sent.Add(kindName(data[0])+" "+way.String(), int64(len(data)*len(all)))
+	s.sent.Add(kindName(data[0])+" "+scope.String(), int64(len(data)*len(all)))
 	var failed error
 	for _, to := range all {
 		if _, err := s.conn.WriteToUDPAddrPort(data, to); err != nil && failed == nil {
@@ -260,7 +264,8 @@
 	return failed
 }
 
-// SentBytes is the bytes sent, without headers, by kind of message and way.
+// SentBytes counts the bytes of sent datagrams, without IP and UDP headers, by kind of
+// message and scope.
 func (s *Socket) SentBytes() *expvar.Map { return s.sent }
 
 func kindName(kind byte) string {
@@ -295,15 +300,15 @@
 	return "vouch"
 }
 
-// String names a way, as metrics do.
-func (w Scope) String() string {
-	if w == CrossZone {
+// String returns the label of a scope in the metrics.
+func (s Scope) String() string {
+	if s == CrossZone {
 		return "far"
 	}
 	return "near"
 }
 
-// Receive calls take for each message until the context ends.
+// Receive calls take for each message that arrives, until the context ends.
 func (s *Socket) Receive(ctx context.Context, take func(from netip.AddrPort, m Message)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -314,10 +319,10 @@
 			return ctx.Err()
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return fmt.Errorf("receive beats: %w", err)
+			return fmt.Errorf("receive datagrams: %w", err)
 		}
 		if err != nil {
-			continue // a host's word that nobody listens there, for an earlier datagram
+			continue // an ICMP error: an earlier datagram went to a port that no process listens on
 		}
 		m, err := Decode(buffer[:n])
 		if err != nil {
@@ -328,13 +333,13 @@
 	}
 }
 
-// MalformedCount counts datagrams that could not be decoded.
+// MalformedCount returns how many datagrams could not be decoded.
 func (s *Socket) MalformedCount() int64 { return s.malformed.Load() }
 
-// Address is the address that the socket is bound to.
+// Address returns the address that the socket is bound to.
 func (s *Socket) Address() netip.AddrPort {
 	return s.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Close ends Receive.
+// Close closes the socket, which ends Receive.
 func (s *Socket) Close() error { return s.conn.Close() }
--- a/internal/link/beechdatagram/datagram_test.go
+++ b/internal/link/beechdatagram/datagram_test.go
@@ -39,12 +39,12 @@
 		is.Equal(reflect.TypeOf(got), reflect.TypeOf(m))
 		again, err := Encode(got)
 		is.NoErr(err)
-		is.Equal(again, data) // an empty list comes as none
+		is.Equal(again, data) // compares encodings, since an empty list is decoded as nil
 	}
 }
 
-// A keeper's word goes to each gate several times a second, and to other zones
-// bytes are paid for. With field names it took 250.
+// A keeper sends its Tell to each gate several times a second, and traffic to other
+// zones is billed by the byte. With field names the message took 250 bytes.
 func TestTellIsSmall(t *testing.T) {
 	is := is.New(t)
 	data, err := Encode(messages[2])
@@ -52,31 +52,31 @@
 	is.True(len(data) <= 64)
 }
 
-// Releases run side by side while a fleet is upgraded, and anything may be sent to
-// an open port. What is not known is passed over and counted, and the words after
-// it are heard.
+// During a rolling upgrade other releases may send unknown kinds of messages, and any
+// process may send garbage to an open port. Such datagrams must be skipped and counted
+// without losing the valid ones after them.
 func TestUnknownDatagramsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	heard := make(chan Message, 1)
-	go func() { _ = s.Receive(ctx, func(_ netip.AddrPort, m Message) { heard <- m }) }()
+	received := make(chan Message, 1)
+	go func() { _ = s.Receive(ctx, func(_ netip.AddrPort, m Message) { received <- m }) }()
 	known, err := Encode(messages[4])
 	is.NoErr(err)
 	longer, err := Encode(messages[4])
 	is.NoErr(err)
-	longer[1]++ // an array of one field more
+	longer[1]++ // the array claims one more field than it has
 	for _, data := range [][]byte{{}, {'t', 0x81}, {'I'}, longer, known[:len(known)-1], {0xff, 0xff}, known} {
 		_, err := s.conn.WriteToUDPAddrPort(data, s.Address())
 		is.NoErr(err)
 	}
 	select {
-	case m := <-heard:
+	case m := <-received:
 		is.True(reflect.DeepEqual(m, messages[4]))
 	case <-time.After(5 * time.Second):
-		t.Fatal("the known word is not heard")
+		t.Fatal("the valid datagram was not received within 5 s")
 	}
 	is.Equal(s.MalformedCount(), int64(6))
 }
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -48,14 +48,14 @@
 	targets := g.targets()
 	suspects := beechshare.WireSuspects(beechshare.MostCrashes(g.suspects.RecentChanges()))
 	for _, s := range g.keeperServers() {
-		if farthest == beechdatagram.CrossZone || g.wayTo(s) == beechdatagram.SameZone || g.placer.KeeperSilent(s.ID) {
+		if farthest == beechdatagram.CrossZone || g.scopeTo(s) == beechdatagram.SameZone || g.placer.KeeperSilent(s.ID) {
 			g.sendFollow(s, targets[s.ID], suspects)
 		}
 	}
 }
 
-// wayTo returns whether messages to a server's keeper leave this zone.
-func (g *Gate) wayTo(s beechcall.Server) beechdatagram.Scope { return s.Zone != g.settings.Zone }
+// scopeTo returns whether messages to a server's keeper leave this zone.
+func (g *Gate) scopeTo(s beechcall.Server) beechdatagram.Scope { return s.Zone != g.settings.Zone }
 
 // keeperServers returns the servers that have a keeper, or none if this gate is draining.
 // Plain services have no keeper, and neither do entries for services that operators have not
@@ -83,10 +83,10 @@
 func (g *Gate) sendFollow(s beechcall.Server, targets []beechwire.Target, suspects []beechwire.Suspect) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
 	follow := &beechwire.Follow{Zone: g.settings.Zone, Targets: targets, Ask: g.placer.KeeperSilent(s.ID), Rate: g.placer.PrefillRate()}
-	if g.wayTo(s) == beechdatagram.SameZone {
+	if g.scopeTo(s) == beechdatagram.SameZone {
 		follow.Gate, follow.Suspects = g.settings.Name, suspects
 	}
-	if err := g.socket.Send(address, g.wayTo(s), beechdatagram.Follow{Follow: follow}); err != nil {
+	if err := g.socket.Send(address, g.scopeTo(s), beechdatagram.Follow{Follow: follow}); err != nil {
 		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
@@ -94,7 +94,7 @@
 // announcePrompt tells a keeper about a prompt sent to its engine.
 func (g *Gate) announcePrompt(s beechcall.Server, tokens int, parts []uint64, saved bool) {
 	address := netip.AddrPortFrom(s.Address.Addr(), g.settings.Beats.Port())
-	if err := g.socket.Send(address, g.wayTo(s), beechdatagram.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
+	if err := g.socket.Send(address, g.scopeTo(s), beechdatagram.Announce{Announce: &beechwire.Announce{Read: tokens, Parts: parts, Kept: saved}}); err != nil {
 		g.log.Debug("send to keeper failed", zap.String("server", s.ID), zap.Error(err))
 	}
 }
--- a/internal/process/beechgate/metrics.go
+++ b/internal/process/beechgate/metrics.go
@@ -70,8 +70,8 @@
 	return m
 }
 
-func (m *metrics) recordEnding(e beechattempt.Result, way beechdatagram.Scope) {
-	m.bodies.Add(way.String(), int64(e.Attempts*len(e.Call.Body)))
+func (m *metrics) recordEnding(e beechattempt.Result, scope beechdatagram.Scope) {
+	m.bodies.Add(scope.String(), int64(e.Attempts*len(e.Call.Body)))
 	m.endings.Add(e.Outcome, 1)
 	if e.Attempts > 1 {
 		m.retried.Add(int64(e.Attempts - 1))
--- a/internal/process/beechgate/observer.go
+++ b/internal/process/beechgate/observer.go
@@ -18,7 +18,7 @@
 // ObserveEnd implements beechattempt.Observer. Requests that were answered as expected are logged
 // at level debug only, all others at info.
 func (g *Gate) ObserveEnd(e beechattempt.Result) {
-	g.metrics.recordEnding(e, g.wayTo(e.Choice.Server))
+	g.metrics.recordEnding(e, g.scopeTo(e.Choice.Server))
 	if e.Choice.LimitedServer != "" {
 		g.limitLog.Info("request kept from a server at its limit", zap.String("request", e.Call.ID), zap.String("limited", e.Choice.LimitedServer),
 			zap.Float64("rate", g.limits.Rate(e.Choice.LimitedServer)), zap.String("server", e.Choice.Server.ID), zap.String("ending", e.Outcome))
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -209,7 +209,7 @@
 	k.suspects.Merge(beechshare.SuspectRecords(follow.Suspects))
 	if !known {
 		level := zap.DebugLevel
-		if k.wayTo(gate) == beechdatagram.SameZone {
+		if k.scopeTo(gate) == beechdatagram.SameZone {
 			level = zap.InfoLevel // a line per keeper and gate would grow with the square of the fleet
 		}
 		k.deps.Log.Log(level, "gate follows", zap.String("gate", follow.Gate), zap.Stringer("peer", from))
--- a/internal/process/beechkeeper/notify.go
+++ b/internal/process/beechkeeper/notify.go
@@ -55,10 +55,10 @@
 		k.updateRelays()
 	}
 	for address, gate := range k.gates {
-		if k.isDirect(gate) && (state != gate.sentState || urgent || now.Sub(gate.sentAt) >= k.gateInterval(k.wayTo(gate))) {
+		if k.isDirect(gate) && (state != gate.sentState || urgent || now.Sub(gate.sentAt) >= k.gateInterval(k.scopeTo(gate))) {
 			k.notifyGate(address, gate, now)
 		}
-		if k.wayTo(gate) == beechdatagram.SameZone && now.Sub(gate.peersSentAt) >= peersInterval {
+		if k.scopeTo(gate) == beechdatagram.SameZone && now.Sub(gate.peersSentAt) >= peersInterval {
 			gate.peersSentAt = now
 			k.sendPeers(address)
 		}
@@ -85,7 +85,7 @@
 func (k *Keeper) updateRelays() {
 	gates := make(map[string][]netip.AddrPort)
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechdatagram.CrossZone {
+		if k.scopeTo(gate) == beechdatagram.CrossZone {
 			gates[gate.zone] = append(gates[gate.zone], address)
 		}
 	}
@@ -105,7 +105,7 @@
 
 // isDirect reports whether a gate is sent messages directly. The caller holds the lock.
 func (k *Keeper) isDirect(gate *gateState) bool {
-	return k.wayTo(gate) == beechdatagram.SameZone || k.relayedZones[gate.zone] == nil
+	return k.scopeTo(gate) == beechdatagram.SameZone || k.relayedZones[gate.zone] == nil
 }
 
 // recipients returns all recipients of changes to the engine's cache. The caller holds the
@@ -125,17 +125,17 @@
 	}
 }
 
-// wayTo reports whether messages to a gate leave this zone.
-func (k *Keeper) wayTo(gate *gateState) beechdatagram.Scope { return gate.zone != k.settings.Zone }
+// scopeTo reports whether messages to a gate leave this zone.
+func (k *Keeper) scopeTo(gate *gateState) beechdatagram.Scope { return gate.zone != k.settings.Zone }
 
 // gateInterval returns the time between messages to a gate. It grows with the number of
 // gates, since the total number of messages would otherwise grow with its square. Long
 // prompts are reported to the gates of all zones at once: gates that learned of one an
 // interval later would queue requests behind it unknowingly.
-func (k *Keeper) gateInterval(way beechdatagram.Scope) time.Duration {
+func (k *Keeper) gateInterval(scope beechdatagram.Scope) time.Duration {
 	factor := time.Duration(max(len(k.gates)/gatesAtBaseInterval, 1))
 	switch {
-	case k.engineBusy() && way == beechdatagram.SameZone:
+	case k.engineBusy() && scope == beechdatagram.SameZone:
 		return nearInterval
 	case k.engineBusy():
 		return min(farInterval*factor, maxInterval)
@@ -155,7 +155,7 @@
 
 // notifyGate sends the state to one gate. The caller holds the lock.
 func (k *Keeper) notifyGate(address netip.AddrPort, gate *gateState, now time.Time) {
-	k.send([]netip.AddrPort{address}, k.wayTo(gate), beechdatagram.Tell{Tell: k.stateMessage(&gate.recipient, now)})
+	k.send([]netip.AddrPort{address}, k.scopeTo(gate), beechdatagram.Tell{Tell: k.stateMessage(&gate.recipient, now)})
 }
 
 // notifyZone sends the state to the gates of another zone through their relays. A change of
@@ -169,8 +169,8 @@
 	k.deps.Log.Debug("state sent to zone", zap.String("zone", zone), zap.Stringers("peers", to))
 }
 
-func (k *Keeper) send(to []netip.AddrPort, way beechdatagram.Scope, m beechdatagram.Message) {
-	if err := k.socket.SendAll(to, way, m); err != nil {
+func (k *Keeper) send(to []netip.AddrPort, scope beechdatagram.Scope, m beechdatagram.Message) {
+	if err := k.socket.SendAll(to, scope, m); err != nil {
 		k.deps.Log.Debug("sending to gates failed", zap.Error(err))
 	}
 }
@@ -196,7 +196,7 @@
 func (k *Keeper) roster() *beechwire.Roster {
 	zones := make(map[string][]string)
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechdatagram.CrossZone {
+		if k.scopeTo(gate) == beechdatagram.CrossZone {
 			text, _ := address.MarshalBinary() // never fails
 			zones[gate.zone] = append(zones[gate.zone], string(text))
 		}
@@ -214,7 +214,7 @@
 func (k *Keeper) sendPeers(address netip.AddrPort) {
 	peers := &beechwire.Peers{}
 	for address, gate := range k.gates {
-		if k.wayTo(gate) == beechdatagram.SameZone {
+		if k.scopeTo(gate) == beechdatagram.SameZone {
 			peers.Gates = append(peers.Gates, address.String())
 		}
 	}
