--- a/internal/command/beechcommand/gate.go
+++ b/internal/command/beechcommand/gate.go
@@ -25,7 +25,7 @@
 
 func runGate(ctx context.Context, r *role[beechsettings.Gate]) error {
 	clock := clockwork.NewRealClock()
-	pool := beechpool.New(beechpool.Defaults, clock)
+	pool := beechpool.New(beechpool.DefaultSettings, clock)
 	store := platform.NewStore(r.settings.Store)
 	gate, err := beechgate.New(r.settings, beechgate.Dependencies{
 		Clock: clock, Age: beechfresh.BootClock{}, Log: r.log,
--- a/internal/command/beechcommand/keeper.go
+++ b/internal/command/beechcommand/keeper.go
@@ -27,7 +27,7 @@
 		return err // all of them are in force from the next start on
 	})
 	clock := clockwork.NewRealClock()
-	engines := platform.NewEngines(beechpool.New(beechpool.Defaults, clock), clock)
+	engines := platform.NewEngines(beechpool.New(beechpool.DefaultSettings, clock), clock)
 	keeper, err := beechkeeper.New(r.settings, beechkeeper.Dependencies{
 		Clock: clock, Log: r.log, Engine: platform.Beside{Engines: engines, Address: r.settings.Engine},
 	})
--- a/internal/command/beechplay/launch.go
+++ b/internal/command/beechplay/launch.go
@@ -53,7 +53,7 @@
 // Gate implements Launcher.
 func (i Inside) Gate(s *beechsettings.Gate) (Process, error) {
 	clock := clockwork.NewRealClock()
-	pool := beechpool.New(beechpool.Defaults, clock)
+	pool := beechpool.New(beechpool.DefaultSettings, clock)
 	store := platform.NewStore(s.Store)
 	g, err := beechgate.New(s, beechgate.Dependencies{
 		Clock: clock, Age: i.Age, Log: i.Log.With(zap.String("process", s.Name)), Source: store, StoreUse: store.Use(),
@@ -70,7 +70,7 @@
 // Keeper implements Launcher.
 func (i Inside) Keeper(s *beechsettings.Keeper) (Process, error) {
 	clock := clockwork.NewRealClock()
-	engines := platform.NewEngines(beechpool.New(beechpool.Defaults, clock), clock)
+	engines := platform.NewEngines(beechpool.New(beechpool.DefaultSettings, clock), clock)
 	k, err := beechkeeper.New(s, beechkeeper.Dependencies{
 		Clock: clock, Log: i.Log.With(zap.String("process", s.Name)), Engine: platform.Beside{Engines: engines, Address: s.Engine},
 	})
--- a/internal/link/beechpool/pool.go
+++ b/internal/link/beechpool/pool.go
@@ -42,11 +42,11 @@
 type (
 	// Settings of a pool.
 	Settings struct {
-		Dial        time.Duration // for a new connection
-		Unconfirmed time.Duration // sent bytes without the peer's word: the connection is dead
-		Idle        time.Duration // a kept connection is used again for so long, or 7/10 of what the server says
-		Probe       time.Duration // between probes of a silent connection; dead after three
-		Most        int           // connections to one server; 0 is no bound
+		DialTimeout   time.Duration // for a new connection
+		UserTimeout   time.Duration // sent bytes without the peer's word: the connection is dead
+		IdleTimeout   time.Duration // a kept connection is used again for so long, or 7/10 of what the server says
+		ProbeInterval time.Duration // between probes of a silent connection; dead after three
+		MaxConns      int           // connections to one server; 0 is no bound
 	}
 
 	// Pool keeps connections by server. It is safe for concurrent use.
@@ -55,11 +55,11 @@
 		clock    clockwork.Clock
 		dialer   net.Dialer
 
-		mu   sync.Mutex
-		idle map[netip.AddrPort][]*conn // the last used at the end
-		open map[netip.AddrPort]int
-		most int
-		made int
+		mu       sync.Mutex
+		idle     map[netip.AddrPort][]*conn // the last used at the end
+		open     map[netip.AddrPort]int
+		maxConns int
+		dialed   int
 	}
 
 	// DialError says that no connection was made, so nothing was sent.
@@ -71,93 +71,93 @@
 	// ExchangeError says that a request was sent, at least in part, and no
 	// answer came.
 	ExchangeError struct {
-		Peer netip.AddrPort
-		Step string // write or read
-		Kept bool   // the connection had been used before
-		Err  error
+		Peer   netip.AddrPort
+		Step   string // write or read
+		Reused bool   // the connection had been used before
+		Err    error
 	}
 
 	conn struct {
 		net.Conn
-		pool    *Pool
-		peer    netip.AddrPort
-		reader  *bufio.Reader
-		uses    int
-		since   time.Time
-		lasts   time.Duration
-		written chan error // of the request under way, when it is written beside reading
-		wrote   error
-		done    bool // written has been read
+		pool          *Pool
+		peer          netip.AddrPort
+		reader        *bufio.Reader
+		uses          int
+		idleSince     time.Time
+		idleTimeout   time.Duration
+		writeDone     chan error // of the request under way, when it is written beside reading
+		writeErr      error
+		writeDoneRead bool // written has been read
 	}
 
 	body struct {
 		io.ReadCloser
-		conn  *conn
-		stop  func() bool // of the cancellation
-		keep  bool
-		ended bool
-		once  sync.Once
+		conn       *conn
+		stopCancel func() bool // of the cancellation
+		reusable   bool
+		readToEOF  bool
+		once       sync.Once
 	}
 )
 
-// Defaults are settings for servers some milliseconds away. Dial: a machine without power
+// DefaultSettings are settings for servers some milliseconds away. Dial: a machine without power
 // never answers, and another server can still serve in time. Unconfirmed: three
 // lost packets in a row are rarer than a dead machine.
-var Defaults = Settings{
-	Dial: 300 * time.Millisecond, Unconfirmed: 1500 * time.Millisecond,
-	Idle: 4 * time.Second, Probe: 500 * time.Millisecond,
+var DefaultSettings = Settings{
+	DialTimeout: 300 * time.Millisecond, UserTimeout: 1500 * time.Millisecond,
+	IdleTimeout: 4 * time.Second, ProbeInterval: 500 * time.Millisecond,
 }
 
 const (
-	besideBytes   = 16 << 10 // longer bodies are written beside reading, since a server may answer before it has read them
-	strangeMost   = 3        // answers to earlier requests that are passed over on one connection
-	readerBytes   = 4 << 10
-	keptIdleMost  = 64 // kept connections to one server
-	drainMost     = 64 << 10
-	keptShareOver = 10
-	keptShare     = 7
+	concurrentWriteBytes      = 16 << 10 // longer bodies are written beside reading, since a server may answer before it has read them
+	maxStaleResponses         = 3        // answers to earlier requests that are passed over on one connection
+	readBufferBytes           = 4 << 10
+	maxIdleConns              = 64 // kept connections to one server
+	maxDiscardBytes           = 64 << 10
+	keepAliveShareDenominator = 10
+	keepAliveShareNumerator   = 7
 )
 
 var (
-	errStrange = errors.New("answers to other requests only")
-	errFull    = errors.New("as many connections as allowed")
+	errStaleResponses = errors.New("answers to other requests only")
+	errMaxConns       = errors.New("as many connections as allowed")
 )
 
 // New returns a pool without connections.
 func New(s Settings, clock clockwork.Clock) *Pool {
 	p := &Pool{
-		settings: s, clock: clock, most: s.Most,
+		settings: s, clock: clock, maxConns: s.MaxConns,
 		idle: make(map[netip.AddrPort][]*conn), open: make(map[netip.AddrPort]int),
 	}
 	p.dialer = net.Dialer{
-		Timeout:         s.Dial,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: s.Probe, Interval: s.Probe, Count: 3},
+		Timeout:         s.DialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: s.ProbeInterval, Interval: s.ProbeInterval, Count: 3},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
 				// Where the option is missing, the probes still find a dead peer.
-				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.Unconfirmed.Milliseconds()))
+				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.UserTimeout.Milliseconds()))
 			})
 		},
 	}
 	return p
 }
 
-// Made counts the connections made so far.
-func (p *Pool) Made() int {
+// ConnectionsMade counts the connections made so far.
+func (p *Pool) ConnectionsMade() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.made
+	return p.dialed
 }
 
-// Bound sets how many connections to one server there may be; 0 is no bound.
-func (p *Pool) Bound(most int) {
+// SetMaxConns sets how many connections to one server there may be; 0 is no bound.
+func (p *Pool) SetMaxConns(limit int) {
 	p.mu.Lock()
-	p.most = most
+	p.maxConns = limit
 	p.mu.Unlock()
 }
 
-// Reach tells whether a server takes connections, by making one.
-func (p *Pool) Reach(ctx context.Context, peer netip.AddrPort) error {
+// Probe tells whether a server takes connections, by making one.
+func (p *Pool) Probe(ctx context.Context, peer netip.AddrPort) error {
 	c, err := p.dialer.DialContext(ctx, "tcp", peer.String())
 	if err != nil {
 		return &DialError{Peer: peer, Err: err}
@@ -168,13 +168,13 @@
 // Exchange sends a request and gives the answer that mine recognises. The
 // context covers the whole exchange, to the end of the body. Errors are
 // *DialError and *ExchangeError.
-func (p *Pool) Exchange(ctx context.Context, peer netip.AddrPort, r *http.Request, mine func(*http.Response) bool) (*http.Response, error) {
-	c, err := p.take(ctx, peer)
+func (p *Pool) Exchange(ctx context.Context, peer netip.AddrPort, r *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
+	c, err := p.acquire(ctx, peer)
 	if err != nil {
 		return nil, &DialError{Peer: peer, Err: err}
 	}
 	stop := context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	response, failed := c.exchange(r, mine)
+	response, failed := c.exchange(r, matches)
 	if failed != nil {
 		stop()
 		c.drop()
@@ -183,92 +183,92 @@
 		}
 		return nil, failed
 	}
-	response.Body = &body{ReadCloser: response.Body, conn: c, stop: stop, keep: !response.Close}
+	response.Body = &body{ReadCloser: response.Body, conn: c, stopCancel: stop, reusable: !response.Close}
 	return response, nil
 }
 
-func (c *conn) exchange(r *http.Request, mine func(*http.Response) bool) (*http.Response, *ExchangeError) {
-	kept := c.uses > 0
+func (c *conn) exchange(r *http.Request, matches func(*http.Response) bool) (*http.Response, *ExchangeError) {
+	reused := c.uses > 0
 	c.uses++
-	c.written, c.done, c.wrote = make(chan error, 1), false, nil
-	if r.ContentLength > besideBytes {
-		go func() { c.written <- r.Write(c.Conn) }()
+	c.writeDone, c.writeDoneRead, c.writeErr = make(chan error, 1), false, nil
+	if r.ContentLength > concurrentWriteBytes {
+		go func() { c.writeDone <- r.Write(c.Conn) }()
 	} else {
-		c.written <- r.Write(c.Conn)
+		c.writeDone <- r.Write(c.Conn)
 		if err := c.writeResult(); err != nil {
-			return nil, &ExchangeError{Peer: c.peer, Step: "write request", Kept: kept, Err: err}
+			return nil, &ExchangeError{Peer: c.peer, Step: "write request", Reused: reused, Err: err}
 		}
 	}
-	for strange := 0; strange < strangeMost; {
+	for stale := 0; stale < maxStaleResponses; {
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
-			return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Kept: kept, Err: err}
+			return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Reused: reused, Err: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if mine(response) {
+		if matches(response) {
 			return response, nil
 		}
 		// The answer to an earlier request has come late or twice.
-		strange++
-		n, err := io.CopyN(io.Discard, response.Body, drainMost)
+		stale++
+		n, err := io.CopyN(io.Discard, response.Body, maxDiscardBytes)
 		if !errors.Is(err, io.EOF) || response.Close {
-			return nil, &ExchangeError{Peer: c.peer, Step: "pass over an answer", Kept: kept, Err: fmt.Errorf("%w: %d bytes", errStrange, n)}
+			return nil, &ExchangeError{Peer: c.peer, Step: "pass over an answer", Reused: reused, Err: fmt.Errorf("%w: %d bytes", errStaleResponses, n)}
 		}
 	}
-	return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Kept: kept, Err: errStrange}
+	return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Reused: reused, Err: errStaleResponses}
 }
 
 func (c *conn) writeResult() error {
-	if !c.done {
-		c.wrote, c.done = <-c.written, true
+	if !c.writeDoneRead {
+		c.writeErr, c.writeDoneRead = <-c.writeDone, true
 	}
-	return c.wrote
+	return c.writeErr
 }
 
-// finishedWriting tells whether the whole request was sent, without waiting.
-func (c *conn) finishedWriting() bool {
-	if !c.done {
+// requestWritten tells whether the whole request was sent, without waiting.
+func (c *conn) requestWritten() bool {
+	if !c.writeDoneRead {
 		select {
-		case c.wrote = <-c.written:
-			c.done = true
+		case c.writeErr = <-c.writeDone:
+			c.writeDoneRead = true
 		default:
 			return false
 		}
 	}
-	return c.wrote == nil
+	return c.writeErr == nil
 }
 
-// take gives a kept connection that still looks sound, or a new one.
-func (p *Pool) take(ctx context.Context, peer netip.AddrPort) (*conn, error) {
+// acquire gives a kept connection that still looks sound, or a new one.
+func (p *Pool) acquire(ctx context.Context, peer netip.AddrPort) (*conn, error) {
 	for {
-		c := p.pop(peer)
+		c := p.popIdle(peer)
 		if c == nil {
 			break
 		}
-		if p.clock.Since(c.since) < c.lasts && c.quiet() {
+		if p.clock.Since(c.idleSince) < c.idleTimeout && c.openAndEmpty() {
 			return c, nil
 		}
 		c.drop()
 	}
 	p.mu.Lock()
-	if p.most > 0 && p.open[peer] >= p.most {
+	if p.maxConns > 0 && p.open[peer] >= p.maxConns {
 		p.mu.Unlock()
-		return nil, errFull
+		return nil, errMaxConns
 	}
 	p.open[peer]++
-	p.made++
+	p.dialed++
 	p.mu.Unlock()
 	raw, err := p.dialer.DialContext(ctx, "tcp", peer.String())
 	if err != nil {
-		p.closed(peer)
+		p.decrementOpen(peer)
 		return nil, err
 	}
-	return &conn{Conn: raw, pool: p, peer: peer, reader: bufio.NewReaderSize(raw, readerBytes), lasts: p.settings.Idle}, nil
+	return &conn{Conn: raw, pool: p, peer: peer, reader: bufio.NewReaderSize(raw, readBufferBytes), idleTimeout: p.settings.IdleTimeout}, nil
 }
 
-func (p *Pool) pop(peer netip.AddrPort) *conn {
+func (p *Pool) popIdle(peer netip.AddrPort) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[peer]
@@ -280,7 +280,7 @@
 	return c
 }
 
-func (p *Pool) closed(peer netip.AddrPort) {
+func (p *Pool) decrementOpen(peer netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[peer]--; p.open[peer] <= 0 {
@@ -288,8 +288,8 @@
 	}
 }
 
-// Forget closes the kept connections to a server that is gone.
-func (p *Pool) Forget(peer netip.AddrPort) {
+// CloseIdle closes the kept connections to a server that is gone.
+func (p *Pool) CloseIdle(peer netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[peer]
 	delete(p.idle, peer)
@@ -299,16 +299,16 @@
 	}
 }
 
-// Sweep closes kept connections that have been idle for too long. A connection
+// CloseExpired closes kept connections that have been idle for too long. A connection
 // that is left to the server's own timeout could close under a request.
-func (p *Pool) Sweep() {
-	var old []*conn
+func (p *Pool) CloseExpired() {
+	var expired []*conn
 	p.mu.Lock()
 	for peer, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if p.clock.Since(c.since) >= c.lasts {
-				old = append(old, c)
+			if p.clock.Since(c.idleSince) >= c.idleTimeout {
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -316,13 +316,13 @@
 		p.idle[peer] = kept
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.drop()
 	}
 }
 
-// quiet tells whether a kept connection is open and nothing lies on it.
-func (c *conn) quiet() bool {
+// openAndEmpty tells whether a kept connection is open and nothing lies on it.
+func (c *conn) openAndEmpty() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -331,27 +331,27 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(err, unix.EAGAIN)
+		empty = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 func (c *conn) drop() {
 	_ = c.Close()
-	c.pool.closed(c.peer)
+	c.pool.decrementOpen(c.peer)
 }
 
-// keep gives the connection back for the next request.
-func (c *conn) keep() {
+// release gives the connection back for the next request.
+func (c *conn) release() {
 	p := c.pool
-	c.since = p.clock.Now()
+	c.idleSince = p.clock.Now()
 	p.mu.Lock()
-	if len(p.idle[c.peer]) < keptIdleMost {
+	if len(p.idle[c.peer]) < maxIdleConns {
 		p.idle[c.peer] = append(p.idle[c.peer], c)
 		p.mu.Unlock()
 		return
@@ -364,7 +364,7 @@
 func (b *body) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err == io.EOF {
-		b.ended = true
+		b.readToEOF = true
 		b.finish()
 	}
 	return n, err
@@ -379,17 +379,17 @@
 
 func (b *body) finish() {
 	b.once.Do(func() {
-		cancelled := !b.stop()
-		if cancelled || !b.keep || !b.ended || !b.conn.finishedWriting() || b.conn.reader.Buffered() > 0 {
+		cancelled := !b.stopCancel()
+		if cancelled || !b.reusable || !b.readToEOF || !b.conn.requestWritten() || b.conn.reader.Buffered() > 0 {
 			b.conn.drop()
 			return
 		}
-		b.conn.keep()
+		b.conn.release()
 	})
 }
 
-// Lasts tells the connection under a body how long the server keeps it.
-func Lasts(r *http.Response) {
+// ApplyKeepAlive tells the connection under a body how long the server keeps it.
+func ApplyKeepAlive(r *http.Response) {
 	b, ok := r.Body.(*body)
 	if !ok {
 		return
@@ -397,7 +397,7 @@
 	for _, field := range strings.Split(r.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			b.conn.lasts = min(b.conn.pool.settings.Idle, time.Duration(seconds)*time.Second*keptShare/keptShareOver)
+			b.conn.idleTimeout = min(b.conn.pool.settings.IdleTimeout, time.Duration(seconds)*time.Second*keepAliveShareNumerator/keepAliveShareDenominator)
 		}
 	}
 }
--- a/internal/link/beechpool/pool_test.go
+++ b/internal/link/beechpool/pool_test.go
@@ -20,8 +20,8 @@
 	"github.com/matryer/is"
 )
 
-// raw serves each connection by a script that sees the requests on it.
-func raw(t *testing.T, script func(c net.Conn, r *bufio.Reader)) (netip.AddrPort, *atomic.Int32) {
+// serveRaw serves each connection by a script that sees the requests on it.
+func serveRaw(t *testing.T, script func(c net.Conn, r *bufio.Reader)) (netip.AddrPort, *atomic.Int32) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,12 +44,12 @@
 	return netip.MustParseAddrPort(l.Addr().String()), accepted
 }
 
-func answerTo(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// next reads a whole request and gives its id.
-func next(r *bufio.Reader) (string, bool) {
+// readRequestID reads a whole request and gives its id.
+func readRequestID(r *bufio.Reader) (string, bool) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
 		return "", false
@@ -72,13 +72,13 @@
 	return string(data), err
 }
 
-func newPool() *Pool { return New(Defaults, clockwork.NewRealClock()) }
+func newPool() *Pool { return New(DefaultSettings, clockwork.NewRealClock()) }
 
-func TestConnectionIsKept(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	is := is.New(t)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
-		for id, ok := next(r); ok; id, ok = next(r) {
-			answerTo(c, id, "for "+id)
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		for id, ok := readRequestID(r); ok; id, ok = readRequestID(r) {
+			writeResponse(c, id, "for "+id)
 		}
 	})
 	p := newPool()
@@ -93,14 +93,14 @@
 
 // A server closes a kept connection just as the next request goes out on it. A
 // client that silently sends it again runs a shipment twice.
-func TestNothingIsRepeated(t *testing.T) {
+func TestRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	seen := &atomic.Int32{}
-	peer, _ := raw(t, func(c net.Conn, r *bufio.Reader) {
-		if id, ok := next(r); ok {
-			answerTo(c, id, "first")
+	peer, _ := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		if id, ok := readRequestID(r); ok {
+			writeResponse(c, id, "first")
 		}
-		if _, ok := next(r); ok {
+		if _, ok := readRequestID(r); ok {
 			seen.Add(1) // read whole, never answered
 		}
 	})
@@ -110,7 +110,7 @@
 	_, err = exchange(t.Context(), p, peer, "b", []byte("x"))
 	var failed *ExchangeError
 	is.True(errors.As(err, &failed))
-	is.True(failed.Kept)
+	is.True(failed.Reused)
 	is.Equal(seen.Load(), int32(1))
 }
 
@@ -118,9 +118,9 @@
 // is used, so the request is not lost with it.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
-		if id, ok := next(r); ok {
-			answerTo(c, id, "one")
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		if id, ok := readRequestID(r); ok {
+			writeResponse(c, id, "one")
 		}
 	})
 	p := newPool()
@@ -134,18 +134,18 @@
 
 // A server answers an earlier request a second time, right where the next
 // answer is due. Taken for that, somebody gets another's answer.
-func TestSecondAnswerIsPassedOver(t *testing.T) {
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
-		first, _ := next(r)
-		answerTo(c, first, "first")
-		second, ok := next(r)
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		first, _ := readRequestID(r)
+		writeResponse(c, first, "first")
+		second, ok := readRequestID(r)
 		if !ok {
 			return
 		}
-		answerTo(c, first, "first again")
-		answerTo(c, second, "second")
-		_, _ = next(r)
+		writeResponse(c, first, "first again")
+		writeResponse(c, second, "second")
+		_, _ = readRequestID(r)
 	})
 	p := newPool()
 	_, err := exchange(t.Context(), p, peer, "a", []byte("x"))
@@ -157,13 +157,13 @@
 }
 
 // The second answer lies on the kept connection before it is used again.
-func TestUnaskedBytesCloseTheConnection(t *testing.T) {
+func TestUnsolicitedBytesCloseConnection(t *testing.T) {
 	is := is.New(t)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
-		for id, ok := next(r); ok; id, ok = next(r) {
-			answerTo(c, id, "for "+id)
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		for id, ok := readRequestID(r); ok; id, ok = readRequestID(r) {
+			writeResponse(c, id, "for "+id)
 			time.Sleep(5 * time.Millisecond)
-			answerTo(c, id, "again for "+id)
+			writeResponse(c, id, "again for "+id)
 		}
 	})
 	p := newPool()
@@ -179,22 +179,22 @@
 
 // A server answers before it has read a long body, and reads on later. Nothing
 // else may come where the rest of the body is due.
-func TestEarlyAnswer(t *testing.T) {
+func TestResponseBeforeRequestBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan []byte, 1)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
 		request, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
-		answerTo(c, request.Header.Get("Id"), "early")
+		writeResponse(c, request.Header.Get("Id"), "early")
 		time.Sleep(50 * time.Millisecond)
 		data, _ := io.ReadAll(request.Body)
 		if request.Header.Get("Id") == "a" {
 			rest <- data
 		}
-		for id, ok := next(r); ok; id, ok = next(r) {
-			answerTo(c, id, "later")
+		for id, ok := readRequestID(r); ok; id, ok = readRequestID(r) {
+			writeResponse(c, id, "later")
 		}
 	})
 	p := newPool()
@@ -212,11 +212,11 @@
 
 // An answer without a length ends with its connection. One that is reset is not
 // whole.
-func TestAnswersWithoutLength(t *testing.T) {
+func TestResponseWithoutContentLength(t *testing.T) {
 	is := is.New(t)
 	reset := &atomic.Bool{}
-	peer, _ := raw(t, func(c net.Conn, r *bufio.Reader) {
-		id, ok := next(r)
+	peer, _ := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		id, ok := readRequestID(r)
 		if !ok {
 			return
 		}
@@ -235,10 +235,10 @@
 	is.True(err != nil)
 }
 
-func TestShortAnswerIsNotWhole(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	is := is.New(t)
-	peer, _ := raw(t, func(c net.Conn, r *bufio.Reader) {
-		if id, ok := next(r); ok {
+	peer, _ := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		if id, ok := readRequestID(r); ok {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 100\r\n\r\nhalf", id)
 		}
 	})
@@ -246,7 +246,7 @@
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	is.NoErr(err)
@@ -260,11 +260,11 @@
 
 // The context ends while a server is at work. The connection is closed, by
 // which the server sees that nobody waits any more.
-func TestCancelClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
-	peer, _ := raw(t, func(_ net.Conn, r *bufio.Reader) {
-		_, _ = next(r)
+	peer, _ := serveRaw(t, func(_ net.Conn, r *bufio.Reader) {
+		_, _ = readRequestID(r)
 		_, _ = r.ReadByte()
 		close(closed)
 	})
@@ -279,16 +279,16 @@
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestMaxConns(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	peer, _ := raw(t, func(c net.Conn, r *bufio.Reader) {
-		id, _ := next(r)
+	peer, _ := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		id, _ := readRequestID(r)
 		<-release
-		answerTo(c, id, "late")
+		writeResponse(c, id, "late")
 	})
 	p := newPool()
-	p.Bound(1)
+	p.SetMaxConns(1)
 	done := make(chan error, 1)
 	go func() {
 		_, err := exchange(t.Context(), p, peer, "a", []byte("x"))
@@ -296,36 +296,36 @@
 	}()
 	time.Sleep(50 * time.Millisecond)
 	_, err := exchange(t.Context(), p, peer, "b", []byte("x"))
-	is.True(errors.Is(err, errFull))
+	is.True(errors.Is(err, errMaxConns))
 	close(release)
 	is.NoErr(<-done)
 }
 
-func TestLastsAndSweep(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	is := is.New(t)
-	peer, accepted := raw(t, func(c net.Conn, r *bufio.Reader) {
-		for id, ok := next(r); ok; id, ok = next(r) {
+	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
+		for id, ok := readRequestID(r); ok; id, ok = readRequestID(r) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nKeep-Alive: timeout=1\r\nContent-Length: 0\r\n\r\n", id)
 		}
 	})
 	clock := clockwork.NewFakeClock()
-	p := New(Defaults, clock)
-	once := func() {
+	p := New(DefaultSettings, clock)
+	get := func() {
 		r := &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/x"}, Host: "h", Header: http.Header{"Id": {"a"}}}
 		response, err := p.Exchange(t.Context(), peer, r, func(*http.Response) bool { return true })
 		is.NoErr(err)
-		Lasts(response)
+		ApplyKeepAlive(response)
 		_, _ = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
 	}
-	once()
+	get()
 	clock.Advance(600 * time.Millisecond)
-	once()
+	get()
 	is.Equal(accepted.Load(), int32(1))
 	clock.Advance(800 * time.Millisecond) // 7/10 of the server's second are over
-	p.Sweep()
+	p.CloseExpired()
 	is.Equal(len(p.idle[peer]), 0)
-	once()
+	get()
 	is.Equal(accepted.Load(), int32(2))
-	is.Equal(p.Made(), 2)
+	is.Equal(p.ConnectionsMade(), 2)
 }
--- a/internal/process/beechgate/configuration.go
+++ b/internal/process/beechgate/configuration.go
@@ -63,7 +63,7 @@
 	g.mu.Lock()
 	gates := max(g.gates, 2)
 	g.mu.Unlock()
-	g.deps.Pool.Bound(int(float64(limit)*connectionSkew) / gates)
+	g.deps.Pool.SetMaxConns(int(float64(limit)*connectionSkew) / gates)
 }
 
 // logEntryError logs invalid server entries once each time that the set of them changes: they
@@ -108,7 +108,7 @@
 	g.logServerChanges(previous, servers)
 	for _, s := range previous {
 		if _, ok := current[s.ID]; !ok {
-			g.deps.Pool.Forget(s.Address)
+			g.deps.Pool.CloseIdle(s.Address)
 		}
 	}
 	if len(previous) == 0 && len(servers) > 0 {
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -284,7 +284,7 @@
 		}
 		store := stores[next%len(stores)]
 		next++
-		err := g.deps.Pool.Reach(ctx, store)
+		err := g.deps.Pool.Probe(ctx, store)
 		if err != nil {
 			g.placer.KVStoreFailed(store)
 		}
@@ -309,6 +309,6 @@
 func (g *Gate) tick(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, tickInterval, func() {
 		g.health.Tick()
-		g.deps.Pool.Sweep()
+		g.deps.Pool.CloseExpired()
 	})
 }
--- a/internal/process/beechgate/metrics.go
+++ b/internal/process/beechgate/metrics.go
@@ -60,7 +60,7 @@
 		}
 		return 0
 	}))
-	m.vars.Set("connectionsMade", expvar.Func(func() any { return g.deps.Pool.Made() }))
+	m.vars.Set("connectionsMade", expvar.Func(func() any { return g.deps.Pool.ConnectionsMade() }))
 	m.vars.Set("datagramsMalformed", expvar.Func(func() any { return g.socket.MalformedCount() }))
 	m.vars.Set("gates", expvar.Func(func() any {
 		g.mu.Lock()
--- a/internal/request/beechattempt/attempt_test.go
+++ b/internal/request/beechattempt/attempt_test.go
@@ -65,7 +65,7 @@
 func (ignoring) ObserveAttempt(beechcall.Server, string, time.Duration, int, bool) {}
 func (ignoring) ObserveEnd(Result)                                                 {}
 
-func (s reachable) Reach(_ context.Context, peer netip.AddrPort) error {
+func (s reachable) Probe(_ context.Context, peer netip.AddrPort) error {
 	if s[peer] {
 		return nil
 	}
--- a/internal/request/beechattempt/crash.go
+++ b/internal/request/beechattempt/crash.go
@@ -15,7 +15,7 @@
 type (
 	// Prober reports whether a server accepts connections; *beechpool.Pool implements it.
 	Prober interface {
-		Reach(ctx context.Context, peer netip.AddrPort) error
+		Probe(ctx context.Context, peer netip.AddrPort) error
 	}
 
 	// crashDetector decides whether a request whose answer broke off has crashed its
@@ -60,7 +60,7 @@
 func (d *crashDetector) probe(server netip.AddrPort) {
 	ctx, cancel := clockwork.WithTimeout(context.Background(), d.clock, probeTimeout)
 	defer cancel()
-	err := d.prober.Reach(ctx, server)
+	err := d.prober.Probe(ctx, server)
 	d.mu.Lock()
 	fingerprints := d.pending[server]
 	delete(d.pending, server)
