--- a/internal/link/beechpool/pool.go
+++ b/internal/link/beechpool/pool.go
@@ -1,14 +1,14 @@
-// Package beechpool keeps HTTP/1.1 connections to backend servers and makes one
-// exchange at a time on each.
+// Package beechpool is a pool of HTTP/1.1 connections to backend servers, without
+// pipelining: each connection carries one exchange at a time.
 //
-// net/http's Transport is not used, because it repeats some requests by itself
-// when a kept connection turns out closed, because it drops a connection on
-// which a second answer arrives, and because it does not tell whether a request
-// was sent. Here nothing is ever repeated, an answer to an earlier request is
-// recognised and passed over, and errors say what reached the server.
+// It replaces net/http's Transport, which retries some requests by itself when a
+// reused connection turns out to be closed, drops a connection on which a duplicate
+// response arrives, and does not report whether a request was sent. This package never
+// retries, recognises and discards a response to an earlier request, and its errors
+// tell how far the request got.
 //
-// A kept connection is looked at before it is used again: one that the server
-// has closed, or on which bytes lie that nobody asked for, is closed.
+// Before an idle connection is reused, it is checked without blocking. It is dropped if
+// the server has closed it or has sent bytes that no request asked for.
 //
 // # Usage
 //
@@ -17,7 +17,7 @@
 //		return r.Header.Get("X-Id") == id
 //	})
 //	var dial *beechpool.DialError // nothing was sent
-//	defer response.Body.Close()   // before its end: the run is cancelled
+//	defer response.Body.Close()   // before the end of the body, this cancels the request
 package beechpool
 
 import (
@@ -40,39 +40,39 @@
 )
 
 type (
-	// Settings of a pool.
+	// Settings configure a pool.
 	Settings struct {
 		DialTimeout   time.Duration // for a new connection
-		UserTimeout   time.Duration // sent bytes without the peer's word: the connection is dead
-		IdleTimeout   time.Duration // a kept connection is used again for so long, or 7/10 of what the server says
-		ProbeInterval time.Duration // between probes of a silent connection; dead after three
-		MaxConns      int           // connections to one server; 0 is no bound
+		UserTimeout   time.Duration // the connection is dead if sent bytes stay unacknowledged for longer
+		IdleTimeout   time.Duration // maximum idle time of a reused connection; 7/10 of the server's Keep-Alive timeout if that is shorter
+		ProbeInterval time.Duration // between TCP keep-alive probes; the connection is dead after three without an answer
+		MaxConns      int           // connections to one server; 0: unlimited
 	}
 
-	// Pool keeps connections by server. It is safe for concurrent use.
+	// Pool holds the connections to all servers. It is safe for concurrent use.
 	Pool struct {
 		settings Settings
 		clock    clockwork.Clock
 		dialer   net.Dialer
 
 		mu       sync.Mutex
-		idle     map[netip.AddrPort][]*conn // the last used at the end
+		idle     map[netip.AddrPort][]*conn // by server; the most recently used is last
 		open     map[netip.AddrPort]int
 		maxConns int
 		dialed   int
 	}
 
-	// DialError says that no connection was made, so nothing was sent.
+	// DialError reports that no connection was available, so nothing was sent.
 	DialError struct {
 		Peer netip.AddrPort
 		Err  error
 	}
 
-	// ExchangeError says that a request was sent, at least in part, and no
-	// answer came.
+	// ExchangeError reports that a request was sent, at least in part, and that no
+	// response to it was received.
 	ExchangeError struct {
 		Peer   netip.AddrPort
-		Step   string // write or read
+		Step   string // what failed, such as "write request"
 		Reused bool   // the connection had been used before
 		Err    error
 	}
@@ -85,45 +85,46 @@
 		uses          int
 		idleSince     time.Time
 		idleTimeout   time.Duration
-		writeDone     chan error // of the request under way, when it is written beside reading
+		writeDone     chan error // gets the result of writing the current request
 		writeErr      error
-		writeDoneRead bool // written has been read
+		writeDoneRead bool // writeErr holds the value of writeDone
 	}
 
 	body struct {
 		io.ReadCloser
 		conn       *conn
-		stopCancel func() bool // of the cancellation
+		stopCancel func() bool // stops closing the connection when the context ends
 		reusable   bool
 		readToEOF  bool
 		once       sync.Once
 	}
 )
 
-// DefaultSettings are settings for servers some milliseconds away. Dial: a machine without power
-// never answers, and another server can still serve in time. Unconfirmed: three
-// lost packets in a row are rarer than a dead machine.
+// DefaultSettings suit servers with a round-trip time of a few milliseconds. DialTimeout
+// is short because a host without power never answers, and another server can then still
+// serve the request in time. UserTimeout is long enough that three packets lost in a row
+// are less likely than a dead host.
 var DefaultSettings = Settings{
 	DialTimeout: 300 * time.Millisecond, UserTimeout: 1500 * time.Millisecond,
 	IdleTimeout: 4 * time.Second, ProbeInterval: 500 * time.Millisecond,
 }
 
 const (
-	concurrentWriteBytes      = 16 << 10 // longer bodies are written beside reading, since a server may answer before it has read them
-	maxStaleResponses         = 3        // answers to earlier requests that are passed over on one connection
+	concurrentWriteBytes      = 16 << 10 // longer bodies are written while reading, since a server may respond before it has read them
+	maxStaleResponses         = 3        // responses to earlier requests after which an exchange fails
 	readBufferBytes           = 4 << 10
-	maxIdleConns              = 64 // kept connections to one server
+	maxIdleConns              = 64 // to one server
 	maxDiscardBytes           = 64 << 10
 	keepAliveShareDenominator = 10
 	keepAliveShareNumerator   = 7
 )
 
 var (
-	errStaleResponses = errors.New("answers to other requests only")
-	errMaxConns       = errors.New("as many connections as allowed")
+	errStaleResponses = errors.New("received only responses to earlier requests")
+	errMaxConns       = errors.New("maximum number of connections to the server reached")
 )
 
-// New returns a pool without connections.
+// New returns an empty pool.
 func New(s Settings, clock clockwork.Clock) *Pool {
 	p := &Pool{
 		settings: s, clock: clock, maxConns: s.MaxConns,
@@ -134,7 +135,7 @@
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: s.ProbeInterval, Interval: s.ProbeInterval, Count: 3},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Where the option is missing, the probes still find a dead peer.
+				// Without this socket option the keep-alive probes still detect a dead peer.
 				_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(s.UserTimeout.Milliseconds()))
 			})
 		},
@@ -142,21 +143,21 @@
 	return p
 }
 
-// ConnectionsMade counts the connections made so far.
+// ConnectionsMade returns how many connections were dialed so far, including failed attempts.
 func (p *Pool) ConnectionsMade() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.dialed
 }
 
-// SetMaxConns sets how many connections to one server there may be; 0 is no bound.
+// SetMaxConns limits the number of connections to one server; 0 removes the limit.
 func (p *Pool) SetMaxConns(limit int) {
 	p.mu.Lock()
 	p.maxConns = limit
 	p.mu.Unlock()
 }
 
-// Probe tells whether a server takes connections, by making one.
+// Probe checks whether a server accepts connections, by opening and closing one.
 func (p *Pool) Probe(ctx context.Context, peer netip.AddrPort) error {
 	c, err := p.dialer.DialContext(ctx, "tcp", peer.String())
 	if err != nil {
@@ -165,9 +166,9 @@
 	return c.Close()
 }
 
-// Exchange sends a request and gives the answer that mine recognises. The
-// context covers the whole exchange, to the end of the body. Errors are
-// *DialError and *ExchangeError.
+// Exchange sends a request and returns the first response for which matches is true; it
+// discards others as responses to earlier requests. The context covers the whole
+// exchange, to the end of the body. Errors are *DialError or *ExchangeError.
 func (p *Pool) Exchange(ctx context.Context, peer netip.AddrPort, r *http.Request, matches func(*http.Response) bool) (*http.Response, error) {
 	c, err := p.acquire(ctx, peer)
 	if err != nil {
@@ -202,7 +203,7 @@
 	for stale := 0; stale < maxStaleResponses; {
 		response, err := http.ReadResponse(c.reader, r)
 		if err != nil {
-			return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Reused: reused, Err: err}
+			return nil, &ExchangeError{Peer: c.peer, Step: "read response", Reused: reused, Err: err}
 		}
 		if response.StatusCode < http.StatusOK {
 			continue
@@ -210,14 +211,14 @@
 		if matches(response) {
 			return response, nil
 		}
-		// The answer to an earlier request has come late or twice.
+		// A late or duplicate response to an earlier request.
 		stale++
 		n, err := io.CopyN(io.Discard, response.Body, maxDiscardBytes)
 		if !errors.Is(err, io.EOF) || response.Close {
-			return nil, &ExchangeError{Peer: c.peer, Step: "pass over an answer", Reused: reused, Err: fmt.Errorf("%w: %d bytes", errStaleResponses, n)}
+			return nil, &ExchangeError{Peer: c.peer, Step: "discard response to an earlier request", Reused: reused, Err: fmt.Errorf("%w: discarded %d bytes", errStaleResponses, n)}
 		}
 	}
-	return nil, &ExchangeError{Peer: c.peer, Step: "read answer", Reused: reused, Err: errStaleResponses}
+	return nil, &ExchangeError{Peer: c.peer, Step: "read response", Reused: reused, Err: errStaleResponses}
 }
 
 func (c *conn) writeResult() error {
@@ -227,7 +228,7 @@
 	return c.writeErr
 }
 
-// requestWritten tells whether the whole request was sent, without waiting.
+// requestWritten reports, without blocking, whether the whole request was sent.
 func (c *conn) requestWritten() bool {
 	if !c.writeDoneRead {
 		select {
@@ -240,7 +241,7 @@
 	return c.writeErr == nil
 }
 
-// acquire gives a kept connection that still looks sound, or a new one.
+// acquire returns an idle connection that is still usable, or a new one.
 func (p *Pool) acquire(ctx context.Context, peer netip.AddrPort) (*conn, error) {
 	for {
 		c := p.popIdle(peer)
@@ -288,7 +289,7 @@
 	}
 }
 
-// CloseIdle closes the kept connections to a server that is gone.
+// CloseIdle closes the idle connections to a server that has left.
 func (p *Pool) CloseIdle(peer netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[peer]
@@ -299,8 +300,9 @@
 	}
 }
 
-// CloseExpired closes kept connections that have been idle for too long. A connection
-// that is left to the server's own timeout could close under a request.
+// CloseExpired closes the connections that have been idle for longer than their idle
+// timeout. If this were left to the server, it could close a connection just as the next
+// request is sent on it.
 func (p *Pool) CloseExpired() {
 	var expired []*conn
 	p.mu.Lock()
@@ -321,7 +323,7 @@
 	}
 }
 
-// openAndEmpty tells whether a kept connection is open and nothing lies on it.
+// openAndEmpty reports whether an idle connection is open and has no bytes to read.
 func (c *conn) openAndEmpty() bool {
 	t, ok := c.Conn.(*net.TCPConn)
 	if !ok {
@@ -346,7 +348,7 @@
 	c.pool.decrementOpen(c.peer)
 }
 
-// release gives the connection back for the next request.
+// release returns the connection to the pool.
 func (c *conn) release() {
 	p := c.pool
 	c.idleSince = p.clock.Now()
@@ -360,7 +362,7 @@
 	c.drop()
 }
 
-// Read notes whether the body came to its true end.
+// Read reads from the body and, at its end, releases the connection.
 func (b *body) Read(data []byte) (int, error) {
 	n, err := b.ReadCloser.Read(data)
 	if err == io.EOF {
@@ -370,8 +372,8 @@
 	return n, err
 }
 
-// Close ends the exchange. A connection whose body was not read to its end is
-// closed, which cancels the run.
+// Close ends the exchange. If the body was not read to its end, the connection is
+// closed, which cancels the request at the server.
 func (b *body) Close() error {
 	b.finish()
 	return nil
@@ -388,7 +390,8 @@
 	})
 }
 
-// ApplyKeepAlive tells the connection under a body how long the server keeps it.
+// ApplyKeepAlive sets the idle timeout of a response's connection according to the
+// timeout in the Keep-Alive header, if there is one.
 func ApplyKeepAlive(r *http.Response) {
 	b, ok := r.Body.(*body)
 	if !ok {
@@ -402,14 +405,14 @@
 	}
 }
 
-// Error gives the peer and the cause.
+// Error returns the peer and the cause.
 func (e *DialError) Error() string { return fmt.Sprintf("connect to %s: %v", e.Peer, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *DialError) Unwrap() error { return e.Err }
 
-// Error gives the step, the peer and the cause.
+// Error returns the step, the peer and the cause.
 func (e *ExchangeError) Error() string { return fmt.Sprintf("%s at %s: %v", e.Step, e.Peer, e.Err) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error { return e.Err }
--- a/internal/link/beechpool/pool_test.go
+++ b/internal/link/beechpool/pool_test.go
@@ -20,7 +20,8 @@
 	"github.com/matryer/is"
 )
 
-// serveRaw serves each connection by a script that sees the requests on it.
+// serveRaw listens on a loopback port and runs script for each connection. It returns the
+// address and the number of accepted connections.
 func serveRaw(t *testing.T, script func(c net.Conn, r *bufio.Reader)) (netip.AddrPort, *atomic.Int32) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// readRequestID reads a whole request and gives its id.
+// readRequestID reads a whole request and returns the value of its Id header.
 func readRequestID(r *bufio.Reader) (string, bool) {
 	request, err := http.ReadRequest(r)
 	if err != nil {
@@ -91,8 +92,9 @@
 	is.Equal(accepted.Load(), int32(1))
 }
 
-// A server closes a kept connection just as the next request goes out on it. A
-// client that silently sends it again runs a shipment twice.
+// A server closes a reused connection after it has read the next request, without a
+// response. If the pool retried the request by itself, the server could execute it twice,
+// and a shipment would be booked twice.
 func TestRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	seen := &atomic.Int32{}
@@ -101,7 +103,7 @@
 			writeResponse(c, id, "first")
 		}
 		if _, ok := readRequestID(r); ok {
-			seen.Add(1) // read whole, never answered
+			seen.Add(1) // read completely, but without a response
 		}
 	})
 	p := newPool()
@@ -114,8 +116,8 @@
 	is.Equal(seen.Load(), int32(1))
 }
 
-// A kept connection that the server has closed meanwhile is found out before it
-// is used, so the request is not lost with it.
+// The server closes a connection while it is idle. The pool must notice this before it
+// reuses the connection, or the next request fails.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	is := is.New(t)
 	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
@@ -132,8 +134,9 @@
 	is.Equal(accepted.Load(), int32(3))
 }
 
-// A server answers an earlier request a second time, right where the next
-// answer is due. Taken for that, somebody gets another's answer.
+// A server responds to an earlier request a second time, just before the response to the
+// next request. If the pool took the duplicate for it, a caller would get the response to
+// another caller's request.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
@@ -156,7 +159,8 @@
 	is.Equal(accepted.Load(), int32(1))
 }
 
-// The second answer lies on the kept connection before it is used again.
+// A duplicate response arrives on a connection while it is idle. The pool must not reuse
+// the connection.
 func TestUnsolicitedBytesCloseConnection(t *testing.T) {
 	is := is.New(t)
 	peer, accepted := serveRaw(t, func(c net.Conn, r *bufio.Reader) {
@@ -177,8 +181,8 @@
 	is.Equal(accepted.Load(), int32(3))
 }
 
-// A server answers before it has read a long body, and reads on later. Nothing
-// else may come where the rest of the body is due.
+// A server responds before it has read a long request body, and continues to read the body
+// later. The next request must not be sent in place of the rest of the body.
 func TestResponseBeforeRequestBodyIsRead(t *testing.T) {
 	is := is.New(t)
 	rest := make(chan []byte, 1)
@@ -204,14 +208,14 @@
 	is.Equal(body, "early")
 	body, err = exchange(t.Context(), p, peer, "b", []byte("x"))
 	is.NoErr(err)
-	is.True(body == "later" || body == "early") // on the same connection, or on a new one
+	is.True(body == "later" || body == "early") // on the same connection or on a new one
 	got := <-rest
-	is.True(len(got) == 0 || bytes.HasPrefix(long, got)) // the body, or an end, and never the next request
+	is.True(len(got) == 0 || bytes.HasPrefix(long, got)) // never bytes of the next request
 	is.True(accepted.Load() <= 2)
 }
 
-// An answer without a length ends with its connection. One that is reset is not
-// whole.
+// A response without Content-Length ends when the server closes the connection. If the
+// connection is reset instead, the response is incomplete and reading it must fail.
 func TestResponseWithoutContentLength(t *testing.T) {
 	is := is.New(t)
 	reset := &atomic.Bool{}
@@ -258,8 +262,8 @@
 	is.True(strings.Contains(err.Error(), peer.String()))
 }
 
-// The context ends while a server is at work. The connection is closed, by
-// which the server sees that nobody waits any more.
+// The context ends while a server handles the request. The pool must close the connection,
+// so that the server can stop working on it.
 func TestCancelClosesConnection(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{})
@@ -275,7 +279,7 @@
 	select {
 	case <-closed:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the server still waits")
+		t.Fatal("the connection was not closed within 2 s of the cancellation")
 	}
 }
 
@@ -322,7 +326,7 @@
 	clock.Advance(600 * time.Millisecond)
 	get()
 	is.Equal(accepted.Load(), int32(1))
-	clock.Advance(800 * time.Millisecond) // 7/10 of the server's second are over
+	clock.Advance(800 * time.Millisecond) // past 7/10 of the server's timeout of 1 s
 	p.CloseExpired()
 	is.Equal(len(p.idle[peer]), 0)
 	get()
