--- a/internal/link/beechguard/guard.go
+++ b/internal/link/beechframing/framing.go
@@ -1,4 +1,4 @@
-// Package beechguard finds requests whose length can be read in two ways.
+// Package beechframing finds requests whose length can be read in two ways.
 //
 // A request that names both a length and chunked coding ends in one place for
 // one reader and in another place for the next. What lies between is a request
@@ -8,13 +8,13 @@
 //
 // # Usage
 //
-//	listener = beechguard.Listen(listener)
-//	server := &http.Server{ConnContext: beechguard.Context, ConnState: beechguard.State}
+//	listener = beechframing.Listen(listener)
+//	server := &http.Server{ConnContext: beechframing.Context, ConnState: beechframing.State}
 //	// in the handler
-//	if beechguard.Ambiguous(r) {
+//	if beechframing.Ambiguous(r) {
 //		// 400, Connection: close
 //	}
-package beechguard
+package beechframing
 
 import (
 	"bytes"
@@ -32,16 +32,16 @@
 	// end of the first head among them.
 	conn struct {
 		net.Conn
-		mu   sync.Mutex
-		head []byte
-		full bool
+		mu       sync.Mutex
+		head     []byte
+		complete bool
 	}
 
 	contextKey struct{}
 )
 
-// headMost is more than the head of any request that is let in.
-const headMost = 64 << 10
+// maxHeadBytes is more than the head of any request that is let in.
+const maxHeadBytes = 64 << 10
 
 var headEnd = []byte("\r\n\r\n")
 
@@ -61,44 +61,44 @@
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
-		c.note(data[:n])
+		c.record(data[:n])
 	}
 	return n, err
 }
 
-func (c *conn) note(data []byte) {
+func (c *conn) record(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.full {
+	if c.complete {
 		return
 	}
 	from := max(len(c.head)-len(headEnd), 0)
 	c.head = append(c.head, data...)
 	if end := bytes.Index(c.head[from:], headEnd); end >= 0 {
 		c.head = c.head[:from+end]
-		c.full = true
+		c.complete = true
 	}
-	c.full = c.full || len(c.head) > headMost
+	c.complete = c.complete || len(c.head) > maxHeadBytes
 }
 
 func (c *conn) reset() {
 	c.mu.Lock()
-	c.head, c.full = c.head[:0], false
+	c.head, c.complete = c.head[:0], false
 	c.mu.Unlock()
 }
 
-// Context puts the connection where Ambiguous finds it.
-func Context(ctx context.Context, c net.Conn) context.Context {
-	if guarded, ok := c.(*conn); ok {
-		return context.WithValue(ctx, contextKey{}, guarded)
+// ConnContext puts the connection where Ambiguous finds it.
+func ConnContext(ctx context.Context, c net.Conn) context.Context {
+	if wrapped, ok := c.(*conn); ok {
+		return context.WithValue(ctx, contextKey{}, wrapped)
 	}
 	return ctx
 }
 
-// State forgets the head of a request that was answered.
-func State(c net.Conn, state http.ConnState) {
-	if guarded, ok := c.(*conn); ok && state == http.StateIdle {
-		guarded.reset()
+// ConnState forgets the head of a request that was answered.
+func ConnState(c net.Conn, state http.ConnState) {
+	if wrapped, ok := c.(*conn); ok && state == http.StateIdle {
+		wrapped.reset()
 	}
 }
 
--- a/internal/link/beechguard/guard_test.go
+++ b/internal/link/beechframing/framing_test.go
@@ -1,4 +1,4 @@
-package beechguard
+package beechframing
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &http.Server{ConnContext: Context, ConnState: State, ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := &http.Server{ConnContext: ConnContext, ConnState: ConnState, ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ambiguous := Ambiguous(r)
 		data, _ := io.ReadAll(r.Body)
 		_, _ = fmt.Fprintf(w, "%s %v %s", r.URL.Path, ambiguous, data)
@@ -28,7 +28,7 @@
 	return l.Addr().String()
 }
 
-func talk(t *testing.T, address string, requests ...string) []string {
+func roundTrips(t *testing.T, address string, requests ...string) []string {
 	c, err := net.Dial("tcp4", address)
 	if err != nil {
 		t.Fatal(err)
@@ -60,12 +60,12 @@
 func TestAmbiguous(t *testing.T) {
 	is := is.New(t)
 	address := serve(t)
-	got := talk(t, address, plain, chunked, plain, both)
+	got := roundTrips(t, address, plain, chunked, plain, both)
 	is.Equal(got, []string{"/plain false ab", "/chunked false ab", "/plain false ab", "/both true ab"})
 }
 
 // The head comes in two pieces that part in the middle of a name.
-func TestHeadInPieces(t *testing.T) {
+func TestHeadInSeveralReads(t *testing.T) {
 	is := is.New(t)
 	address := serve(t)
 	c, err := net.Dial("tcp4", address)
@@ -83,7 +83,7 @@
 }
 
 // Both readings come behind another request, before that is answered.
-func TestPipelined(t *testing.T) {
+func TestPipelinedRequest(t *testing.T) {
 	is := is.New(t)
 	c, err := net.Dial("tcp4", serve(t))
 	is.NoErr(err)
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -23,7 +23,7 @@
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
 	"github.com/beechring/beechring/internal/link/beechdatagram"
-	"github.com/beechring/beechring/internal/link/beechguard"
+	"github.com/beechring/beechring/internal/link/beechframing"
 	"github.com/beechring/beechring/internal/link/beechpool"
 	"github.com/beechring/beechring/internal/process/beechlog"
 	"github.com/beechring/beechring/internal/process/beechsettings"
@@ -219,16 +219,16 @@
 	}
 	server := &http.Server{
 		Handler: door, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
-		ConnContext: beechguard.Context, ErrorLog: zap.NewStdLog(g.log),
+		ConnContext: beechframing.ConnContext, ErrorLog: zap.NewStdLog(g.log),
 	}
 	idle := newIdleTimeouts(g.clock, g.idleTimeout)
 	server.ConnState = func(c net.Conn, state http.ConnState) {
-		beechguard.State(c, state)
+		beechframing.ConnState(c, state)
 		idle.trackState(c, state)
 	}
 	readyServer := &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout, ErrorLog: zap.NewStdLog(g.log)}
 	failed := make(chan error, 2)
-	go func() { failed <- server.Serve(beechguard.Listen(callerListener)) }()
+	go func() { failed <- server.Serve(beechframing.Listen(callerListener)) }()
 	go func() { failed <- readyServer.Serve(readyListener) }()
 	supervised := g.supervisor.ServeBackground(background)
 	g.log.Info("gate started", zap.Stringer("listen", g.settings.Listen), zap.String("zone", g.settings.Zone))
