--- a/internal/link/beechframing/framing.go
+++ b/internal/link/beechframing/framing.go
@@ -1,10 +1,12 @@
-// Package beechframing finds requests whose length can be read in two ways.
+// Package beechframing detects HTTP requests with ambiguous framing, which are used for
+// request smuggling.
 //
-// A request that names both a length and chunked coding ends in one place for
-// one reader and in another place for the next. What lies between is a request
-// that nobody sent, run in somebody's name. net/http takes the chunked reading
-// and drops the length, so a handler cannot see it. The guard looks at the
-// bytes of each request's head as they come in.
+// If a request has both Content-Length and Transfer-Encoding: chunked, two servers in a
+// row may disagree on where it ends. One of them then takes the bytes in between for
+// another request, and runs it with the credentials of a caller who did not send it.
+// net/http follows the chunked encoding and removes Content-Length, so a handler cannot
+// detect this. This package therefore records the bytes of each request's head as they are
+// read from the connection.
 //
 // # Usage
 //
@@ -28,27 +30,27 @@
 type (
 	listener struct{ net.Listener }
 
-	// conn keeps the first bytes since the connection was last idle, up to the
-	// end of the first head among them.
+	// conn records the bytes received since the connection was last idle, up to the
+	// end of the first request head.
 	conn struct {
 		net.Conn
 		mu       sync.Mutex
 		head     []byte
-		complete bool
+		complete bool // head is complete, or longer than maxHeadBytes
 	}
 
 	contextKey struct{}
 )
 
-// maxHeadBytes is more than the head of any request that is let in.
+// maxHeadBytes is larger than the head of any request that is accepted.
 const maxHeadBytes = 64 << 10
 
 var headEnd = []byte("\r\n\r\n")
 
-// Listen gives a listener whose connections are watched.
+// Listen returns a listener that records the request heads on its connections.
 func Listen(l net.Listener) net.Listener { return listener{l} }
 
-// Accept gives the next connection.
+// Accept returns the next connection.
 func (l listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -57,7 +59,7 @@
 	return &conn{Conn: c}, nil
 }
 
-// Read notes the head of a request.
+// Read reads from the connection and records the head of a request.
 func (c *conn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
 	if n > 0 {
@@ -87,7 +89,8 @@
 	c.mu.Unlock()
 }
 
-// ConnContext puts the connection where Ambiguous finds it.
+// ConnContext stores the connection in the context of its requests, for Ambiguous. It is
+// for http.Server.ConnContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if wrapped, ok := c.(*conn); ok {
 		return context.WithValue(ctx, contextKey{}, wrapped)
@@ -95,17 +98,18 @@
 	return ctx
 }
 
-// ConnState forgets the head of a request that was answered.
+// ConnState discards the recorded head when a connection becomes idle, which is after a
+// response. It is for http.Server.ConnState.
 func ConnState(c net.Conn, state http.ConnState) {
 	if wrapped, ok := c.(*conn); ok && state == http.StateIdle {
 		wrapped.reset()
 	}
 }
 
-// Ambiguous tells whether a request's end can be read in two ways. A chunked
-// request that came right behind another one, before that was answered, counts
-// as ambiguous too, since its head was not seen by itself; no caller that waits
-// for its answers is touched by that.
+// Ambiguous reports whether the end of a request can be determined in two ways. A
+// pipelined request with chunked encoding, sent before the response to the request in
+// front of it, also counts as ambiguous, since its head was not recorded separately. This
+// does not affect callers that wait for each response.
 func Ambiguous(r *http.Request) bool {
 	if len(r.TransferEncoding) == 0 {
 		return false
--- a/internal/link/beechframing/framing_test.go
+++ b/internal/link/beechframing/framing_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// serve answers each request with its path and whether it is ambiguous.
+// serve starts a server that responds with the path of each request, whether it is
+// ambiguous, and its body. It returns the address.
 func serve(t *testing.T) string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -64,7 +65,7 @@
 	is.Equal(got, []string{"/plain false ab", "/chunked false ab", "/plain false ab", "/both true ab"})
 }
 
-// The head comes in two pieces that part in the middle of a name.
+// The head arrives in several reads, split within the name of a header field.
 func TestHeadInSeveralReads(t *testing.T) {
 	is := is.New(t)
 	address := serve(t)
@@ -82,7 +83,7 @@
 	is.Equal(string(data), "/both true ab")
 }
 
-// Both readings come behind another request, before that is answered.
+// An ambiguous request is pipelined behind a plain one, before the response to that.
 func TestPipelinedRequest(t *testing.T) {
 	is := is.New(t)
 	c, err := net.Dial("tcp4", serve(t))
