--- a/internal/command/beechscenario/holds_test.go
+++ b/internal/command/beechscenario/holds_test.go
@@ -283,7 +283,7 @@
 
 // engineHolds tells whether an engine has a model loaded.
 func (w *world) engineHolds(engine, model string) bool {
-	var report beechengine.Report
+	var report beechengine.LoadReport
 	return w.readStandin(engine, "/load", &report) == nil && slices.Contains(report.Models, model)
 }
 
--- a/internal/command/beechscenario/soak_test.go
+++ b/internal/command/beechscenario/soak_test.go
@@ -85,7 +85,7 @@
 		{"engine crash", agentsOfEngines, beginEngineCrash},
 		{"engine killed", agentsOfEngines, beginEngineKill},
 		{"engine frozen", agentsOfEngines, beginEngineFreeze},
-		{"engine crossed", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultCross, Count: 2})},
+		{"engine crossed", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultWrongID, Count: 2})},
 		{"engine busy", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultBusy, Count: 4})},
 		{"events lost", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultLoseEvents, Count: 20})},
 		{"service drops replies", []string{"s1"}, serviceFault(beechservice.Fault{Kind: beechservice.FaultDropReply, Count: 3})},
--- a/internal/process/beechbackend/backend_test.go
+++ b/internal/process/beechbackend/backend_test.go
@@ -198,7 +198,7 @@
 	_, err = engine.Generate(ctx, unknown)
 	is.True(NotRun(err))
 
-	fake.Inject(beechengine.Fault{Kind: beechengine.FaultCross, Count: 1})
+	fake.Inject(beechengine.Fault{Kind: beechengine.FaultWrongID, Count: 1})
 	_, err = engine.Generate(ctx, generate("r5"))
 	is.True(errors.Is(err, ErrWrongRequest))
 	is.True(!NotRun(err))
--- a/internal/standin/beechengine/engine_test.go
+++ b/internal/standin/beechengine/engine_test.go
@@ -61,7 +61,7 @@
 	return fmt.Appendf(nil, `{"model":"advisor","prompt":%q,"max_tokens":%d,"cache_salt":"s"}`, prompt, tokens)
 }
 
-func TestSlotsGoByPriorityThenArrival(t *testing.T) {
+func TestSlotsAreGrantedByPriorityThenArrival(t *testing.T) {
 	is := is.New(t)
 	b := newBatch(Settings{Slots: 1, WaitLimit: 3}, clockwork.NewFakeClock(), func(int, int) {})
 	is.NoErr(b.enter(context.Background(), 5))
@@ -90,7 +90,7 @@
 	is.Equal(b.prefill(100).Sub(clock.Now()), 300*time.Millisecond)
 }
 
-func TestCacheForgetsWhatWasUsedLongestAgoAndTheDeepestFirst(t *testing.T) {
+func TestCacheEvictsLeastRecentlyUsedAndDeepestBlocksFirst(t *testing.T) {
 	is := is.New(t)
 	c := newPromptCache(Settings{CacheTokens: 4, BlockTokens: 1, EventLimit: 100}, clockwork.NewFakeClock())
 	old := chain("s", served, []byte("aaaabbbb."), 1)
@@ -109,7 +109,7 @@
 	is.Equal(stale, 2) // a caller that reuses a salt over weights is seen
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	c := newPromptCache(Settings{CacheTokens: 100, BlockTokens: 1, EventLimit: 2, EventLag: time.Second, LoseEvery: 3}, clock)
@@ -161,7 +161,7 @@
 		status, _ = post(t, url+"/orders", Order{Fence: 7, Unload: served})
 		is.Equal(status == http.StatusConflict, check)
 
-		var r Report
+		var r LoadReport
 		get(t, url+"/load", &r)
 		is.Equal(r.Loading, []string{"advisor@w2"})
 		is.Equal(len(r.Models) == 1, check)
@@ -169,7 +169,7 @@
 		clock.Advance(time.Second)
 		// The fake clock calls what is due in goroutines of its own.
 		for tries := 0; len(r.Loading) > 0 && tries < 1000; tries++ {
-			r = Report{}
+			r = LoadReport{}
 			get(t, url+"/load", &r)
 		}
 		is.Equal(r.Models[len(r.Models)-1], "advisor@w2")
@@ -182,18 +182,18 @@
 	}
 }
 
-func TestExportedBlocksServeAnotherEngineUnderTheirSaltOnly(t *testing.T) {
+func TestExportedBlocksAreImportedUnderTheirSaltOnly(t *testing.T) {
 	is := is.New(t)
 	_, from := start(t, Settings{BlockTokens: 2, BlockBytes: 100}, clockwork.NewRealClock())
 	to, other := start(t, Settings{BlockTokens: 2}, clockwork.NewRealClock())
 	body := plain(strings.Repeat("history ", 20), 1)
 	post(t, from+"/v1/completions", body)
-	_, blocks := post(t, from+"/kv/export", Export{Salt: "s", Prompt: body})
+	_, blocks := post(t, from+"/kv/export", ExportRequest{Salt: "s", Prompt: body})
 	status, _ := post(t, other+"/kv/import?salt=z", blocks)
 	is.Equal(status, http.StatusBadRequest)
 	status, reply := post(t, other+"/kv/import?salt=s", blocks)
 	is.Equal(status, http.StatusOK)
-	var imported Imported
+	var imported ImportResult
 	is.NoErr(json.Unmarshal(reply, &imported))
 
 	post(t, other+"/v1/completions", body)
@@ -205,7 +205,7 @@
 
 // A prompt makes the engine's process die. Its batch dies with it, and what
 // comes back has nothing cached.
-func TestPoisonTakesTheBatchAndTheCache(t *testing.T) {
+func TestPoisonedPromptDropsBatchAndCache(t *testing.T) {
 	is := is.New(t)
 	e, url := start(t, Settings{TokenTime: time.Hour}, clockwork.NewRealClock())
 	e.Inject(Fault{Kind: FaultPoison, Marker: "POISON"})
@@ -234,7 +234,7 @@
 	is.Equal(entries[len(entries)-1].Cached, 0)
 }
 
-func TestCancelledAnswerNeverLooksWhole(t *testing.T) {
+func TestCancelledAnswerIsNotComplete(t *testing.T) {
 	is := is.New(t)
 	e, url := start(t, Settings{TokenTime: time.Hour}, clockwork.NewRealClock())
 	r, err := http.NewRequest(http.MethodPost, url+"/v1/chat/completions",
@@ -255,7 +255,7 @@
 	is.Equal(status, http.StatusNotFound)
 }
 
-func TestBadRequestsAreNotRun(t *testing.T) {
+func TestInvalidRequestsAreNotRun(t *testing.T) {
 	is := is.New(t)
 	e, url := start(t, Settings{}, clockwork.NewRealClock())
 	for _, body := range []string{``, `{`, `[]`, `{"model":"advisor"}`, `{"model":"x","prompt":"p"}`, `{"model":"advisor","prompt":"p","resume_text":"no "}`} {
--- a/internal/standin/beechengine/faults.go
+++ b/internal/standin/beechengine/faults.go
@@ -16,8 +16,8 @@
 	FaultLoseEvents FaultKind = "lose_events" // lose the next Count cache events
 	FaultSlow       FaultKind = "slow"        // all computing takes Factor times as long; 1 ends it
 	FaultBusy       FaultKind = "busy"        // refuse the next Count requests with 503
-	FaultClear      FaultKind = "clear"       // empty the prompt cache and say so by an event
-	FaultCross      FaultKind = "cross"       // the next Count answers carry another request's id
+	FaultClearCache FaultKind = "clear"       // empty the prompt cache and say so by an event
+	FaultWrongID    FaultKind = "cross"       // the next Count answers carry another request's id
 )
 
 type (
@@ -63,9 +63,9 @@
 		e.faults.thaw()
 	case FaultBusy:
 		e.faults.set(func() { e.faults.busy = f.Count })
-	case FaultCross:
+	case FaultWrongID:
 		e.faults.set(func() { e.faults.cross = f.Count })
-	case FaultLoseEvents, FaultSlow, FaultClear:
+	case FaultLoseEvents, FaultSlow, FaultClearCache:
 		e.injectAlive(f)
 	default:
 		return false
@@ -83,7 +83,7 @@
 		l.cache.loseNext(f.Count)
 	case FaultSlow:
 		l.batch.setSlow(f.Factor)
-	case FaultClear:
+	case FaultClearCache:
 		l.cache.clear()
 	}
 }
--- a/internal/standin/beechengine/handler.go
+++ b/internal/standin/beechengine/handler.go
@@ -14,8 +14,8 @@
 )
 
 type (
-	// Events is the answer to GET /cache/events.
-	Events struct {
+	// CacheEvents is the answer to GET /cache/events.
+	CacheEvents struct {
 		Incarnation uint64       `json:"incarnation"`
 		Events      []CacheEvent `json:"events"`
 	}
@@ -62,7 +62,7 @@
 }
 
 func (e *Engine) serveModels(l *life, w http.ResponseWriter, _ *http.Request) {
-	var r Report
+	var r LoadReport
 	l.holdings.describe(&r)
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, m := range r.Models {
@@ -73,11 +73,11 @@
 
 func (e *Engine) serveEvents(l *life, w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	writeJSON(w, http.StatusOK, Events{Incarnation: l.incarnation, Events: l.cache.after(after, maxEvents)})
+	writeJSON(w, http.StatusOK, CacheEvents{Incarnation: l.incarnation, Events: l.cache.after(after, maxEvents)})
 }
 
 func (e *Engine) serveLoad(l *life, w http.ResponseWriter, _ *http.Request) {
-	report := Report{
+	report := LoadReport{
 		Incarnation: l.incarnation,
 		Slots:       e.settings.Slots,
 		PrefillRate: e.settings.PrefillRate,
--- a/internal/standin/beechengine/kv.go
+++ b/internal/standin/beechengine/kv.go
@@ -6,26 +6,26 @@
 )
 
 type (
-	// Export is the body of POST /kv/export. Prompt is a request's body.
-	Export struct {
+	// ExportRequest is the body of POST /kv/export. Prompt is a request's body.
+	ExportRequest struct {
 		Salt   string          `json:"salt"`
 		Prompt json.RawMessage `json:"prompt"`
 	}
 
-	// Blocks is what an export gives and an import takes.
-	Blocks struct {
+	// CacheBlocks is what an export gives and an import takes.
+	CacheBlocks struct {
 		Salt   string  `json:"salt"`
 		Blocks []block `json:"blocks"`
 	}
 
-	// Imported is the answer to POST /kv/import.
-	Imported struct {
+	// ImportResult is the answer to POST /kv/import.
+	ImportResult struct {
 		Tokens int `json:"tokens"`
 	}
 )
 
 func (e *Engine) serveExport(l *life, w http.ResponseWriter, r *http.Request) {
-	var x Export
+	var x ExportRequest
 	if !readJSON(w, r, &x) {
 		return
 	}
@@ -38,14 +38,14 @@
 	for i := range held {
 		held[i].Fill = make([]byte, e.settings.BlockBytes)
 	}
-	writeJSON(w, http.StatusOK, Blocks{Salt: x.Salt, Blocks: held})
+	writeJSON(w, http.StatusOK, CacheBlocks{Salt: x.Salt, Blocks: held})
 }
 
 // serveImport takes blocks under the salt they were exported from. It believes
 // what the blocks say of their weights, and counts them as stale when other
 // weights use them.
 func (e *Engine) serveImport(l *life, w http.ResponseWriter, r *http.Request) {
-	var b Blocks
+	var b CacheBlocks
 	if !readJSON(w, r, &b) {
 		return
 	}
@@ -61,5 +61,5 @@
 		tokens = max(tokens, b.Blocks[i].Tokens)
 	}
 	l.cache.store(b.Blocks)
-	writeJSON(w, http.StatusOK, Imported{Tokens: tokens})
+	writeJSON(w, http.StatusOK, ImportResult{Tokens: tokens})
 }
--- a/internal/standin/beechengine/load.go
+++ b/internal/standin/beechengine/load.go
@@ -11,8 +11,8 @@
 const reportSteps = 8
 
 type (
-	// Report is the answer to GET /load.
-	Report struct {
+	// LoadReport is the answer to GET /load.
+	LoadReport struct {
 		Incarnation   uint64        `json:"incarnation"`
 		Running       int           `json:"running"`
 		Waiting       int           `json:"waiting"`
--- a/internal/standin/beechengine/orders.go
+++ b/internal/standin/beechengine/orders.go
@@ -104,7 +104,7 @@
 	return "", fmt.Errorf("%w: %q", errNoModel, model)
 }
 
-func (h *holdings) describe(r *Report) {
+func (h *holdings) describe(r *LoadReport) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r.Models = slices.Clone(h.models)
