--- a/internal/standin/beechengine/answer.go
+++ b/internal/standin/beechengine/answer.go
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of the number of output tokens where the caller gives no maximum.
+// Range of the number of output tokens if the caller sets no maximum.
 const (
-	leastTokens  = 8
-	tokensSpread = 57
+	minTokens  = 8
+	tokenRange = 57
 )
 
 var (
@@ -26,8 +26,8 @@
 	rhymes = []string{"an", "ar", "ed", "el", "en", "il", "in", "ol", "on", "or", "um", "un", "ay", "ee", "oak", "alt"}
 )
 
-// Prompt returns the bytes of a request's body that the engine computes on:
-// its messages, or its plain prompt.
+// Prompt extracts the prompt from a request body: the messages, joined by
+// newlines, or else the prompt field.
 func Prompt(body []byte) ([]byte, error) {
 	var parts struct {
 		Messages []json.RawMessage `json:"messages"`
@@ -53,17 +53,18 @@
 	return nil, errNoPrompt
 }
 
-// Fingerprint names a prompt in the journal, whoever sent it.
+// Fingerprint returns the hash that identifies a prompt in the journal,
+// independent of the caller.
 func Fingerprint(prompt []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(prompt), 16)
 }
 
-// Answer returns the text the engine gives to a prompt under model@weights
-// with that number of tokens, or with its own number where tokens is 0.
+// Answer returns the text that the engine generates for a prompt. The model is
+// given as model@weights. If tokens is 0, the engine chooses the length.
 func Answer(model string, prompt []byte, tokens int) string {
 	seed := answerSeed(model, prompt)
 	if tokens <= 0 {
-		tokens = ownTokens(seed)
+		tokens = defaultTokens(seed)
 	}
 	return answerText(seed, tokens)
 }
@@ -75,8 +76,8 @@
 	return d.Sum64()
 }
 
-func ownTokens(seed uint64) int {
-	return leastTokens + int(seed%tokensSpread)
+func defaultTokens(seed uint64) int {
+	return minTokens + int(seed%tokenRange)
 }
 
 func answerText(seed uint64, tokens int) string {
@@ -87,7 +88,7 @@
 	return b.String()
 }
 
-// token is a word and the space after it.
+// token returns the i-th output token: a word followed by a space.
 func token(seed uint64, i int) string {
 	var raw [16]byte
 	binary.LittleEndian.PutUint64(raw[:8], seed)
@@ -96,9 +97,9 @@
 	return onsets[h&15] + rhymes[h>>4&15] + onsets[h>>8&15] + rhymes[h>>12&15] + " "
 }
 
-// resumedTokens counts the tokens of text, which must be this answer's first.
-// A real engine would take any text; this one refuses, since a text that is no
-// beginning of the answer means that the router lost or doubled something.
+// resumedTokens counts the tokens of text, which must be a prefix of the
+// answer. A real engine would accept any text. This one rejects other text,
+// because it means that the router lost or duplicated tokens.
 func resumedTokens(seed uint64, text string) (int, error) {
 	count := strings.Count(text, " ")
 	if answerText(seed, count) != text {
--- a/internal/standin/beechengine/batch.go
+++ b/internal/standin/beechengine/batch.go
@@ -9,59 +9,59 @@
 	"github.com/jonboulle/clockwork"
 )
 
-var errBusy = errors.New("the engine's queue is full")
+var errQueueFull = errors.New("the engine's queue is full")
 
 type (
-	// batch gives slots by priority and arrival, and prefill time in the
-	// order in which slots were given.
+	// batch grants slots by priority, then in order of arrival. Prefill runs in
+	// the order in which slots were granted.
 	batch struct {
-		mu          sync.Mutex
-		clock       clockwork.Clock
-		settings    Settings
-		running     int
-		waiting     []*ticket
-		prefillFree time.Time
-		slow        float64
-		changed     func(running, waiting int)
+		mu               sync.Mutex
+		clock            clockwork.Clock
+		settings         Settings
+		running          int
+		waiting          []*waiter
+		prefillBusyUntil time.Time
+		slowdown         float64
+		onChange         func(running, waiting int)
 	}
 
-	ticket struct {
+	waiter struct {
 		priority int
 		ready    chan struct{}
 		granted  bool
 	}
 )
 
-func newBatch(s Settings, clock clockwork.Clock, changed func(running, waiting int)) *batch {
-	return &batch{settings: s, clock: clock, slow: 1, changed: changed}
+func newBatch(s Settings, clock clockwork.Clock, onChange func(running, waiting int)) *batch {
+	return &batch{settings: s, clock: clock, slowdown: 1, onChange: onChange}
 }
 
-// enter waits for a slot.
-func (b *batch) enter(ctx context.Context, priority int) error {
-	t, err := b.queue(priority)
+// acquire waits for a slot. It fails if the queue is full or ctx ends.
+func (b *batch) acquire(ctx context.Context, priority int) error {
+	w, err := b.enqueue(priority)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-t.ready:
+	case <-w.ready:
 		return nil
 	case <-ctx.Done():
-		b.withdraw(t)
+		b.abandon(w)
 		return context.Cause(ctx)
 	}
 }
 
-func (b *batch) queue(priority int) (*ticket, error) {
+func (b *batch) enqueue(priority int) (*waiter, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := &ticket{priority: priority, ready: make(chan struct{})}
+	w := &waiter{priority: priority, ready: make(chan struct{})}
 	if b.running < b.settings.Slots {
-		b.grant(t)
-		b.changed(b.running, len(b.waiting))
-		return t, nil
+		b.grant(w)
+		b.onChange(b.running, len(b.waiting))
+		return w, nil
 	}
 	if len(b.waiting) >= b.settings.WaitLimit {
-		return nil, errBusy
+		return nil, errQueueFull
 	}
 	at := len(b.waiting)
 	for at > 0 && b.waiting[at-1].priority > priority {
@@ -69,51 +69,51 @@
 	}
 	b.waiting = append(b.waiting, nil)
 	copy(b.waiting[at+1:], b.waiting[at:])
-	b.waiting[at] = t
-	b.changed(b.running, len(b.waiting))
-	return t, nil
+	b.waiting[at] = w
+	b.onChange(b.running, len(b.waiting))
+	return w, nil
 }
 
-func (b *batch) grant(t *ticket) {
+func (b *batch) grant(w *waiter) {
 	b.running++
-	t.granted = true
-	close(t.ready)
+	w.granted = true
+	close(w.ready)
 }
 
-func (b *batch) withdraw(t *ticket) {
+func (b *batch) abandon(w *waiter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if t.granted {
-		b.leaveLocked()
+	if w.granted {
+		b.releaseLocked()
 		return
 	}
-	for i, w := range b.waiting {
-		if w == t {
+	for i, queued := range b.waiting {
+		if queued == w {
 			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
 			break
 		}
 	}
-	b.changed(b.running, len(b.waiting))
+	b.onChange(b.running, len(b.waiting))
 }
 
-func (b *batch) leave() {
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.leaveLocked()
+	b.releaseLocked()
 }
 
-func (b *batch) leaveLocked() {
+func (b *batch) releaseLocked() {
 	b.running--
 	if len(b.waiting) > 0 && b.running < b.settings.Slots {
 		next := b.waiting[0]
 		b.waiting = b.waiting[1:]
 		b.grant(next)
 	}
-	b.changed(b.running, len(b.waiting))
+	b.onChange(b.running, len(b.waiting))
 }
 
-// prefill reserves the shared prefill for that many tokens and returns when
-// they are done.
+// prefill schedules tokens on the shared prefill and returns the time at which
+// they will be done.
 func (b *batch) prefill(tokens int) time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -121,25 +121,25 @@
 	if b.settings.PrefillRate <= 0 {
 		return now
 	}
-	if b.prefillFree.Before(now) {
-		b.prefillFree = now
+	if b.prefillBusyUntil.Before(now) {
+		b.prefillBusyUntil = now
 	}
-	seconds := float64(tokens) / float64(b.settings.PrefillRate) * b.slow
-	b.prefillFree = b.prefillFree.Add(time.Duration(seconds * float64(time.Second)))
-	return b.prefillFree
+	seconds := float64(tokens) / float64(b.settings.PrefillRate) * b.slowdown
+	b.prefillBusyUntil = b.prefillBusyUntil.Add(time.Duration(seconds * float64(time.Second)))
+	return b.prefillBusyUntil
 }
 
 func (b *batch) tokenTime() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return time.Duration(float64(b.settings.TokenTime) * b.slow)
+	return time.Duration(float64(b.settings.TokenTime) * b.slowdown)
 }
 
-func (b *batch) setSlow(factor float64) {
+func (b *batch) setSlowdown(factor float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.slow = max(factor, 0)
-	if b.slow == 0 {
-		b.slow = 1
+	b.slowdown = max(factor, 0)
+	if b.slowdown == 0 {
+		b.slowdown = 1
 	}
 }
--- a/internal/standin/beechengine/cache.go
+++ b/internal/standin/beechengine/cache.go
@@ -12,7 +12,8 @@
 )
 
 type (
-	// CacheEvent is one change of the prompt cache.
+	// CacheEvent reports a block that was stored or evicted, or that the prompt
+	// cache was cleared.
 	CacheEvent struct {
 		Sequence uint64 `json:"sequence"`
 		Salt     string `json:"salt,omitempty"`
@@ -28,37 +29,37 @@
 	block struct {
 		Hash   uint64 `json:"hash"`
 		Parent uint64 `json:"parent"`
-		Tokens int    `json:"tokens"` // from the prompt's start through this block
+		Tokens int    `json:"tokens"` // from the start of the prompt to the end of this block
 		Model  string `json:"model"`  // model@weights that computed it
 		Fill   []byte `json:"fill,omitempty"`
 
 		salt string
 	}
 
-	// promptCache holds blocks of prompts. A block's hash chains over its
-	// salt and all blocks before it.
+	// promptCache is an LRU cache of prompt blocks. The hash of a block covers
+	// the salt and all preceding blocks.
 	promptCache struct {
-		mu       sync.Mutex
-		clock    clockwork.Clock
-		settings Settings
-		blocks   *simplelru.LRU[uint64, block]
-		events   []CacheEvent
-		sequence uint64
-		lose     int
+		mu           sync.Mutex
+		clock        clockwork.Clock
+		settings     Settings
+		blocks       *simplelru.LRU[uint64, block]
+		events       []CacheEvent
+		sequence     uint64
+		eventsToLose int
 	}
 )
 
 func newPromptCache(s Settings, clock clockwork.Clock) *promptCache {
 	c := &promptCache{settings: s, clock: clock}
 	c.blocks, _ = simplelru.NewLRU(max(1, s.CacheTokens/s.BlockTokens), func(_ uint64, b block) {
-		c.publish(b, false)
+		c.publishBlock(b, false)
 	})
 	return c
 }
 
-// chain cuts a prompt into whole blocks. The last token is never part of a
-// block, since an engine computes at least one token to answer.
-func chain(salt, model string, prompt []byte, blockTokens int) []block {
+// chainBlocks splits a prompt into full blocks. The last token is never part of
+// a block, because an engine computes at least one prompt token per request.
+func chainBlocks(salt, model string, prompt []byte, blockTokens int) []block {
 	size := blockTokens * bytesPerToken
 	count := max(0, len(prompt)-1) / size
 	blocks := make([]block, count)
@@ -80,8 +81,9 @@
 	return d.Sum64()
 }
 
-// match returns how many tokens at the start of the chain are cached, and how
-// many of them other weights have computed, which is a fault of the caller's.
+// match returns the number of cached tokens at the start of the chain. stale
+// counts those that were computed with other weights, which means that the
+// caller reused a salt across weights.
 func (c *promptCache) match(blocks []block) (cached, stale int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,8 +102,8 @@
 	return count * c.settings.BlockTokens, stale
 }
 
-// touch marks blocks as used, the deepest first, so that a prefix outlives
-// what extends it.
+// touch marks blocks as recently used, the deepest first, so that a prefix is
+// evicted after the blocks that extend it.
 func (c *promptCache) touch(blocks []block) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		c.blocks.Get(blocks[i].Hash)
@@ -117,12 +119,12 @@
 			continue
 		}
 		c.blocks.Add(b.Hash, b)
-		c.publish(b, true)
+		c.publishBlock(b, true)
 	}
 	c.touch(blocks)
 }
 
-func (c *promptCache) held(blocks []block) []block {
+func (c *promptCache) lookup(blocks []block) []block {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var found []block
@@ -140,12 +142,12 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	capacity := max(1, c.settings.CacheTokens/c.settings.BlockTokens)
-	c.blocks, _ = simplelru.NewLRU(capacity, func(_ uint64, b block) { c.publish(b, false) })
-	c.append(CacheEvent{Cleared: true})
+	c.blocks, _ = simplelru.NewLRU(capacity, func(_ uint64, b block) { c.publishBlock(b, false) })
+	c.appendEvent(CacheEvent{Cleared: true})
 }
 
-func (c *promptCache) publish(b block, stored bool) {
-	c.append(CacheEvent{
+func (c *promptCache) publishBlock(b block, stored bool) {
+	c.appendEvent(CacheEvent{
 		Salt:   b.salt,
 		Hash:   strconv.FormatUint(b.Hash, 16),
 		Parent: strconv.FormatUint(b.Parent, 16),
@@ -154,10 +156,10 @@
 	})
 }
 
-func (c *promptCache) append(e CacheEvent) {
+func (c *promptCache) appendEvent(e CacheEvent) {
 	c.sequence++
-	if c.lose > 0 {
-		c.lose--
+	if c.eventsToLose > 0 {
+		c.eventsToLose--
 		return
 	}
 	if c.settings.LoseEvery > 0 && c.sequence%uint64(c.settings.LoseEvery) == 0 {
@@ -171,14 +173,15 @@
 	}
 }
 
-func (c *promptCache) loseNext(count int) {
+func (c *promptCache) loseEvents(count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose += count
+	c.eventsToLose += count
 }
 
-// after returns at most limit published events behind a sequence number.
-func (c *promptCache) after(sequence uint64, limit int) []CacheEvent {
+// eventsAfter returns up to limit published events that follow a sequence
+// number.
+func (c *promptCache) eventsAfter(sequence uint64, limit int) []CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	published := c.clock.Now().Add(-c.settings.EventLag)
--- a/internal/standin/beechengine/doc.go
+++ b/internal/standin/beechengine/doc.go
@@ -1,19 +1,19 @@
-// Package beechengine is a small stand-in for a model engine, for tests, the
-// demo and measurements. It speaks the published OpenAI HTTP shapes and batches
-// continuously by time: a request waits for a slot, its uncached prompt is
-// prefilled by a resource that all slots share, then a token follows every
-// token time. It keeps a prompt cache of bounded size, publishes cache events
-// late and with gaps, reports its load with a lag, takes orders with fencing
-// numbers, and fails on request.
+// Package beechengine simulates a model engine for tests, the demo and
+// benchmarks. It implements the OpenAI HTTP API and simulates the timing of
+// continuous batching: a request waits for a slot, its uncached prompt tokens
+// are prefilled at a rate shared by all slots, and one output token follows per
+// token time. The engine has a prompt cache of bounded size, publishes cache
+// events with a delay and with gaps, reports its load with a delay, accepts
+// orders with fencing numbers, and injects faults on request.
 //
-// An answer is a function of the prompt, the weights that served and the
-// token's position, so that a reader of a resumed answer can tell a doubled or
-// missing token from a whole answer: see Answer. Prompt tokens are counted as
-// four bytes each, output tokens are words.
+// An answer depends only on the prompt, the model and weights that served it,
+// and the position of each token. A test can therefore detect duplicated or
+// missing tokens in a resumed answer by comparing it with Answer. Four bytes of
+// a prompt count as one token; each output token is a word.
 //
-// The journal records what the engine did with each request. It outlives a
-// crash made by a fault, because it belongs to the observer and not to the
-// engine; it is lost with the process, unless it is also written to a file.
+// The journal records what the engine did with each request. It is kept across
+// injected crashes, because it serves the test and not the simulated engine. It
+// is lost when the process ends, unless it is also written to a file.
 //
 // # Usage
 //
@@ -21,6 +21,6 @@
 //	server := httptest.NewServer(engine.Handler())
 //	defer server.Close()
 //
-// Settings that are left at zero are fast: no time for prefill or tokens, no
-// lag, one slot a request up to DefaultSlots.
+// With zero Settings, prefill and token generation take no time, nothing is
+// delayed, and up to DefaultSlots requests run at once.
 package beechengine
--- a/internal/standin/beechengine/engine.go
+++ b/internal/standin/beechengine/engine.go
@@ -12,39 +12,39 @@
 )
 
 var (
-	errCrashed   = errors.New("the engine crashed")
-	errCancelled = errors.New("the request was cancelled")
-	errGone      = errors.New("the caller went away")
+	errCrashed    = errors.New("the engine crashed")
+	errCancelled  = errors.New("the request was cancelled")
+	errCallerGone = errors.New("the caller went away")
 )
 
 type (
-	// Engine is a stand-in for a model engine. Make it by New.
+	// Engine simulates a model engine. Use New to create one.
 	Engine struct {
 		settings Settings
 		clock    clockwork.Clock
 		journal  *journal
 		faults   *faults
 
-		mu   sync.Mutex
-		life *life // nil while the engine is away after a crash
+		mu       sync.Mutex
+		instance *instance // nil during the downtime after a crash
 	}
 
-	// life is everything that a crash takes with it.
-	life struct {
+	// instance is the state that is lost in a crash.
+	instance struct {
 		incarnation uint64
 		ctx         context.Context
-		end         context.CancelCauseFunc
+		stop        context.CancelCauseFunc
 		cache       *promptCache
 		batch       *batch
 		loads       *loadHistory
-		holdings    *holdings
+		models      *modelSet
 
 		mu      sync.Mutex
 		cancels map[string]map[*Entry]context.CancelCauseFunc
 	}
 )
 
-// New returns an engine that serves at once.
+// New returns an engine that is ready to serve.
 func New(s Settings, clock clockwork.Clock) *Engine {
 	s = s.withDefaults()
 	return &Engine{
@@ -52,114 +52,115 @@
 		clock:    clock,
 		journal:  newJournal(s.JournalLimit, s.Journal),
 		faults:   &faults{},
-		life:     newLife(s, clock),
+		instance: newInstance(s, clock),
 	}
 }
 
-func newLife(s Settings, clock clockwork.Clock) *life {
-	ctx, end := context.WithCancelCause(context.Background())
+func newInstance(s Settings, clock clockwork.Clock) *instance {
+	ctx, stop := context.WithCancelCause(context.Background())
 	loads := &loadHistory{clock: clock, lag: s.ReportLag}
-	return &life{
+	return &instance{
 		incarnation: rand.Uint64() | 1,
 		ctx:         ctx,
-		end:         end,
+		stop:        stop,
 		cache:       newPromptCache(s, clock),
-		batch:       newBatch(s, clock, loads.note),
+		batch:       newBatch(s, clock, loads.record),
 		loads:       loads,
-		holdings:    newHoldings(s, clock),
+		models:      newModelSet(s, clock),
 		cancels:     map[string]map[*Entry]context.CancelCauseFunc{},
 	}
 }
 
-// Journal returns what the engine has done so far.
+// Journal returns a snapshot of the journal.
 func (e *Engine) Journal() Journal {
 	return e.journal.snapshot()
 }
 
-// Incarnation differs after each crash and start; it is 0 while the engine is
-// away.
+// Incarnation returns a random number that changes with each crash and start,
+// or 0 during the downtime after a crash.
 func (e *Engine) Incarnation() uint64 {
-	if l := e.alive(); l != nil {
-		return l.incarnation
+	if inst := e.currentInstance(); inst != nil {
+		return inst.incarnation
 	}
 	return 0
 }
 
-// Crash drops all that runs, and comes back empty after the pause, or after the
-// settings' pause where it is 0.
+// Crash aborts all requests and discards the engine's state. The engine
+// restarts after pause, or after Settings.CrashPause if pause is 0.
 func (e *Engine) Crash(pause time.Duration) {
 	if pause <= 0 {
 		pause = e.settings.CrashPause
 	}
 	e.mu.Lock()
-	l := e.life
-	e.life = nil
+	inst := e.instance
+	e.instance = nil
 	e.mu.Unlock()
-	if l == nil {
+	if inst == nil {
 		return
 	}
-	l.end(errCrashed)
+	inst.stop(errCrashed)
 	e.clock.AfterFunc(pause, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.life = newLife(e.settings, e.clock)
+		e.instance = newInstance(e.settings, e.clock)
 	})
 }
 
-func (e *Engine) alive() *life {
+func (e *Engine) currentInstance() *instance {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.instance
 }
 
-// living wraps a handler that needs the engine alive. A dead one cuts the
-// connection, as a dead process does.
-func (e *Engine) living(handle func(*life, http.ResponseWriter, *http.Request)) http.HandlerFunc {
+// withInstance wraps a handler that needs a running instance. During the
+// downtime after a crash it closes the connection, as a dead process would.
+func (e *Engine) withInstance(handle func(*instance, http.ResponseWriter, *http.Request)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if e.faults.wait(r.Context()) != nil {
+		if e.faults.waitWhileFrozen(r.Context()) != nil {
 			panic(http.ErrAbortHandler)
 		}
-		l := e.alive()
-		if l == nil {
+		inst := e.currentInstance()
+		if inst == nil {
 			panic(http.ErrAbortHandler)
 		}
-		handle(l, w, r)
+		handle(inst, w, r)
 	}
 }
 
-// watch derives the context of one request, which ends with the engine, the
-// caller's connection or a cancel order.
-func (l *life) watch(caller context.Context, entry *Entry) (context.Context, func()) {
-	ctx, cancel := context.WithCancelCause(l.ctx)
-	stop := context.AfterFunc(caller, func() { cancel(errGone) })
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// requestContext returns the context of a request. It is cancelled when the
+// engine crashes, the caller's connection closes or the request is cancelled
+// through the API.
+func (inst *instance) requestContext(caller context.Context, entry *Entry) (context.Context, func()) {
+	ctx, cancel := context.WithCancelCause(inst.ctx)
+	stop := context.AfterFunc(caller, func() { cancel(errCallerGone) })
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
 	id := entry.RequestID
-	if l.cancels[id] == nil {
-		l.cancels[id] = map[*Entry]context.CancelCauseFunc{}
+	if inst.cancels[id] == nil {
+		inst.cancels[id] = map[*Entry]context.CancelCauseFunc{}
 	}
-	l.cancels[id][entry] = cancel
+	inst.cancels[id][entry] = cancel
 	return ctx, func() {
 		stop()
 		cancel(nil)
-		l.forget(id, entry)
+		inst.removeCancel(id, entry)
 	}
 }
 
-func (l *life) forget(id string, entry *Entry) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.cancels[id], entry)
-	if len(l.cancels[id]) == 0 {
-		delete(l.cancels, id)
+func (inst *instance) removeCancel(id string, entry *Entry) {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
+	delete(inst.cancels[id], entry)
+	if len(inst.cancels[id]) == 0 {
+		delete(inst.cancels, id)
 	}
 }
 
-func (l *life) cancel(id string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, cancel := range l.cancels[id] {
+func (inst *instance) cancelRequest(id string) int {
+	inst.mu.Lock()
+	defer inst.mu.Unlock()
+	for _, cancel := range inst.cancels[id] {
 		cancel(errCancelled)
 	}
-	return len(l.cancels[id])
+	return len(inst.cancels[id])
 }
--- a/internal/standin/beechengine/engine_test.go
+++ b/internal/standin/beechengine/engine_test.go
@@ -64,18 +64,18 @@
 func TestSlotsAreGrantedByPriorityThenArrival(t *testing.T) {
 	is := is.New(t)
 	b := newBatch(Settings{Slots: 1, WaitLimit: 3}, clockwork.NewFakeClock(), func(int, int) {})
-	is.NoErr(b.enter(context.Background(), 5))
-	low, _ := b.queue(2)
-	first, _ := b.queue(1)
-	second, _ := b.queue(1)
-	_, err := b.queue(0)
-	is.Equal(err, errBusy)
-	for _, want := range []*ticket{first, second, low} {
+	is.NoErr(b.acquire(context.Background(), 5))
+	low, _ := b.enqueue(2)
+	first, _ := b.enqueue(1)
+	second, _ := b.enqueue(1)
+	_, err := b.enqueue(0)
+	is.Equal(err, errQueueFull)
+	for _, want := range []*waiter{first, second, low} {
 		is.True(!want.granted)
-		b.leave()
+		b.release()
 		is.True(want.granted)
 	}
-	b.withdraw(low) // granted and given up at the same moment
+	b.abandon(low) // the caller gave up at the moment the slot was granted
 	is.Equal(b.running, 0)
 }
 
@@ -86,47 +86,47 @@
 	is.Equal(b.prefill(500).Sub(clock.Now()), 500*time.Millisecond)
 	is.Equal(b.prefill(500).Sub(clock.Now()), time.Second)
 	clock.Advance(2 * time.Second)
-	b.setSlow(3)
+	b.setSlowdown(3)
 	is.Equal(b.prefill(100).Sub(clock.Now()), 300*time.Millisecond)
 }
 
 func TestCacheEvictsLeastRecentlyUsedAndDeepestBlocksFirst(t *testing.T) {
 	is := is.New(t)
 	c := newPromptCache(Settings{CacheTokens: 4, BlockTokens: 1, EventLimit: 100}, clockwork.NewFakeClock())
-	old := chain("s", served, []byte("aaaabbbb."), 1)
-	hot := chain("s", served, []byte("aaaacccc."), 1)
+	old := chainBlocks("s", served, []byte("aaaabbbb."), 1)
+	hot := chainBlocks("s", served, []byte("aaaacccc."), 1)
 	c.store(old)
 	c.store(hot)
-	c.store(chain("s", served, []byte("xxxxyyyy."), 1))
+	c.store(chainBlocks("s", served, []byte("xxxxyyyy."), 1))
 	cached, _ := c.match(old)
 	is.Equal(cached, 1)
 	cached, _ = c.match(hot)
 	is.Equal(cached, 2)
-	cached, _ = c.match(chain("other", served, []byte("aaaacccc."), 1))
+	cached, _ = c.match(chainBlocks("other", served, []byte("aaaacccc."), 1))
 	is.Equal(cached, 0)
-	cached, stale := c.match(chain("s", "advisor@w2", []byte("aaaacccc."), 1))
+	cached, stale := c.match(chainBlocks("s", "advisor@w2", []byte("aaaacccc."), 1))
 	is.Equal(cached, 2)
-	is.Equal(stale, 2) // a caller that reuses a salt over weights is seen
+	is.Equal(stale, 2) // the caller reused a salt across weights
 }
 
 func TestCacheEventsAreDelayedAndLost(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	c := newPromptCache(Settings{CacheTokens: 100, BlockTokens: 1, EventLimit: 2, EventLag: time.Second, LoseEvery: 3}, clock)
-	blocks := chain("s", served, []byte("aaaabbbbccccdddd."), 1)
+	blocks := chainBlocks("s", served, []byte("aaaabbbbccccdddd."), 1)
 	c.store(blocks)
-	is.Equal(len(c.after(0, 10)), 0)
+	is.Equal(len(c.eventsAfter(0, 10)), 0)
 	clock.Advance(time.Second)
-	events := c.after(0, 10)
+	events := c.eventsAfter(0, 10)
 	is.Equal(len(events), 3)
-	is.Equal(events[2].Sequence, uint64(4)) // the third is lost
+	is.Equal(events[2].Sequence, uint64(4)) // LoseEvery drops the third event
 	is.Equal(events[2].Tokens, 4)
-	is.Equal(len(c.after(2, 10)), 1)
-	is.Equal(len(c.after(0, 1)), 1)
-	c.loseNext(1)
+	is.Equal(len(c.eventsAfter(2, 10)), 1)
+	is.Equal(len(c.eventsAfter(0, 1)), 1)
+	c.loseEvents(1)
 	c.clear()
 	clock.Advance(time.Second)
-	is.Equal(len(c.after(4, 10)), 0)
+	is.Equal(len(c.eventsAfter(4, 10)), 0)
 	cached, _ := c.match(blocks)
 	is.Equal(cached, 0)
 }
@@ -135,20 +135,20 @@
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	h := &loadHistory{clock: clock, lag: time.Second}
-	h.note(3, 1)
+	h.record(3, 1)
 	running, _ := h.report()
 	is.Equal(running, 0)
 	clock.Advance(time.Second)
-	h.note(7, 2)
+	h.record(7, 2)
 	running, waiting := h.report()
 	is.Equal([]int{running, waiting}, []int{3, 1})
 	for range 1000 {
 		clock.Advance(10 * time.Millisecond)
-		h.note(8, 0)
+		h.record(8, 0)
 	}
 	running, _ = h.report()
 	is.Equal(running, 8)
-	is.True(len(h.samples) <= reportSteps+2)
+	is.True(len(h.samples) <= samplesPerLag+2)
 }
 
 func TestOrdersAndFencing(t *testing.T) {
@@ -167,7 +167,7 @@
 		is.Equal(len(r.Models) == 1, check)
 		is.Equal(r.FencingNumber == 8, check)
 		clock.Advance(time.Second)
-		// The fake clock calls what is due in goroutines of its own.
+		// The fake clock runs due functions in their own goroutines.
 		for tries := 0; len(r.Loading) > 0 && tries < 1000; tries++ {
 			r = LoadReport{}
 			get(t, url+"/load", &r)
@@ -203,8 +203,8 @@
 	is.Equal(e.Prompt, e.Cached+e.Computed)
 }
 
-// A prompt makes the engine's process die. Its batch dies with it, and what
-// comes back has nothing cached.
+// A prompt crashes the engine. All other requests in the batch must fail with
+// it, and the restarted engine must have an empty cache.
 func TestPoisonedPromptDropsBatchAndCache(t *testing.T) {
 	is := is.New(t)
 	e, url := start(t, Settings{TokenTime: time.Hour}, clockwork.NewRealClock())
--- a/internal/standin/beechengine/faults.go
+++ b/internal/standin/beechengine/faults.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// What POST /standin/fault can bring about.
+// Faults that POST /standin/fault can inject.
 const (
-	FaultCrash      FaultKind = "crash"       // cut all connections, come back empty after PauseMillis
-	FaultPoison     FaultKind = "poison"      // prompts that contain Marker crash the engine; empty ends it
-	FaultFreeze     FaultKind = "freeze"      // answer nothing for PauseMillis, or until thawed where it is 0
+	FaultCrash      FaultKind = "crash"       // close all connections, restart without state after PauseMillis
+	FaultPoison     FaultKind = "poison"      // prompts that contain Marker crash the engine; an empty Marker ends the fault
+	FaultFreeze     FaultKind = "freeze"      // stop answering for PauseMillis, or until FaultThaw if it is 0
 	FaultThaw       FaultKind = "thaw"        // end a freeze
-	FaultLoseEvents FaultKind = "lose_events" // lose the next Count cache events
-	FaultSlow       FaultKind = "slow"        // all computing takes Factor times as long; 1 ends it
-	FaultBusy       FaultKind = "busy"        // refuse the next Count requests with 503
-	FaultClearCache FaultKind = "clear"       // empty the prompt cache and say so by an event
-	FaultWrongID    FaultKind = "cross"       // the next Count answers carry another request's id
+	FaultLoseEvents FaultKind = "lose_events" // drop the next Count cache events
+	FaultSlow       FaultKind = "slow"        // prefill and token generation take Factor times as long; 1 ends the fault
+	FaultBusy       FaultKind = "busy"        // reject the next Count requests with status 503
+	FaultClearCache FaultKind = "clear"       // clear the prompt cache and publish an event for it
+	FaultWrongID    FaultKind = "cross"       // the next Count answers carry the ID of another request
 )
 
 type (
-	// FaultKind names a fault.
+	// FaultKind is the type of a fault.
 	FaultKind string
 
 	// Fault is the body of POST /standin/fault.
@@ -34,26 +34,26 @@
 	}
 
 	faults struct {
-		mu     sync.Mutex
-		marker []byte
-		frozen chan struct{}
-		busy   int
-		cross  int
+		mu      sync.Mutex
+		marker  []byte
+		frozen  chan struct{}
+		busy    int
+		wrongID int
 	}
 )
 
-// Pause is the fault's time.
+// Pause returns PauseMillis as a duration.
 func (f Fault) Pause() time.Duration {
 	return time.Duration(f.PauseMillis) * time.Millisecond
 }
 
-// Inject brings about a fault. It returns false for a kind it does not know.
+// Inject injects a fault. It returns false if the kind is unknown.
 func (e *Engine) Inject(f Fault) bool {
 	switch f.Kind {
 	case FaultCrash:
 		e.Crash(f.Pause())
 	case FaultPoison:
-		e.faults.set(func() { e.faults.marker = []byte(f.Marker) })
+		e.faults.update(func() { e.faults.marker = []byte(f.Marker) })
 	case FaultFreeze:
 		e.faults.freeze()
 		if f.Pause() > 0 {
@@ -62,40 +62,40 @@
 	case FaultThaw:
 		e.faults.thaw()
 	case FaultBusy:
-		e.faults.set(func() { e.faults.busy = f.Count })
+		e.faults.update(func() { e.faults.busy = f.Count })
 	case FaultWrongID:
-		e.faults.set(func() { e.faults.cross = f.Count })
+		e.faults.update(func() { e.faults.wrongID = f.Count })
 	case FaultLoseEvents, FaultSlow, FaultClearCache:
-		e.injectAlive(f)
+		e.injectIntoInstance(f)
 	default:
 		return false
 	}
 	return true
 }
 
-func (e *Engine) injectAlive(f Fault) {
-	l := e.alive()
-	if l == nil {
+func (e *Engine) injectIntoInstance(f Fault) {
+	inst := e.currentInstance()
+	if inst == nil {
 		return
 	}
 	switch f.Kind {
 	case FaultLoseEvents:
-		l.cache.loseNext(f.Count)
+		inst.cache.loseEvents(f.Count)
 	case FaultSlow:
-		l.batch.setSlow(f.Factor)
+		inst.batch.setSlowdown(f.Factor)
 	case FaultClearCache:
-		l.cache.clear()
+		inst.cache.clear()
 	}
 }
 
-func (f *faults) set(change func()) {
+func (f *faults) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
 func (f *faults) freeze() {
-	f.set(func() {
+	f.update(func() {
 		if f.frozen == nil {
 			f.frozen = make(chan struct{})
 		}
@@ -103,7 +103,7 @@
 }
 
 func (f *faults) thaw() {
-	f.set(func() {
+	f.update(func() {
 		if f.frozen != nil {
 			close(f.frozen)
 			f.frozen = nil
@@ -111,8 +111,9 @@
 	})
 }
 
-// wait holds while the engine is frozen.
-func (f *faults) wait(ctx context.Context) error {
+// waitWhileFrozen blocks while the engine is frozen. It returns the cause of
+// ctx if ctx ends first.
+func (f *faults) waitWhileFrozen(ctx context.Context) error {
 	f.mu.Lock()
 	frozen := f.frozen
 	f.mu.Unlock()
@@ -127,13 +128,13 @@
 	}
 }
 
-func (f *faults) poisons(prompt []byte) bool {
+func (f *faults) containsMarker(prompt []byte) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.marker) > 0 && bytes.Contains(prompt, f.marker)
 }
 
-func (f *faults) takeBusy() bool {
+func (f *faults) consumeBusy() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.busy <= 0 {
@@ -143,12 +144,12 @@
 	return true
 }
 
-func (f *faults) takeCross() bool {
+func (f *faults) consumeWrongID() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cross <= 0 {
+	if f.wrongID <= 0 {
 		return false
 	}
-	f.cross--
+	f.wrongID--
 	return true
 }
--- a/internal/standin/beechengine/generate.go
+++ b/internal/standin/beechengine/generate.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// Header that names a request to the engine, and in its answer.
+// requestHeader carries the request ID in requests and answers.
 const requestHeader = "X-Request-Id"
 
-// statusCancelled is what a cancelled plain request is answered with.
+// statusCancelled is the status of a cancelled answer that is not streamed, or
+// of which nothing was sent yet.
 const statusCancelled = 499
 
 type (
-	// call is a request's body as the engine reads it.
-	call struct {
+	// completionRequest is the body of a chat or text completion request.
+	completionRequest struct {
 		Model         string            `json:"model"`
 		Messages      []json.RawMessage `json:"messages"`
 		PlainPrompt   json.RawMessage   `json:"prompt"`
@@ -33,16 +34,16 @@
 		Adapter    string `json:"adapter"`
 	}
 
-	// run is one request on its way through the engine.
-	run struct {
-		call
+	// generation is the state of one request in the engine.
+	generation struct {
+		completionRequest
 		chat    bool
 		id      string
 		served  string // model@weights
 		prompt  []byte
 		seed    uint64
-		tokens  int // of the whole answer
-		resumed int // of them given by an earlier run
+		tokens  int // in the complete answer
+		resumed int // tokens already delivered by an earlier attempt
 		finish  string
 		created int64
 		entry   *Entry
@@ -52,7 +53,8 @@
 		CachedTokens int `json:"cached_tokens"`
 	}
 
-	// usage counts the whole answer, also what an earlier run gave of it.
+	// usage counts the tokens of the complete answer, including those delivered
+	// by an earlier attempt.
 	usage struct {
 		PromptTokens     int           `json:"prompt_tokens"`
 		CompletionTokens int           `json:"completion_tokens"`
@@ -61,22 +63,22 @@
 	}
 )
 
-func (e *Engine) serveChat(l *life, w http.ResponseWriter, r *http.Request) {
-	e.serveGenerate(l, w, r, true)
+func (e *Engine) serveChat(inst *instance, w http.ResponseWriter, r *http.Request) {
+	e.serveGenerate(inst, w, r, true)
 }
 
-func (e *Engine) servePlain(l *life, w http.ResponseWriter, r *http.Request) {
-	e.serveGenerate(l, w, r, false)
+func (e *Engine) serveCompletion(inst *instance, w http.ResponseWriter, r *http.Request) {
+	e.serveGenerate(inst, w, r, false)
 }
 
-func (e *Engine) serveGenerate(l *life, w http.ResponseWriter, r *http.Request, chat bool) {
+func (e *Engine) serveGenerate(inst *instance, w http.ResponseWriter, r *http.Request, chat bool) {
 	body, ok := readBody(w, r)
 	if !ok {
 		return
 	}
-	g := &run{chat: chat, id: r.Header.Get(requestHeader), created: e.clock.Now().Unix()}
-	if err := g.read(body, l.holdings); err != nil {
-		refuseCall(w, err)
+	g := &generation{chat: chat, id: r.Header.Get(requestHeader), created: e.clock.Now().Unix()}
+	if err := g.read(body, inst.models); err != nil {
+		rejectInvalid(w, err)
 		return
 	}
 	g.entry = e.journal.begin(Entry{
@@ -85,29 +87,29 @@
 		Fingerprint: Fingerprint(g.prompt),
 		Model:       g.served,
 		Adapter:     g.Adapter,
-		Incarnation: l.incarnation,
+		Incarnation: inst.incarnation,
 		Priority:    g.Priority,
 		State:       StateWaiting,
 		Prompt:      promptTokens(g.prompt),
 		Resumed:     g.resumed,
 		Began:       e.clock.Now(),
 	})
-	ctx, done := l.watch(r.Context(), g.entry)
+	ctx, done := inst.requestContext(r.Context(), g.entry)
 	defer done()
-	if e.faults.takeBusy() {
-		e.refuseBusy(w, g, errBusy)
+	if e.faults.consumeBusy() {
+		e.rejectUnstarted(w, g, errQueueFull)
 		return
 	}
-	if err := l.batch.enter(ctx, g.Priority); err != nil {
-		e.refuseBusy(w, g, err)
+	if err := inst.batch.acquire(ctx, g.Priority); err != nil {
+		e.rejectUnstarted(w, g, err)
 		return
 	}
-	defer l.batch.leave()
-	e.answer(ctx, l, w, g)
+	defer inst.batch.release()
+	e.generateAnswer(ctx, inst, w, g)
 }
 
-func (g *run) read(body []byte, h *holdings) error {
-	if err := json.Unmarshal(body, &g.call); err != nil {
+func (g *generation) read(body []byte, models *modelSet) error {
+	if err := json.Unmarshal(body, &g.completionRequest); err != nil {
 		return err
 	}
 	prompt, err := joinPrompt(g.Messages, g.PlainPrompt)
@@ -115,14 +117,14 @@
 		return err
 	}
 	g.prompt = prompt
-	if g.served, err = h.serve(g.Model); err != nil {
+	if g.served, err = models.resolve(g.Model); err != nil {
 		return err
 	}
 	g.seed = answerSeed(g.served, prompt)
 	g.finish = "length"
 	g.tokens = max(g.MaxTokens, g.MaxCompletion)
 	if g.tokens <= 0 {
-		g.tokens = ownTokens(g.seed)
+		g.tokens = defaultTokens(g.seed)
 		g.finish = "stop"
 	}
 	g.resumed, err = resumedTokens(g.seed, g.ResumeText)
@@ -130,7 +132,7 @@
 	return err
 }
 
-func refuseCall(w http.ResponseWriter, err error) {
+func rejectInvalid(w http.ResponseWriter, err error) {
 	if errors.Is(err, errNoModel) {
 		writeError(w, http.StatusNotFound, "model_not_found", err.Error(), "no")
 		return
@@ -138,13 +140,13 @@
 	writeError(w, http.StatusBadRequest, "invalid_request", err.Error(), "no")
 }
 
-// refuseBusy answers a request that never got a slot.
-func (e *Engine) refuseBusy(w http.ResponseWriter, g *run, err error) {
+// rejectUnstarted ends a request that did not get a slot.
+func (e *Engine) rejectUnstarted(w http.ResponseWriter, g *generation, err error) {
 	state := StateRefused
 	switch {
 	case errors.Is(err, errCrashed):
 		state = StateCrashed
-	case errors.Is(err, errGone), errors.Is(err, errCancelled):
+	case errors.Is(err, errCallerGone), errors.Is(err, errCancelled):
 		state = StateCancelled
 	}
 	e.journal.update(g.entry, func(n *Entry) {
@@ -162,27 +164,27 @@
 	}
 }
 
-// answer prefills and generates in a slot.
-func (e *Engine) answer(ctx context.Context, l *life, w http.ResponseWriter, g *run) {
-	use, err := e.prefill(ctx, l, g)
-	out := newWriter(w, g, e.settings.TokenTime > 0, e.faults.takeCross())
+// generateAnswer runs prefill and token generation. The caller holds a slot.
+func (e *Engine) generateAnswer(ctx context.Context, inst *instance, w http.ResponseWriter, g *generation) {
+	use, err := e.prefill(ctx, inst, g)
+	out := newWriter(w, g, e.settings.TokenTime > 0, e.faults.consumeWrongID())
 	if err == nil {
-		err = e.generate(ctx, l, out, g)
+		err = e.generate(ctx, inst, out, g)
 	}
-	e.end(g, err)
+	e.recordEnd(g, err)
 	switch {
 	case err == nil:
-		out.finish(use)
+		out.writeEnd(use)
 	case errors.Is(err, errCancelled):
-		out.cancelled()
+		out.writeCancelled()
 	default:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (e *Engine) prefill(ctx context.Context, l *life, g *run) (usage, error) {
-	blocks := chain(g.CacheSalt, g.served, g.prompt, e.settings.BlockTokens)
-	cached, stale := l.cache.match(blocks)
+func (e *Engine) prefill(ctx context.Context, inst *instance, g *generation) (usage, error) {
+	blocks := chainBlocks(g.CacheSalt, g.served, g.prompt, e.settings.BlockTokens)
+	cached, stale := inst.cache.match(blocks)
 	prompt := promptTokens(g.prompt)
 	computed := prompt - cached + g.resumed
 	e.journal.update(g.entry, func(n *Entry) {
@@ -192,13 +194,13 @@
 		n.Stale = stale
 		n.Computed = computed
 	})
-	if e.faults.poisons(g.prompt) {
+	if e.faults.containsMarker(g.prompt) {
 		e.Crash(0)
 	}
-	if err := e.sleepUntil(ctx, l.batch.prefill(computed)); err != nil {
+	if err := e.sleepUntil(ctx, inst.batch.prefill(computed)); err != nil {
 		return usage{}, err
 	}
-	l.cache.store(blocks)
+	inst.cache.store(blocks)
 	return usage{
 		PromptTokens:     prompt,
 		CompletionTokens: g.tokens,
@@ -207,16 +209,16 @@
 	}, nil
 }
 
-func (e *Engine) generate(ctx context.Context, l *life, out *writer, g *run) error {
+func (e *Engine) generate(ctx context.Context, inst *instance, out *writer, g *generation) error {
 	due := e.clock.Now()
 	for i := g.resumed; i < g.tokens; i++ {
 		if i > g.resumed {
-			due = due.Add(l.batch.tokenTime())
+			due = due.Add(inst.batch.tokenTime())
 		}
 		if err := e.sleepUntil(ctx, due); err != nil {
 			return err
 		}
-		out.token(token(g.seed, i))
+		out.writeToken(token(g.seed, i))
 		e.journal.update(g.entry, func(n *Entry) { n.Output++ })
 	}
 	if e.settings.EndTime <= 0 {
@@ -225,7 +227,7 @@
 	return e.sleepUntil(ctx, e.clock.Now().Add(e.settings.EndTime))
 }
 
-func (e *Engine) end(g *run, err error) {
+func (e *Engine) recordEnd(g *generation, err error) {
 	state := StateFinished
 	switch {
 	case errors.Is(err, errCrashed):
@@ -239,8 +241,8 @@
 	})
 }
 
-// sleepUntil waits for a moment, for the end of a freeze, or for the end of ctx
-// and then returns its cause.
+// sleepUntil waits until due and until the engine is no longer frozen. It
+// returns the cause of ctx if ctx ends first.
 func (e *Engine) sleepUntil(ctx context.Context, due time.Time) error {
 	if wait := due.Sub(e.clock.Now()); wait > 0 {
 		t := e.clock.NewTimer(wait)
@@ -254,14 +256,14 @@
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	return e.faults.wait(ctx)
+	return e.faults.waitWhileFrozen(ctx)
 }
 
 func promptTokens(prompt []byte) int {
 	return (len(prompt) + bytesPerToken - 1) / bytesPerToken
 }
 
-// answerID is the id in the answer's JSON.
+// answerID returns the ID field of the answer's JSON.
 func answerID(chat bool, id string) string {
 	if chat {
 		return "chatcmpl-" + id
--- a/internal/standin/beechengine/handler.go
+++ b/internal/standin/beechengine/handler.go
@@ -7,14 +7,14 @@
 	"strconv"
 )
 
-// Limits of what the engine reads and gives at once.
+// Limits of request bodies and of the events in one reply.
 const (
 	maxBody   = 64 << 20
 	maxEvents = 4096
 )
 
 type (
-	// CacheEvents is the answer to GET /cache/events.
+	// CacheEvents is the reply to GET /cache/events.
 	CacheEvents struct {
 		Incarnation uint64       `json:"incarnation"`
 		Events      []CacheEvent `json:"events"`
@@ -44,26 +44,26 @@
 	}
 )
 
-// Handler serves the engine's HTTP interface.
+// Handler returns the handler of the engine's HTTP API.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", e.living(e.serveChat))
-	mux.HandleFunc("POST /v1/completions", e.living(e.servePlain))
-	mux.HandleFunc("GET /v1/models", e.living(e.serveModels))
-	mux.HandleFunc("GET /cache/events", e.living(e.serveEvents))
-	mux.HandleFunc("GET /load", e.living(e.serveLoad))
-	mux.HandleFunc("POST /cancel/{id}", e.living(e.serveCancel))
-	mux.HandleFunc("POST /orders", e.living(e.serveOrder))
-	mux.HandleFunc("POST /kv/export", e.living(e.serveExport))
-	mux.HandleFunc("POST /kv/import", e.living(e.serveImport))
+	mux.HandleFunc("POST /v1/chat/completions", e.withInstance(e.serveChat))
+	mux.HandleFunc("POST /v1/completions", e.withInstance(e.serveCompletion))
+	mux.HandleFunc("GET /v1/models", e.withInstance(e.serveModels))
+	mux.HandleFunc("GET /cache/events", e.withInstance(e.serveEvents))
+	mux.HandleFunc("GET /load", e.withInstance(e.serveLoad))
+	mux.HandleFunc("POST /cancel/{id}", e.withInstance(e.serveCancel))
+	mux.HandleFunc("POST /orders", e.withInstance(e.serveOrder))
+	mux.HandleFunc("POST /kv/export", e.withInstance(e.serveExport))
+	mux.HandleFunc("POST /kv/import", e.withInstance(e.serveImport))
 	mux.HandleFunc("GET /journal", e.serveJournal)
 	mux.HandleFunc("POST /standin/fault", e.serveFault)
 	return mux
 }
 
-func (e *Engine) serveModels(l *life, w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveModels(inst *instance, w http.ResponseWriter, _ *http.Request) {
 	var r LoadReport
-	l.holdings.describe(&r)
+	inst.models.describe(&r)
 	list := modelList{Object: "list", Data: []modelItem{}}
 	for _, m := range r.Models {
 		list.Data = append(list.Data, modelItem{ID: m, Object: "model", OwnedBy: "standin"})
@@ -71,38 +71,38 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-func (e *Engine) serveEvents(l *life, w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveEvents(inst *instance, w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	writeJSON(w, http.StatusOK, CacheEvents{Incarnation: l.incarnation, Events: l.cache.after(after, maxEvents)})
+	writeJSON(w, http.StatusOK, CacheEvents{Incarnation: inst.incarnation, Events: inst.cache.eventsAfter(after, maxEvents)})
 }
 
-func (e *Engine) serveLoad(l *life, w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveLoad(inst *instance, w http.ResponseWriter, _ *http.Request) {
 	report := LoadReport{
-		Incarnation: l.incarnation,
+		Incarnation: inst.incarnation,
 		Slots:       e.settings.Slots,
 		PrefillRate: e.settings.PrefillRate,
 		TokenTime:   e.settings.TokenTime,
 	}
-	report.Running, report.Waiting = l.loads.report()
-	l.holdings.describe(&report)
+	report.Running, report.Waiting = inst.loads.report()
+	inst.models.describe(&report)
 	writeJSON(w, http.StatusOK, report)
 }
 
-func (e *Engine) serveCancel(l *life, w http.ResponseWriter, r *http.Request) {
-	if l.cancel(r.PathValue("id")) == 0 {
+func (e *Engine) serveCancel(inst *instance, w http.ResponseWriter, r *http.Request) {
+	if inst.cancelRequest(r.PathValue("id")) == 0 {
 		writeError(w, http.StatusNotFound, "unknown_request", "no such request is running", "no")
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (e *Engine) serveOrder(l *life, w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveOrder(inst *instance, w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if !readJSON(w, r, &o) {
 		return
 	}
-	err := l.holdings.apply(o)
-	e.journal.order(OrderEntry{Order: o, Accepted: err == nil, Incarnation: l.incarnation, At: e.clock.Now()})
+	err := inst.models.apply(o)
+	e.journal.recordOrder(OrderEntry{Order: o, Accepted: err == nil, Incarnation: inst.incarnation, At: e.clock.Now()})
 	if err != nil {
 		writeError(w, http.StatusConflict, "old_fencing_number", err.Error(), "no")
 		return
--- a/internal/standin/beechengine/kv.go
+++ b/internal/standin/beechengine/kv.go
@@ -6,25 +6,27 @@
 )
 
 type (
-	// ExportRequest is the body of POST /kv/export. Prompt is a request's body.
+	// ExportRequest is the body of POST /kv/export. Prompt is a complete request
+	// body, as Prompt takes it.
 	ExportRequest struct {
 		Salt   string          `json:"salt"`
 		Prompt json.RawMessage `json:"prompt"`
 	}
 
-	// CacheBlocks is what an export gives and an import takes.
+	// CacheBlocks is the reply to POST /kv/export and the body of POST
+	// /kv/import.
 	CacheBlocks struct {
 		Salt   string  `json:"salt"`
 		Blocks []block `json:"blocks"`
 	}
 
-	// ImportResult is the answer to POST /kv/import.
+	// ImportResult is the reply to POST /kv/import.
 	ImportResult struct {
 		Tokens int `json:"tokens"`
 	}
 )
 
-func (e *Engine) serveExport(l *life, w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveExport(inst *instance, w http.ResponseWriter, r *http.Request) {
 	var x ExportRequest
 	if !readJSON(w, r, &x) {
 		return
@@ -34,17 +36,17 @@
 		writeError(w, http.StatusBadRequest, "malformed_prompt", err.Error(), "no")
 		return
 	}
-	held := l.cache.held(chain(x.Salt, "", prompt, e.settings.BlockTokens))
+	held := inst.cache.lookup(chainBlocks(x.Salt, "", prompt, e.settings.BlockTokens))
 	for i := range held {
 		held[i].Fill = make([]byte, e.settings.BlockBytes)
 	}
 	writeJSON(w, http.StatusOK, CacheBlocks{Salt: x.Salt, Blocks: held})
 }
 
-// serveImport takes blocks under the salt they were exported from. It believes
-// what the blocks say of their weights, and counts them as stale when other
-// weights use them.
-func (e *Engine) serveImport(l *life, w http.ResponseWriter, r *http.Request) {
+// serveImport stores blocks under the salt they were exported with. It trusts
+// the model recorded in each block; prompts of other weights that match such a
+// block count it as stale.
+func (e *Engine) serveImport(inst *instance, w http.ResponseWriter, r *http.Request) {
 	var b CacheBlocks
 	if !readJSON(w, r, &b) {
 		return
@@ -60,6 +62,6 @@
 		b.Blocks[i].Fill = nil
 		tokens = max(tokens, b.Blocks[i].Tokens)
 	}
-	l.cache.store(b.Blocks)
+	inst.cache.store(b.Blocks)
 	writeJSON(w, http.StatusOK, ImportResult{Tokens: tokens})
 }
--- a/internal/standin/beechengine/load.go
+++ b/internal/standin/beechengine/load.go
@@ -7,11 +7,11 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// reportSteps is how many steps of history a load report's lag is cut into.
-const reportSteps = 8
+// samplesPerLag is the number of load samples kept per ReportLag.
+const samplesPerLag = 8
 
 type (
-	// LoadReport is the answer to GET /load.
+	// LoadReport is the reply to GET /load.
 	LoadReport struct {
 		Incarnation   uint64        `json:"incarnation"`
 		Running       int           `json:"running"`
@@ -32,7 +32,8 @@
 		waiting int
 	}
 
-	// loadHistory remembers the load for as long as the report lags.
+	// loadHistory keeps load samples long enough to report the load with a
+	// delay.
 	loadHistory struct {
 		mu      sync.Mutex
 		clock   clockwork.Clock
@@ -41,12 +42,12 @@
 	}
 )
 
-func (h *loadHistory) note(running, waiting int) {
+func (h *loadHistory) record(running, waiting int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock.Now()
 	last := len(h.samples) - 1
-	if last >= 0 && now.Sub(h.samples[last].at) < h.lag/reportSteps {
+	if last >= 0 && now.Sub(h.samples[last].at) < h.lag/samplesPerLag {
 		h.samples[last].running, h.samples[last].waiting = running, waiting
 		return
 	}
@@ -54,8 +55,8 @@
 	h.prune(now)
 }
 
-// prune keeps the newest sample that is old enough to be reported, and what is
-// younger.
+// prune keeps the newest sample that is old enough to be reported, and all
+// samples after it.
 func (h *loadHistory) prune(now time.Time) {
 	for len(h.samples) > 1 && !h.samples[1].at.After(now.Add(-h.lag)) {
 		h.samples = h.samples[1:]
--- a/internal/standin/beechengine/orders.go
+++ b/internal/standin/beechengine/orders.go
@@ -17,8 +17,8 @@
 )
 
 type (
-	// Order is the body of POST /orders. Models are named model@weights. An
-	// adapter is named model@weights:adapter.
+	// Order is the body of POST /orders. Models are given as model@weights,
+	// adapters as model@weights:adapter.
 	Order struct {
 		Fence   uint64 `json:"fence"`
 		Load    string `json:"load,omitempty"`
@@ -27,76 +27,78 @@
 		Role    string `json:"role,omitempty"`
 	}
 
-	// holdings is what the engine has loaded.
-	holdings struct {
-		mu       sync.Mutex
-		clock    clockwork.Clock
-		loadTime time.Duration
-		check    bool
-		fence    uint64
-		models   []string
-		adapters []string
-		loading  []string
-		role     string
+	// modelSet tracks the models and adapters that are loaded or loading, the
+	// engine's role and the highest accepted fencing number.
+	modelSet struct {
+		mu         sync.Mutex
+		clock      clockwork.Clock
+		loadTime   time.Duration
+		checkFence bool
+		fence      uint64
+		models     []string
+		adapters   []string
+		loading    []string
+		role       string
 	}
 )
 
-func newHoldings(s Settings, clock clockwork.Clock) *holdings {
-	return &holdings{clock: clock, loadTime: s.LoadTime, check: s.CheckFence, models: slices.Clone(s.Models)}
+func newModelSet(s Settings, clock clockwork.Clock) *modelSet {
+	return &modelSet{clock: clock, loadTime: s.LoadTime, checkFence: s.CheckFence, models: slices.Clone(s.Models)}
 }
 
-// apply begins an order. Loads go on by themselves; the report shows them.
-func (h *holdings) apply(o Order) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.check {
-		if o.Fence < h.fence {
-			return fmt.Errorf("%w: %d after %d", errOldFence, o.Fence, h.fence)
+// apply executes an order. Loading continues in the background and shows in the
+// load report.
+func (s *modelSet) apply(o Order) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.checkFence {
+		if o.Fence < s.fence {
+			return fmt.Errorf("%w: %d after %d", errOldFence, o.Fence, s.fence)
 		}
-		h.fence = o.Fence
+		s.fence = o.Fence
 	}
 	if o.Unload != "" {
-		h.models = remove(h.models, o.Unload)
-		h.loading = remove(h.loading, o.Unload)
+		s.models = remove(s.models, o.Unload)
+		s.loading = remove(s.loading, o.Unload)
 	}
 	if o.Role != "" {
-		h.role = o.Role
+		s.role = o.Role
 	}
-	if o.Load != "" && !slices.Contains(h.models, o.Load) {
-		h.load(o.Load, &h.models)
+	if o.Load != "" && !slices.Contains(s.models, o.Load) {
+		s.load(o.Load, &s.models)
 	}
-	if o.Adapter != "" && !slices.Contains(h.adapters, o.Adapter) {
-		h.load(o.Adapter, &h.adapters)
+	if o.Adapter != "" && !slices.Contains(s.adapters, o.Adapter) {
+		s.load(o.Adapter, &s.adapters)
 	}
 	return nil
 }
 
-func (h *holdings) load(name string, into *[]string) {
-	if slices.Contains(h.loading, name) {
+func (s *modelSet) load(name string, into *[]string) {
+	if slices.Contains(s.loading, name) {
 		return
 	}
-	if h.loadTime <= 0 {
+	if s.loadTime <= 0 {
 		*into = append(*into, name)
 		return
 	}
-	h.loading = append(h.loading, name)
-	h.clock.AfterFunc(h.loadTime, func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		if !slices.Contains(h.loading, name) {
+	s.loading = append(s.loading, name)
+	s.clock.AfterFunc(s.loadTime, func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if !slices.Contains(s.loading, name) {
 			return
 		}
-		h.loading = remove(h.loading, name)
+		s.loading = remove(s.loading, name)
 		*into = append(*into, name)
 	})
 }
 
-// serve resolves a request's model, which names its weights or leaves them to
-// the engine, which then takes the weights loaded last.
-func (h *holdings) serve(model string) (string, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, m := range slices.Backward(h.models) {
+// resolve returns the model@weights that serve a request. A model without
+// weights selects the weights loaded last.
+func (s *modelSet) resolve(model string) (string, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, m := range slices.Backward(s.models) {
 		if m == model || baseName(m) == model {
 			return m, nil
 		}
@@ -104,21 +106,21 @@
 	return "", fmt.Errorf("%w: %q", errNoModel, model)
 }
 
-func (h *holdings) describe(r *LoadReport) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	r.Models = slices.Clone(h.models)
-	r.Adapters = slices.Clone(h.adapters)
-	r.Loading = slices.Clone(h.loading)
-	r.Role = h.role
-	r.FencingNumber = h.fence
+func (s *modelSet) describe(r *LoadReport) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	r.Models = slices.Clone(s.models)
+	r.Adapters = slices.Clone(s.adapters)
+	r.Loading = slices.Clone(s.loading)
+	r.Role = s.role
+	r.FencingNumber = s.fence
 }
 
 func remove(names []string, name string) []string {
 	return slices.DeleteFunc(names, func(n string) bool { return n == name })
 }
 
-// baseName is a model's name without its weights version.
+// baseName returns the name of a model without its weights version.
 func baseName(model string) string {
 	base, _, _ := strings.Cut(model, "@")
 	return base
--- a/internal/standin/beechengine/settings.go
+++ b/internal/standin/beechengine/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What a Settings field of zero stands for.
+// Defaults of the Settings fields that are zero.
 const (
 	DefaultSlots        = 64
 	DefaultWaitLimit    = 4096
@@ -16,31 +16,31 @@
 	DefaultCrashPause   = 200 * time.Millisecond
 )
 
-// bytesPerToken is how many bytes of a prompt make one token.
+// bytesPerToken is the number of prompt bytes that count as one token.
 const bytesPerToken = 4
 
-// Settings describe one engine. A zero field has the default above, or switches
-// off what it describes.
+// Settings configures an engine. A zero field selects the default above, or
+// disables the feature if it has none.
 type Settings struct {
-	Models      []string      // model@weights loaded at the start and after a crash
-	Slots       int           // requests run at once
-	WaitLimit   int           // requests that may wait for a slot before 503
-	PrefillRate int           // prompt tokens a second over all slots, 0 takes no time
-	TokenTime   time.Duration // between output tokens of one request
-	EndTime     time.Duration // between the last token and the answer's end
-	CacheTokens int           // prompt tokens the cache holds
-	BlockTokens int           // tokens to a block
-	EventLag    time.Duration // age at which a cache event is published
-	LoseEvery   int           // loses each n-th cache event, 0 loses none
-	EventLimit  int           // cache events kept for readers
-	ReportLag   time.Duration // age of the load report
-	LoadTime    time.Duration // to load a model or adapter
-	CheckFence  bool          // refuses orders that carry an older fencing number
-	BlockBytes  int           // exported bytes a block, beside its description
-	CrashPause  time.Duration // away after a crash
+	Models      []string      // model@weights loaded at start and after a crash
+	Slots       int           // maximum number of concurrent requests
+	WaitLimit   int           // maximum number of requests waiting for a slot; more get a 503
+	PrefillRate int           // prompt tokens per second, shared by all slots; 0 means no limit
+	TokenTime   time.Duration // interval between output tokens of a request
+	EndTime     time.Duration // delay between the last token and the end of the answer
+	CacheTokens int           // capacity of the prompt cache in tokens
+	BlockTokens int           // tokens per cache block
+	EventLag    time.Duration // delay until a cache event is published
+	LoseEvery   int           // drop every n-th cache event; 0 drops none
+	EventLimit  int           // number of cache events retained
+	ReportLag   time.Duration // delay of the load report
+	LoadTime    time.Duration // time to load a model or adapter
+	CheckFence  bool          // reject orders with an outdated fencing number
+	BlockBytes  int           // size of the payload of an exported block
+	CrashPause  time.Duration // downtime after a crash
 
-	JournalLimit int       // entries kept, the oldest go first
-	Journal      io.Writer // also gets each journal entry at its begin and end, as JSON lines
+	JournalLimit int       // number of entries retained; the oldest are dropped first
+	Journal      io.Writer // also receives each journal entry as a JSON line when it starts and when its state changes
 }
 
 func (s Settings) withDefaults() Settings {
--- a/internal/standin/beechengine/writer.go
+++ b/internal/standin/beechengine/writer.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// crossedID stands in for another request's id in a crossed answer.
-const crossedID = "another-request"
+// otherRequestID is the request ID in answers that FaultWrongID affects.
+const otherRequestID = "another-request"
 
 type (
-	// writer gives a run's answer as one JSON object or as server-sent events.
+	// writer sends an answer as one JSON object or as server-sent events.
 	writer struct {
-		g       *run
-		id      string
-		http    http.ResponseWriter
-		buffer  *bufio.Writer
-		flusher http.Flusher
-		opened  bool
-		eager   bool   // flushes each token, which an engine without token time need not
-		before  string // of a streamed token
-		after   string
-		text    strings.Builder
+		g           *generation
+		id          string
+		http        http.ResponseWriter
+		buffer      *bufio.Writer
+		flusher     http.Flusher
+		started     bool
+		flushTokens bool   // flush after each token; not needed if tokens take no time
+		before      string // part of a chunk before the token
+		after       string
+		text        strings.Builder
 	}
 
 	message struct {
@@ -48,35 +48,36 @@
 	}
 )
 
-func newWriter(w http.ResponseWriter, g *run, eager, crossed bool) *writer {
-	out := &writer{g: g, id: g.id, http: w, eager: eager}
-	if crossed {
-		out.id = crossedID
+func newWriter(w http.ResponseWriter, g *generation, flushTokens, wrongID bool) *writer {
+	out := &writer{g: g, id: g.id, http: w, flushTokens: flushTokens}
+	if wrongID {
+		out.id = otherRequestID
 	}
 	return out
 }
 
-// open writes the head of a streamed answer.
-func (out *writer) open() {
-	out.opened = true
+// startStream sets the headers of a streamed answer. A chat answer that is not
+// resumed begins with a chunk that carries the role.
+func (out *writer) startStream() {
+	out.started = true
 	h := out.http.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-cache")
 	h.Set(requestHeader, out.id)
 	out.flusher, _ = out.http.(http.Flusher)
 	out.buffer = bufio.NewWriter(out.http)
-	out.before, out.after = out.frame(`"delta":{"content":"`, `"}`)
+	out.before, out.after = out.chunkFrame(`"delta":{"content":"`, `"}`)
 	if !out.g.chat {
-		out.before, out.after = out.frame(`"text":"`, `"`)
+		out.before, out.after = out.chunkFrame(`"text":"`, `"`)
 	}
 	if out.g.chat && out.g.resumed == 0 {
-		first, last := out.frame(`"delta":{"role":"assistant","content":"`, `"}`)
-		out.event(first, "", last)
+		first, last := out.chunkFrame(`"delta":{"role":"assistant","content":"`, `"}`)
+		out.writeEvent(first, "", last)
 	}
 }
 
-// frame returns what stands before and after a token in a chunk.
-func (out *writer) frame(open, shut string) (before, after string) {
+// chunkFrame returns the parts of a chunk before and after the token.
+func (out *writer) chunkFrame(prefix, suffix string) (before, after string) {
 	object := "text_completion"
 	if out.g.chat {
 		object = "chat.completion.chunk"
@@ -89,12 +90,12 @@
 		Fingerprint: out.g.served,
 	})
 	start, _, _ := strings.Cut(string(head), `"choices"`)
-	before = "data: " + start + `"choices":[{"index":0,` + open
-	after = shut + `,"finish_reason":null}]}` + "\n\n"
+	before = "data: " + start + `"choices":[{"index":0,` + prefix
+	after = suffix + `,"finish_reason":null}]}` + "\n\n"
 	return before, after
 }
 
-func (out *writer) event(parts ...string) {
+func (out *writer) writeEvent(parts ...string) {
 	for _, p := range parts {
 		out.buffer.WriteString(p)
 	}
@@ -107,45 +108,45 @@
 	}
 }
 
-func (out *writer) token(word string) {
+func (out *writer) writeToken(word string) {
 	if !out.g.Stream {
 		out.text.WriteString(word)
 		return
 	}
-	first := !out.opened
+	first := !out.started
 	if first {
-		out.open()
+		out.startStream()
 	}
-	out.event(out.before, word, out.after)
-	if first || out.eager {
+	out.writeEvent(out.before, word, out.after)
+	if first || out.flushTokens {
 		out.flush()
 	}
 }
 
-func (out *writer) finish(use usage) {
+func (out *writer) writeEnd(use usage) {
 	if !out.g.Stream {
-		out.plain(use)
+		out.writeJSONAnswer(use)
 		return
 	}
-	if !out.opened {
-		out.open()
+	if !out.started {
+		out.startStream()
 	}
-	before, after := out.frame(`"delta":{`, `}`)
+	before, after := out.chunkFrame(`"delta":{`, `}`)
 	if !out.g.chat {
-		before, after = out.frame(`"text":"`, `"`)
+		before, after = out.chunkFrame(`"text":"`, `"`)
 	}
 	after = strings.Replace(after, `"finish_reason":null`, `"finish_reason":"`+out.g.finish+`"`, 1)
-	out.event(before, after)
+	out.writeEvent(before, after)
 	if out.g.StreamOptions.IncludeUsage {
 		start, _, _ := strings.Cut(before, `"choices"`)
 		counts, _ := json.Marshal(use)
-		out.event(start, `"choices":[],"usage":`, string(counts), "}\n\n")
+		out.writeEvent(start, `"choices":[],"usage":`, string(counts), "}\n\n")
 	}
-	out.event("data: [DONE]\n\n")
+	out.writeEvent("data: [DONE]\n\n")
 	out.flush()
 }
 
-func (out *writer) plain(use usage) {
+func (out *writer) writeJSONAnswer(use usage) {
 	text := out.g.ResumeText + out.text.String()
 	c := choice{FinishReason: out.g.finish}
 	object := "text_completion"
@@ -167,15 +168,16 @@
 	})
 }
 
-// cancelled ends the answer by an error, so that it never looks whole.
-func (out *writer) cancelled() {
-	if !out.opened {
+// writeCancelled ends the answer with an error, so that callers do not take it
+// for complete.
+func (out *writer) writeCancelled() {
+	if !out.started {
 		writeError(out.http, statusCancelled, "cancelled", errCancelled.Error(), "yes")
 		return
 	}
 	body, _ := json.Marshal(errorBody{Error: errorDetail{
 		Message: errCancelled.Error(), Type: "engine_error", Code: "cancelled", Ran: "yes",
 	}})
-	out.event("data: ", string(body), "\n\ndata: [DONE]\n\n")
+	out.writeEvent("data: ", string(body), "\n\ndata: [DONE]\n\n")
 	out.flush()
 }
