--- a/internal/command/beechcommand/gate.go
+++ b/internal/command/beechcommand/gate.go
@@ -29,9 +29,9 @@
 	store := platform.NewStore(r.settings.Store)
 	gate, err := beechgate.New(r.settings, beechgate.Dependencies{
 		Clock: clock, Age: beechfresh.BootClock{}, Log: r.log,
-		Source: store, StoreUse: store.Use(), Backend: platform.NewEngines(pool, clock), Pool: pool,
+		Source: store, StoreUse: store.CallStats(), Backend: platform.NewEngines(pool, clock), Pool: pool,
 		OperatorPrefix: platform.OperatorPrefix, ServerPrefix: platform.ServerPrefix,
-		Operators: platform.Operators, Servers: platform.Servers,
+		Operators: platform.DecodeConfiguration, Servers: platform.DecodeServers,
 	})
 	if err != nil {
 		return err
@@ -44,6 +44,6 @@
 		return err
 	})
 	serveMetrics(ctx, r.settings.Admin, gate.Metrics(), r.log)
-	door := platform.NewDoor(gate, clock)
+	door := platform.NewHandler(gate, clock)
 	return gate.Run(ctx, door, http.HandlerFunc(door.ServeReady))
 }
--- a/internal/command/beechcommand/keeper.go
+++ b/internal/command/beechcommand/keeper.go
@@ -29,7 +29,7 @@
 	clock := clockwork.NewRealClock()
 	engines := platform.NewEngines(beechpool.New(beechpool.Defaults, clock), clock)
 	keeper, err := beechkeeper.New(r.settings, beechkeeper.Dependencies{
-		Clock: clock, Log: r.log, Engine: platform.Beside{Engines: engines, Address: r.settings.Engine},
+		Clock: clock, Log: r.log, Engine: platform.KeeperEngine{Engines: engines, Address: r.settings.Engine},
 	})
 	if err != nil {
 		return err
--- a/internal/command/beechplay/launch.go
+++ b/internal/command/beechplay/launch.go
@@ -56,14 +56,14 @@
 	pool := beechpool.New(beechpool.Defaults, clock)
 	store := platform.NewStore(s.Store)
 	g, err := beechgate.New(s, beechgate.Dependencies{
-		Clock: clock, Age: i.Age, Log: i.Log.With(zap.String("process", s.Name)), Source: store, StoreUse: store.Use(),
+		Clock: clock, Age: i.Age, Log: i.Log.With(zap.String("process", s.Name)), Source: store, StoreUse: store.CallStats(),
 		Backend: platform.NewEngines(pool, clock), Pool: pool, OperatorPrefix: platform.OperatorPrefix, ServerPrefix: platform.ServerPrefix,
-		Operators: platform.Operators, Servers: platform.Servers,
+		Operators: platform.DecodeConfiguration, Servers: platform.DecodeServers,
 	})
 	if err != nil {
 		return nil, err
 	}
-	door := platform.NewDoor(g, clock)
+	door := platform.NewHandler(g, clock)
 	return i.launch(s.Name, func(ctx context.Context) error { return g.Run(ctx, door, http.HandlerFunc(door.ServeReady)) }), nil
 }
 
@@ -72,7 +72,7 @@
 	clock := clockwork.NewRealClock()
 	engines := platform.NewEngines(beechpool.New(beechpool.Defaults, clock), clock)
 	k, err := beechkeeper.New(s, beechkeeper.Dependencies{
-		Clock: clock, Log: i.Log.With(zap.String("process", s.Name)), Engine: platform.Beside{Engines: engines, Address: s.Engine},
+		Clock: clock, Log: i.Log.With(zap.String("process", s.Name)), Engine: platform.KeeperEngine{Engines: engines, Address: s.Engine},
 	})
 	if err != nil {
 		return nil, err
