--- a/internal/process/beechlog/bounded.go
+++ b/internal/process/beechlog/bounded.go
@@ -20,16 +20,16 @@
 }
 
 const (
-	// linesMost that wait are about 2 MB: seconds of a busy gate's lines.
-	linesMost = 4096
-	// closeTime is how long Close waits for a reader that does not read.
-	closeTime = 500 * time.Millisecond
+	// maxQueuedLines that wait are about 2 MB: seconds of a busy gate's lines.
+	maxQueuedLines = 4096
+	// closeTimeout is how long Close waits for a reader that does not read.
+	closeTimeout = 500 * time.Millisecond
 )
 
 // NewBounded returns a writer of lines to w. Close it to have the last ones
 // written.
 func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, linesMost), stopped: make(chan struct{})}
+	b := &Bounded{lines: make(chan []byte, maxQueuedLines), stopped: make(chan struct{})}
 	go func() {
 		defer close(b.stopped)
 		told := int64(0)
@@ -64,7 +64,7 @@
 	b.once.Do(func() { close(b.lines) })
 	select {
 	case <-b.stopped:
-	case <-time.After(closeTime):
+	case <-time.After(closeTimeout):
 	}
 	return nil
 }
--- a/internal/process/beechlog/bounded_test.go
+++ b/internal/process/beechlog/bounded_test.go
@@ -33,12 +33,12 @@
 	b := NewBounded(w)
 	line := []byte(strings.Repeat("x", 499) + "\n")
 	began := time.Now()
-	for range 4 * linesMost {
+	for range 4 * maxQueuedLines {
 		_, err := b.Write(line)
 		is.NoErr(err)
 	}
 	is.True(time.Since(began) < time.Second)
-	is.True(b.Dropped() > linesMost)
+	is.True(b.Dropped() > maxQueuedLines)
 	read := make(chan []byte)
 	go func() {
 		data, _ := io.ReadAll(r)
--- a/internal/process/beechlog/log.go
+++ b/internal/process/beechlog/log.go
@@ -100,7 +100,7 @@
 func redact(fields []zapcore.Field) []zapcore.Field {
 	var clean []zapcore.Field
 	for i, f := range fields {
-		if number(f) || !secret(f.Key) {
+		if isNumeric(f) || !isSecret(f.Key) {
 			continue
 		}
 		if clean == nil {
@@ -114,9 +114,9 @@
 	return clean
 }
 
-// number tells that a field holds a count, time or truth value, such as
+// isNumeric tells that a field holds a count, time or truth value, such as
 // prompt_tokens, which gives nothing away.
-func number(f zapcore.Field) bool {
+func isNumeric(f zapcore.Field) bool {
 	switch f.Type {
 	case zapcore.BoolType, zapcore.DurationType, zapcore.TimeType, zapcore.TimeFullType,
 		zapcore.Float32Type, zapcore.Float64Type,
@@ -128,7 +128,7 @@
 	}
 }
 
-func secret(name string) bool {
+func isSecret(name string) bool {
 	name = strings.ToLower(name)
 	for _, s := range secretNames {
 		if strings.Contains(name, s) {
--- a/internal/process/beechmemory/pacer.go
+++ b/internal/process/beechmemory/pacer.go
@@ -22,22 +22,22 @@
 	globalsMetric = "/gc/scan/globals:bytes"
 	allocsMetric  = "/gc/heap/allocs:bytes"
 
-	// mostSlack is the garbage that may gather before a collection. At 10,000
+	// maxSlack is the garbage that may gather before a collection. At 10,000
 	// small requests a second it fills in some tens of milliseconds. A process
 	// with little to do gets less: it would hold the rest for nothing, and
 	// be over its 32 MB.
-	mostSlack  = 16 << 20
-	leastSlack = 4 << 20
+	maxSlack = 16 << 20
+	minSlack = 4 << 20
 
-	// slackTime is for how long at the present rate the slack should last.
-	slackTime = 250 * time.Millisecond
+	// slackDuration is for how long at the present rate the slack should last.
+	slackDuration = 250 * time.Millisecond
 
-	// leastShare keeps collections from following one another without a pause
+	// minPercent keeps collections from following one another without a pause
 	// when the live heap is large.
-	leastShare = 5 // percent
+	minPercent = 5 // percent
 
-	// mostShare bounds a nearly empty process within its 32 MB.
-	mostShare = 400 // percent
+	// maxPercent bounds a nearly empty process within its 32 MB.
+	maxPercent = 400 // percent
 )
 
 // New makes the pacer; Serve runs it.
@@ -70,9 +70,9 @@
 // doubled in steps, so that a rate that wavers does not set the percentage anew
 // each time.
 func slackFor(allocated uint64) uint64 {
-	wanted := allocated * uint64(slackTime/time.Millisecond) / uint64(interval/time.Millisecond)
-	slack := uint64(leastSlack)
-	for slack < min(wanted, mostSlack) {
+	wanted := allocated * uint64(slackDuration/time.Millisecond) / uint64(interval/time.Millisecond)
+	slack := uint64(minSlack)
+	for slack < min(wanted, maxSlack) {
 		slack *= 2
 	}
 	return slack
@@ -96,9 +96,9 @@
 // so that small changes do not set it anew: setting it stops the world.
 func percentage(marked, slack uint64) int {
 	if marked == 0 {
-		return mostShare
+		return maxPercent
 	}
-	share := int(min(slack*100/marked, mostShare))
+	share := int(min(slack*100/marked, maxPercent))
 	step := max(1, share/10)
-	return max(share/step*step, leastShare)
+	return max(share/step*step, minPercent)
 }
--- a/internal/process/beechmetric/metric.go
+++ b/internal/process/beechmetric/metric.go
@@ -34,21 +34,21 @@
 
 const (
 	// TextPath is where Handler serves plain text.
-	TextPath      = "/metrics"
-	latencyMost   = int64(time.Hour / time.Microsecond)
-	latencyDigits = 2
+	TextPath          = "/metrics"
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
+	significantDigits = 2
 )
 
 // NewLatency returns an empty histogram.
 func NewLatency() *Latency {
-	return &Latency{histogram: hdrhistogram.New(1, latencyMost, latencyDigits)}
+	return &Latency{histogram: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 }
 
 // Record takes in a time, to the microsecond, an hour at most.
 func (l *Latency) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), latencyMost)) // within bounds, so it cannot fail
+	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // within bounds, so it cannot fail
 }
 
 // Percentiles gives the count and some percentiles in microseconds, for
@@ -84,15 +84,15 @@
 		return fmt.Sprintf("# unreadable: %v\n", err)
 	}
 	var b strings.Builder
-	write(&b, "", tree)
+	writeTree(&b, "", tree)
 	return b.String()
 }
 
-func write(b *strings.Builder, prefix string, tree map[string]any) {
+func writeTree(b *strings.Builder, prefix string, tree map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(tree)) {
 		switch v := tree[name].(type) {
 		case map[string]any:
-			write(b, prefix+name+".", v)
+			writeTree(b, prefix+name+".", v)
 		default:
 			fmt.Fprintf(b, "%s%s %v\n", prefix, strings.ReplaceAll(name, " ", "_"), v)
 		}
--- a/internal/process/beechsettings/settings.go
+++ b/internal/process/beechsettings/settings.go
@@ -145,12 +145,12 @@
 	defaultBodyTime    = 30 * time.Second
 	defaultWriteTime   = 60 * time.Second
 	defaultStreams     = 5000
-	defaultGrace       = 30 * time.Second
+	defaultAgentGrace  = 30 * time.Second
 	defaultKeep        = 60 * time.Second
 	defaultAnswerBytes = 4 << 20
 	defaultWaiting     = 512
 	defaultRevoke      = 5 * time.Second
-	defaultStop        = 8 * time.Second
+	defaultGateGrace   = 8 * time.Second
 	defaultWeights     = 8 * time.Second
 	defaultRetries     = 0.1
 	defaultSpare       = 20
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	l := &agent.Limits
-	setDefault(&l.Grace, Duration(defaultGrace))
+	setDefault(&l.Grace, Duration(defaultAgentGrace))
 	setDefault(&l.Keep, Duration(defaultKeep))
 	setDefault(&l.AnswerBytes, defaultAnswerBytes)
 	setDefault(&l.Waiting, defaultWaiting)
@@ -202,7 +202,7 @@
 	}
 	b := &gate.Bounds
 	setDefault(&b.Revoke, Duration(defaultRevoke))
-	setDefault(&b.Grace, Duration(defaultStop))
+	setDefault(&b.Grace, Duration(defaultGateGrace))
 	setDefault(&b.Weights, Duration(defaultWeights))
 	setDefault(&b.Retries, defaultRetries)
 	setDefault(&b.Spare, defaultSpare)
--- a/internal/standin/beechhome/documents.go
+++ b/internal/standin/beechhome/documents.go
@@ -33,7 +33,7 @@
 	ConfigurationKey = "op/config"
 	serverPrefix     = "servers/"
 	versionPrefix    = "op/version/"
-	slotsListed      = 8
+	advertisedSlots  = 8
 	// ReadyPath is asked whether a gate wants new connections.
 	ReadyPath = "/beechring/ready"
 	// RangePath is where whole reads come in.
@@ -54,7 +54,7 @@
 		models = append(models, Document{"name": e.settings.Model, "version": e.Version(), "adapters": []string{}})
 	}
 	s.Put(serverPrefix+e.settings.ID, Document{
-		"service": service, "address": address, "zone": zone, "version": "v1", "slots": slotsListed,
+		"service": service, "address": address, "zone": zone, "version": "v1", "slots": advertisedSlots,
 		"state": state, "coldLeftMs": 0, "models": models, "sequence": 1,
 	})
 }
@@ -81,7 +81,7 @@
 			route("check", "safe", plain, 1000, 100, 2, 2),
 		},
 		"services": []Document{
-			{"name": engines, "healthPath": "/health", "maxConns": 100, "engine": Document{"slots": slotsListed, "kvCapacity": 100000, "tokenKvBytes": 131072, "models": []Document{{"name": model}}}},
+			{"name": engines, "healthPath": "/health", "maxConns": 100, "engine": Document{"slots": advertisedSlots, "kvCapacity": 100000, "tokenKvBytes": 131072, "models": []Document{{"name": model}}}},
 			{"name": plain, "healthPath": "/health", "maxConns": 100},
 		},
 		"limits": Document{"maxHeaderBytes": 16384, "maxBodyBytes": 65536, "headerTimeoutMs": 3000, "idleTimeoutMs": 15000},
@@ -104,12 +104,12 @@
 		return nil, err
 	}
 	r.Host = a.Host
-	r.Header.Set(headerID, a.ID)
+	r.Header.Set(headerAttemptID, a.ID)
 	r.Header.Set("Beechring-Key", a.Key)
 	r.Header.Set("Beechring-Deadline-Remaining", fmt.Sprint(a.Left.Milliseconds()))
 	if a.Model != "" {
 		r.Header.Set("Beechring-Model", a.Model)
-		r.Header.Set(usage, fmt.Sprintf("%d,%d", a.Prompt, a.Output))
+		r.Header.Set(headerTokenUsage, fmt.Sprintf("%d,%d", a.Prompt, a.Output))
 		r.Header.Set("Beechring-Prompt-Prefix", a.Parts)
 	}
 	for name, value := range a.Headers {
--- a/internal/standin/beechhome/engine.go
+++ b/internal/standin/beechhome/engine.go
@@ -28,21 +28,21 @@
 	Engine struct {
 		settings EngineSettings
 
-		mu       sync.Mutex
-		version  uint64
-		busy     bool
-		sequence uint64
-		running  int
-		runs     map[string]int
-		seen     map[string]http.Header // headers of the last run of an id
-		cached   map[string]int         // tokens by salt and part
-		events   [][]any
-		reread   int
-		trouble  EngineTrouble
-		orders   []Order
-		limit    string // named with each answer; empty is none
-		born     int64  // Unix milliseconds; 0 is not told
-		arrivals []time.Time
+		mu            sync.Mutex
+		version       uint64
+		busy          bool
+		sequence      uint64
+		running       int
+		runs          map[string]int
+		seen          map[string]http.Header // headers of the last run of an id
+		cached        map[string]int         // tokens by salt and part
+		events        [][]any
+		prefillTokens int
+		trouble       EngineTrouble
+		orders        []Order
+		limit         string // named with each answer; empty is none
+		born          int64  // Unix milliseconds; 0 is not told
+		arrivals      []time.Time
 	}
 
 	// EngineTrouble is what is wrong with an engine.
@@ -70,16 +70,16 @@
 )
 
 const (
-	headerID       = "Beechring-Attempt-Id"
-	headerNotRun   = "Beechring-Not-Executed"
-	headerSeal     = "Beechring-Response-Seal"
-	headerIdentity = "Beechring-Instance-Id"
-	headerWeights  = "Beechring-Weight-Versions"
-	headerLoad     = "Beechring-Server-Load"
-	headerLimit    = "Server-Limit"
-	usage          = "Beechring-Token-Usage"
-	eventsPoll     = 10 * time.Millisecond
-	defaultSlots   = 8
+	headerAttemptID     = "Beechring-Attempt-Id"
+	headerNotExecuted   = "Beechring-Not-Executed"
+	headerSeal          = "Beechring-Response-Seal"
+	headerInstanceID    = "Beechring-Instance-Id"
+	headerWeightVersion = "Beechring-Weight-Versions"
+	headerLoad          = "Beechring-Server-Load"
+	headerLimit         = "Server-Limit"
+	headerTokenUsage    = "Beechring-Token-Usage"
+	eventPollInterval   = 10 * time.Millisecond
+	defaultSlots        = 8
 )
 
 // NewEngine returns an engine with nothing in its cache.
@@ -142,7 +142,7 @@
 func (e *Engine) ReadTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.reread
+	return e.prefillTokens
 }
 
 // SetLimit has the engine name a limit with each answer from now on, as it is written;
@@ -226,7 +226,7 @@
 	if e.born > 0 {
 		report["born"] = e.born
 	}
-	answer(w, report)
+	writeJSON(w, report)
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
@@ -264,7 +264,7 @@
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); time.Now().Before(end) && !e.hasEvents(since); {
 		select {
-		case <-time.After(eventsPoll):
+		case <-time.After(eventPollInterval):
 		case <-r.Context().Done():
 			return
 		}
@@ -275,7 +275,7 @@
 	if since < len(e.events) {
 		events = e.events[since:]
 	}
-	answer(w, map[string]any{"bootEpoch": 1, "next": len(e.events), "lost": false, "events": events})
+	writeJSON(w, map[string]any{"bootEpoch": 1, "next": len(e.events), "lost": false, "events": events})
 }
 
 // cacheList tells all that is cached now.
@@ -289,7 +289,7 @@
 			held = append(held, []any{salt, part, tokens, e.settings.Model})
 		}
 	}
-	answer(w, map[string]any{"bootEpoch": 1, "next": len(e.events), "held": held})
+	writeJSON(w, map[string]any{"bootEpoch": 1, "next": len(e.events), "held": held})
 }
 
 func (e *Engine) hasEvents(since int) bool {
@@ -303,18 +303,18 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.cached, salt+"|"+part)
-	e.tell("-", salt, part, 0)
+	e.appendEvent("-", salt, part, 0)
 }
 
-// tell adds a cache event. The caller holds the lock.
-func (e *Engine) tell(sign, salt, part string, tokens int) {
+// appendEvent adds a cache event. The caller holds the lock.
+func (e *Engine) appendEvent(sign, salt, part string, tokens int) {
 	e.events = append(e.events, []any{len(e.events) + 1, sign, salt, part, tokens, e.settings.Model})
 }
 
 func (e *Engine) request(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	id := r.Header.Get(headerID)
-	w.Header().Set(headerID, id)
+	id := r.Header.Get(headerAttemptID)
+	w.Header().Set(headerAttemptID, id)
 	e.mu.Lock()
 	e.arrivals = append(e.arrivals, time.Now())
 	if e.limit != "" {
@@ -335,7 +335,7 @@
 	trouble, version := e.trouble, e.version
 	e.mu.Unlock()
 	if trouble.Foreign != "" {
-		w.Header().Set(headerID, trouble.Foreign)
+		w.Header().Set(headerAttemptID, trouble.Foreign)
 	}
 	if trouble.Encoding != "" {
 		w.Header().Set("Content-Encoding", trouble.Encoding)
@@ -352,8 +352,8 @@
 	case e.settings.Model == "":
 		_, _ = fmt.Fprintf(w, "%s %s %d", r.Method, r.URL.RequestURI(), len(body))
 	default:
-		w.Header().Set(headerWeights, strconv.FormatUint(version, 10))
-		e.read(r)
+		w.Header().Set(headerWeightVersion, strconv.FormatUint(version, 10))
+		e.prefill(r)
 		e.stream(w, r, trouble)
 	}
 }
@@ -366,12 +366,12 @@
 	wants := r.Header.Get("Beechring-Expect-Version")
 	switch {
 	case other != "" && other != e.settings.ID:
-		w.Header().Set(headerIdentity, e.settings.ID)
+		w.Header().Set(headerInstanceID, e.settings.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case wants != "" && wants != strconv.FormatUint(e.version, 10):
 		w.WriteHeader(http.StatusMisdirectedRequest)
 	case e.busy || e.trouble.Refuse || e.running >= e.settings.Slots:
-		w.Header().Set(headerNotRun, "1")
+		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		e.running++
@@ -380,8 +380,8 @@
 	return false
 }
 
-// read takes the time for the parts of the prompt that are not cached.
-func (e *Engine) read(r *http.Request) {
+// prefill takes the time for the parts of the prompt that are not cached.
+func (e *Engine) prefill(r *http.Request) {
 	salt := r.Header.Get("Beechring-Cache-Salt")
 	tokens := 0
 	e.mu.Lock()
@@ -391,10 +391,10 @@
 		if e.cached[salt+"|"+part] == 0 {
 			tokens += n
 			e.cached[salt+"|"+part] = n
-			e.tell("+", salt, part, n)
+			e.appendEvent("+", salt, part, n)
 		}
 	}
-	e.reread += tokens
+	e.prefillTokens += tokens
 	e.mu.Unlock()
 	if e.settings.ReadRate > 0 {
 		time.Sleep(time.Duration(float64(tokens) / e.settings.ReadRate * float64(time.Millisecond)))
@@ -403,7 +403,7 @@
 
 // stream answers in events, from the one after Last-Event-Id on.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, trouble EngineTrouble) {
-	_, most, _ := strings.Cut(r.Header.Get(usage), ",")
+	_, most, _ := strings.Cut(r.Header.Get(headerTokenUsage), ",")
 	count, _ := strconv.Atoi(most)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/internal/standin/beechhome/store.go
+++ b/internal/standin/beechhome/store.go
@@ -48,7 +48,7 @@
 		Current uint64 `json:"currentRev"`
 	}
 
-	changes struct {
+	watchPage struct {
 		Events  []item `json:"events"`
 		Current uint64 `json:"currentRev"`
 	}
@@ -77,7 +77,7 @@
 		s.items[key] = it
 	}
 	it.Value, it.Revision = data, s.revision
-	s.note(*it)
+	s.appendHistory(*it)
 	return s.revision
 }
 
@@ -90,10 +90,10 @@
 	}
 	s.revision++
 	delete(s.items, key)
-	s.note(item{Key: key, Revision: s.revision, Removed: true})
+	s.appendHistory(item{Key: key, Revision: s.revision, Removed: true})
 }
 
-func (s *Store) note(it item) {
+func (s *Store) appendHistory(it item) {
 	s.history = append(s.history, it)
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -143,15 +143,15 @@
 	case trouble.Body != "":
 		_, _ = w.Write([]byte(trouble.Body))
 	case r.URL.Path == RangePath:
-		s.answerRange(w, r)
+		s.serveRange(w, r)
 	case r.URL.Path == WatchPath:
-		s.answerWatch(w, r, trouble.Deaf)
+		s.serveWatch(w, r, trouble.Deaf)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-func (s *Store) answerRange(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix, after := r.URL.Query().Get("pathPrefix"), r.URL.Query().Get("after")
 	s.mu.Lock()
 	p := page{Items: []item{}, Current: s.revision}
@@ -165,10 +165,10 @@
 	if len(p.Items) > PageItems {
 		p.Items, p.More = p.Items[:PageItems], true
 	}
-	answer(w, p)
+	writeJSON(w, p)
 }
 
-func (s *Store) answerWatch(w http.ResponseWriter, r *http.Request, deaf bool) {
+func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, deaf bool) {
 	query := r.URL.Query()
 	after, err := strconv.ParseUint(query.Get("after"), 10, 64)
 	wait, err2 := strconv.Atoi(query.Get("waitMs"))
@@ -180,7 +180,7 @@
 	for {
 		s.mu.Lock()
 		gone := after < s.dropped
-		found := changes{Events: []item{}, Current: s.revision}
+		found := watchPage{Events: []item{}, Current: s.revision}
 		for _, it := range s.history {
 			if it.Revision > after && strings.HasPrefix(it.Key, query.Get("pathPrefix")) && !deaf {
 				found.Events = append(found.Events, it)
@@ -197,13 +197,13 @@
 			return
 		}
 		if len(found.Events) > 0 {
-			answer(w, found)
+			writeJSON(w, found)
 			return
 		}
 		select {
 		case <-changed:
 		case <-over:
-			answer(w, found)
+			writeJSON(w, found)
 			return
 		case <-r.Context().Done():
 			return
@@ -211,7 +211,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	data, _ := json.Marshal(body) // the types here encode
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(data)
