--- a/internal/command/beechcommand/role.go
+++ b/internal/command/beechcommand/role.go
@@ -67,7 +67,7 @@
 		return &usageError{err}
 	}
 	basics := d.basics(settings)
-	out := beechlog.NewBounded(c.OutOrStdout())
+	out := beechlog.NewAsyncWriter(c.OutOrStdout())
 	defer out.Close()
 	log, err := newLog(out, basics.level, basics.name)
 	if err != nil {
--- a/internal/command/beechplay/moments_test.go
+++ b/internal/command/beechplay/moments_test.go
@@ -128,7 +128,7 @@
 	process := r.soak.world.Process(gate).(*program)
 	engine := r.soak.world.Engines[fmt.Sprintf("e%d", random.IntN(3))]
 	lasts := time.Duration(random.Int64N(int64(time.Second)))
-	troubles := []beechhome.EngineTrouble{{CutAfter: 5}, {Drop: true}, {Hang: true}, {Refuse: true}}
+	troubles := []beechhome.EngineFaults{{CutAfter: 5}, {Drop: true}, {Hang: true}, {Refuse: true}}
 	switch kind := random.IntN(6); kind {
 	case 0:
 		process.signal(syscall.SIGKILL, true)
@@ -141,17 +141,17 @@
 		time.Sleep(lasts)
 		process.signal(syscall.SIGCONT, false)
 	default:
-		engine.SetTrouble(troubles[random.IntN(len(troubles))])
+		engine.SetFaults(troubles[random.IntN(len(troubles))])
 		time.Sleep(lasts)
-		engine.SetTrouble(beechhome.EngineTrouble{})
+		engine.SetFaults(beechhome.EngineFaults{})
 	}
 }
 
 // failEngines has each engine break off, answer with an error, or do neither for a while.
 func (r *momentRun) failEngines() {
-	troubles := []beechhome.EngineTrouble{{}, {CutAfter: 5}, {Status: http.StatusInternalServerError}, {Status: http.StatusNotFound}}
+	troubles := []beechhome.EngineFaults{{}, {CutAfter: 5}, {Status: http.StatusInternalServerError}, {Status: http.StatusNotFound}}
 	for i := range 3 {
-		r.soak.world.Engines[fmt.Sprintf("e%d", i)].SetTrouble(troubles[r.soak.random.IntN(len(troubles))])
+		r.soak.world.Engines[fmt.Sprintf("e%d", i)].SetFaults(troubles[r.soak.random.IntN(len(troubles))])
 	}
 }
 
@@ -175,14 +175,14 @@
 
 // ask sends one request and returns the last event that came, and how it ended.
 func (r *momentRun) ask(id, gate string, seen int) (last int, outcome string) {
-	ask := beechhome.Ask{
+	ask := beechhome.CallerRequest{
 		ID: id, Key: Key, Host: Host, URL: "http://" + r.soak.world.Places[gate].String() + "/pick/x", Left: 5 * time.Second, Body: "question",
 		Model: Model, Prompt: 1000, Output: streamEvents, Parts: "c0:400,5b:300," + id + ":300",
 	}
 	if seen > 0 {
 		ask.Headers = map[string]string{lastEventField: strconv.Itoa(seen)}
 	}
-	request, err := ask.Request()
+	request, err := ask.NewRequest()
 	if err != nil {
 		r.t.Error(err)
 		return seen, "not asked"
--- a/internal/command/beechplay/play.go
+++ b/internal/command/beechplay/play.go
@@ -194,10 +194,10 @@
 
 // fault brings a trouble about and ends it.
 func (p *player) fault(f Fault) {
-	servers := func(t beechhome.EngineTrouble) {
+	servers := func(t beechhome.EngineFaults) {
 		for name, e := range p.world.Engines {
 			if f.On == "" || f.On == name {
-				e.SetTrouble(t)
+				e.SetFaults(t)
 			}
 		}
 	}
@@ -211,19 +211,19 @@
 	case "compact":
 		p.world.Store.Compact()
 	case "store down":
-		p.world.Store.SetTrouble(beechhome.Trouble{Status: http.StatusServiceUnavailable})
+		p.world.Store.SetFaults(beechhome.StoreFaults{Status: http.StatusServiceUnavailable})
 	case "store silent":
-		p.world.Store.SetTrouble(beechhome.Trouble{Silent: true})
+		p.world.Store.SetFaults(beechhome.StoreFaults{Silent: true})
 	case "refuse":
-		servers(beechhome.EngineTrouble{Refuse: true})
+		servers(beechhome.EngineFaults{Refuse: true})
 	case "hang":
-		servers(beechhome.EngineTrouble{Hang: true})
+		servers(beechhome.EngineFaults{Hang: true})
 	case "reset":
-		servers(beechhome.EngineTrouble{Drop: true})
+		servers(beechhome.EngineFaults{Drop: true})
 	case "cut":
-		servers(beechhome.EngineTrouble{CutAfter: 2})
+		servers(beechhome.EngineFaults{CutAfter: 2})
 	case "fail":
-		servers(beechhome.EngineTrouble{Status: http.StatusInternalServerError})
+		servers(beechhome.EngineFaults{Status: http.StatusInternalServerError})
 	case "limit":
 		p.limit(f)
 		return
@@ -234,8 +234,8 @@
 		return
 	}
 	time.Sleep(time.Duration(f.For))
-	p.world.Store.SetTrouble(beechhome.Trouble{})
-	servers(beechhome.EngineTrouble{})
+	p.world.Store.SetFaults(beechhome.StoreFaults{})
+	servers(beechhome.EngineFaults{})
 }
 
 // limit has servers name a limit for a time, to the day's end if none is given, and checks
@@ -255,7 +255,7 @@
 			continue
 		}
 		e.SetLimit("")
-		if most := e.MostArrivals(limitWindow, since, since.Add(limitKnown), until); float64(most) > Tolerated(f.Rate) {
+		if most := e.MaxArrivals(limitWindow, since, since.Add(limitKnown), until); float64(most) > Tolerated(f.Rate) {
 			p.broken("%s: was sent %d requests in %s, and takes %g a second", name, most, limitWindow, f.Rate)
 		}
 	}
@@ -282,12 +282,12 @@
 }
 
 func (p *player) ask(ctx context.Context, id, gate string, k kind, subject int) {
-	ask := beechhome.Ask{ID: id, Key: Key, Host: Host, URL: "http://" + p.world.Places[gate].String() + k.path + "x", Left: callerTime, Body: "question"}
+	ask := beechhome.CallerRequest{ID: id, Key: Key, Host: Host, URL: "http://" + p.world.Places[gate].String() + k.path + "x", Left: callerTime, Body: "question"}
 	if k.stream {
 		ask.Model, ask.Prompt, ask.Output = Model, p.day.Shared+p.day.Own, p.day.Output
 		ask.Parts = fmt.Sprintf("c0:%d,a%x:%d,f%s:%d", p.day.Shared/3, subject, p.day.Shared-p.day.Shared/3, strings.TrimPrefix(id, "play-"), p.day.Own)
 	}
-	r, err := ask.Request()
+	r, err := ask.NewRequest()
 	if err != nil {
 		p.broken("%v", err)
 		return
@@ -357,7 +357,7 @@
 		}
 	}
 	for name, e := range p.world.Engines {
-		p.report.Read += e.ReadTokens()
+		p.report.Read += e.PrefillTokens()
 		for _, o := range e.Orders() {
 			if o.Holder != "keeper-"+name {
 				p.broken("%s: had an order from %s", name, o.Holder)
--- a/internal/command/beechplay/soak_test.go
+++ b/internal/command/beechplay/soak_test.go
@@ -266,7 +266,7 @@
 	gate := s.gates[s.random.IntN(len(s.gates))]
 	process := s.world.Process(gate).(*program)
 	engine := s.world.Engines[[]string{"e0", "e1", "e2", "s0", "s1", "s2"}[s.random.IntN(6)]]
-	troubles := []beechhome.EngineTrouble{{}, {Refuse: true}, {Hang: true}, {Drop: true}, {CutAfter: 2}, {Status: http.StatusInternalServerError}, {SilentOrders: true}}
+	troubles := []beechhome.EngineFaults{{}, {Refuse: true}, {Hang: true}, {Drop: true}, {CutAfter: 2}, {Status: http.StatusInternalServerError}, {SilentOrders: true}}
 	switch s.random.IntN(10) {
 	case 0:
 		s.upsets()
@@ -291,9 +291,9 @@
 		s.again(keeper, p)
 	case 4:
 		s.loseStore(true)
-		s.world.Store.SetTrouble([]beechhome.Trouble{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
+		s.world.Store.SetFaults([]beechhome.StoreFaults{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
 	case 5:
-		s.world.Store.SetTrouble(beechhome.Trouble{})
+		s.world.Store.SetFaults(beechhome.StoreFaults{})
 		s.loseStore(false)
 		s.world.Store.Compact()
 	case 6:
@@ -301,7 +301,7 @@
 	case 7:
 		s.revoke(version)
 	default:
-		engine.SetTrouble(troubles[s.random.IntN(len(troubles))])
+		engine.SetFaults(troubles[s.random.IntN(len(troubles))])
 	}
 }
 
@@ -338,20 +338,20 @@
 }
 
 func (s *soak) heal() {
-	s.world.Store.SetTrouble(beechhome.Trouble{})
+	s.world.Store.SetFaults(beechhome.StoreFaults{})
 	s.loseStore(false)
 	for _, e := range s.world.Engines {
-		e.SetTrouble(beechhome.EngineTrouble{})
+		e.SetFaults(beechhome.EngineFaults{})
 	}
 }
 
 func (s *soak) ask(id, gate, path, key string) {
 	streams := path == "/pick/" || path == "/card/"
-	ask := beechhome.Ask{ID: id, Key: key, Host: Host, URL: "http://" + s.world.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
+	ask := beechhome.CallerRequest{ID: id, Key: key, Host: Host, URL: "http://" + s.world.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
 	if streams {
 		ask.Model, ask.Prompt, ask.Output, ask.Parts = Model, 1000, 10, "c0:400,5b:300,"+strings.TrimPrefix(id, "soak-")+":300"
 	}
-	r, err := ask.Request()
+	r, err := ask.NewRequest()
 	if err != nil {
 		s.t.Error(err)
 		return
--- a/internal/command/beechplay/world.go
+++ b/internal/command/beechplay/world.go
@@ -113,10 +113,10 @@
 func (w *World) List(name, state string) {
 	e := w.Engines[name]
 	service := Plain
-	if e.Generates() {
+	if e.HasModel() {
 		service = Generation
 	}
-	w.Store.List(e, service, w.Places[name].String(), w.zone, state)
+	w.Store.PutServer(e, service, w.Places[name].String(), w.zone, state)
 }
 
 // In has what is added from now on stand in an availability zone.
@@ -132,7 +132,7 @@
 }
 
 // Name names a version of the model's weights.
-func (w *World) Name(version int) { w.Store.Name(Model, version) }
+func (w *World) Name(version int) { w.Store.SetWeightsVersion(Model, version) }
 
 // AddGate starts a gate; its front door and its readiness stand in Places.
 func (w *World) AddGate(name string, bounds beechsettings.GateBounds) error {
--- a/internal/process/beechadmin/admin.go
+++ b/internal/process/beechadmin/admin.go
@@ -20,9 +20,9 @@
 	closeTimeout  = 2 * time.Second
 )
 
-// Mux has /livez and /readyz, and under the key /debug/vars and /debug/pprof/.
+// NewMux has /livez and /readyz, and under the key /debug/vars and /debug/pprof/.
 // Vars is the process's own metrics; several processes may run in one.
-func Mux(key string, ready func() bool, vars *expvar.Map) *http.ServeMux {
+func NewMux(key string, ready func() bool, vars *expvar.Map) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, "ok")
@@ -34,17 +34,17 @@
 		}
 		fmt.Fprintln(w, "ok")
 	})
-	mux.Handle("GET /debug/vars", Guard(key, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	mux.Handle("GET /debug/vars", RequireKey(key, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		fmt.Fprintln(w, vars.String())
 	})))
-	mux.Handle("GET /debug/pprof/", Guard(key, http.HandlerFunc(pprof.Index)))
-	mux.Handle("GET /debug/pprof/profile", Guard(key, http.HandlerFunc(pprof.Profile)))
+	mux.Handle("GET /debug/pprof/", RequireKey(key, http.HandlerFunc(pprof.Index)))
+	mux.Handle("GET /debug/pprof/profile", RequireKey(key, http.HandlerFunc(pprof.Profile)))
 	return mux
 }
 
-// Guard asks for the key as a bearer key, compared in constant time.
-func Guard(key string, next http.Handler) http.Handler {
+// RequireKey asks for the key as a bearer key, compared in constant time.
+func RequireKey(key string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
--- a/internal/process/beechadmin/doc.go
+++ b/internal/process/beechadmin/doc.go
@@ -6,8 +6,8 @@
 //
 // # Usage
 //
-//	mux := beechadmin.Mux(key, ready, vars)
-//	mux.Handle("GET /status", beechadmin.Guard(key, handler))
+//	mux := beechadmin.NewMux(key, ready, vars)
+//	mux.Handle("GET /status", beechadmin.RequireKey(key, handler))
 //	serve, err := beechadmin.Listen(address, mux)
 //	err = serve(ctx)
 package beechadmin
--- a/internal/process/beechagent/admin.go
+++ b/internal/process/beechagent/admin.go
@@ -89,8 +89,8 @@
 func (a *Agent) newAdmin() (func(ctx context.Context) error, error) {
 	vars := new(expvar.Map).Init()
 	vars.Set("agent", expvar.Func(func() any { return a.Status() }))
-	mux := beechadmin.Mux(a.settings.AdminKey, a.ready, vars)
-	mux.Handle("GET /status", beechadmin.Guard(a.settings.AdminKey, http.HandlerFunc(a.serveStatus)))
+	mux := beechadmin.NewMux(a.settings.AdminKey, a.ready, vars)
+	mux.Handle("GET /status", beechadmin.RequireKey(a.settings.AdminKey, http.HandlerFunc(a.serveStatus)))
 	return beechadmin.Listen(a.settings.Admin, mux)
 }
 
--- a/internal/process/beechagent/scheduler.go
+++ b/internal/process/beechagent/scheduler.go
@@ -100,7 +100,7 @@
 }
 
 func (s *scheduler) wake() {
-	beechtask.Wake(s.kick)
+	beechtask.Notify(s.kick)
 }
 
 // serve gives out work until ctx ends.
--- a/internal/process/beechentry/admin.go
+++ b/internal/process/beechentry/admin.go
@@ -94,9 +94,9 @@
 func (e *Entry) newAdmin() (func(ctx context.Context) error, error) {
 	vars := new(expvar.Map).Init()
 	vars.Set("entry", expvar.Func(func() any { return e.Status() }))
-	mux := beechadmin.Mux(e.settings.AdminKey, e.ready, vars)
-	mux.Handle("GET /status", beechadmin.Guard(e.settings.AdminKey, serveJSON(func() any { return e.Status() })))
-	mux.Handle("GET /burn", beechadmin.Guard(e.settings.AdminKey, serveJSON(func() any { return e.Burn() })))
+	mux := beechadmin.NewMux(e.settings.AdminKey, e.ready, vars)
+	mux.Handle("GET /status", beechadmin.RequireKey(e.settings.AdminKey, serveJSON(func() any { return e.Status() })))
+	mux.Handle("GET /burn", beechadmin.RequireKey(e.settings.AdminKey, serveJSON(func() any { return e.Burn() })))
 	return beechadmin.Listen(e.settings.Admin, mux)
 }
 
--- a/internal/process/beechgate/keeper.go
+++ b/internal/process/beechgate/keeper.go
@@ -18,7 +18,7 @@
 
 // requestFollow makes followKeepers contact the keepers at once.
 func (g *Gate) requestFollow() {
-	beechtask.Wake(g.followDue)
+	beechtask.Notify(g.followDue)
 }
 
 // followKeepers periodically sends keepers the target versions of their engines and asks for the
--- a/internal/process/beechgate/limits.go
+++ b/internal/process/beechgate/limits.go
@@ -85,7 +85,7 @@
 
 // wakeLimitSender makes sendLimits send at once.
 func (g *Gate) wakeLimitSender() {
-	beechtask.Wake(g.limitsDue)
+	beechtask.Notify(g.limitsDue)
 }
 
 // receiveLimits handles limits sent by another gate.
--- a/internal/process/beechgate/overload.go
+++ b/internal/process/beechgate/overload.go
@@ -16,7 +16,7 @@
 
 // wakeOverloadSender makes sendOverloads send at once.
 func (g *Gate) wakeOverloadSender() {
-	beechtask.Wake(g.overloadsDue)
+	beechtask.Notify(g.overloadsDue)
 }
 
 // sendOverloads tells the other gates which servers have rejected requests of this gate.
--- a/internal/process/beechgate/peers.go
+++ b/internal/process/beechgate/peers.go
@@ -92,7 +92,7 @@
 		return
 	}
 	g.log.Info("gates known", zap.String("where", scope), zap.Int("gates", gates), zap.Duration("after", g.quotas.Age()))
-	beechtask.Wake(g.usageDue)
+	beechtask.Notify(g.usageDue)
 }
 
 // mirrorStatus returns the state of this gate's mirrors. With the number of an inquiry it
--- a/internal/process/beechgate/quota.go
+++ b/internal/process/beechgate/quota.go
@@ -80,7 +80,7 @@
 		return false
 	case beechquota.Admitted:
 		if decision.Urgent {
-			beechtask.Wake(g.usageDue)
+			beechtask.Notify(g.usageDue)
 		}
 	}
 	return true
--- a/internal/process/beechgate/rollout.go
+++ b/internal/process/beechgate/rollout.go
@@ -78,5 +78,5 @@
 		level = zap.InfoLevel // each gate logs its own zone's engines only, as the lines would otherwise grow with gates times engines
 	}
 	g.log.Log(level, "weights loaded", zap.String("server", engine), zap.Duration("took", took), zap.Duration("alone", load), zap.Float64("window", window))
-	beechtask.Wake(g.turnEnded)
+	beechtask.Notify(g.turnEnded)
 }
--- a/internal/process/beechkeeper/keeper.go
+++ b/internal/process/beechkeeper/keeper.go
@@ -214,7 +214,7 @@
 		}
 		k.deps.Log.Log(level, "gate follows", zap.String("gate", follow.Gate), zap.Stringer("peer", from))
 	}
-	beechtask.Wake(k.wake)
+	beechtask.Notify(k.wake)
 }
 
 // controlEngine polls the engine, sends it orders that are due, and notifies the gates.
--- a/internal/process/beechlog/bounded.go
+++ b/internal/process/beechlog/bounded.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Bounded writes lines from a goroutine of its own and never makes a caller
+// AsyncWriter writes lines from a goroutine of its own and never makes a caller
 // wait: where the reader of standard output is slow or gone, lines are dropped,
 // counted, and told of in a line of their own once there is room. Without it a
 // full pipe would stop every request that logs.
-type Bounded struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	stopped chan struct{}
@@ -26,10 +26,10 @@
 	closeTimeout = 500 * time.Millisecond
 )
 
-// NewBounded returns a writer of lines to w. Close it to have the last ones
+// NewAsyncWriter returns a writer of lines to w. Close it to have the last ones
 // written.
-func NewBounded(w io.Writer) *Bounded {
-	b := &Bounded{lines: make(chan []byte, maxQueuedLines), stopped: make(chan struct{})}
+func NewAsyncWriter(w io.Writer) *AsyncWriter {
+	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), stopped: make(chan struct{})}
 	go func() {
 		defer close(b.stopped)
 		told := int64(0)
@@ -45,7 +45,7 @@
 }
 
 // Write takes a line. It never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
 	case b.lines <- copied:
@@ -56,11 +56,11 @@
 }
 
 // Dropped counts the lines that were dropped.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes what waits, for as long as the reader reads. Write must not be
 // called any more.
-func (b *Bounded) Close() error {
+func (b *AsyncWriter) Close() error {
 	b.once.Do(func() { close(b.lines) })
 	select {
 	case <-b.stopped:
--- a/internal/process/beechlog/bounded_test.go
+++ b/internal/process/beechlog/bounded_test.go
@@ -14,7 +14,7 @@
 func TestBoundedWritesInOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	b := NewBounded(&out)
+	b := NewAsyncWriter(&out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		_, err := b.Write([]byte(line))
 		is.NoErr(err)
@@ -30,7 +30,7 @@
 	is := is.New(t)
 	r, w, err := os.Pipe()
 	is.NoErr(err)
-	b := NewBounded(w)
+	b := NewAsyncWriter(w)
 	line := []byte(strings.Repeat("x", 499) + "\n")
 	began := time.Now()
 	for range 4 * maxQueuedLines {
@@ -53,7 +53,7 @@
 	for _, bench := range []struct {
 		name string
 		w    io.Writer
-	}{{"direct", io.Discard}, {"bounded", NewBounded(io.Discard)}} {
+	}{{"direct", io.Discard}, {"bounded", NewAsyncWriter(io.Discard)}} {
 		b.Run(bench.name, func(b *testing.B) {
 			log, err := New(bench.w, "info")
 			if err != nil {
--- a/internal/process/beechtask/task.go
+++ b/internal/process/beechtask/task.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Wake tells a goroutine that waits on a channel with room for one, without waiting
+// Notify tells a goroutine that waits on a channel with room for one, without waiting
 // for it. What was told and not yet taken is told once.
-func Wake(news chan<- struct{}) {
+func Notify(news chan<- struct{}) {
 	select {
 	case news <- struct{}{}:
 	default:
--- a/internal/standin/beechhome/documents.go
+++ b/internal/standin/beechhome/documents.go
@@ -12,8 +12,8 @@
 	// Document is a document in the store.
 	Document = map[string]any
 
-	// Ask is a caller's request.
-	Ask struct {
+	// CallerRequest is a caller's request.
+	CallerRequest struct {
 		ID      string
 		Key     string
 		Host    string
@@ -42,13 +42,13 @@
 	WatchPath = "/beechring/kv-watch"
 )
 
-// Name names a version of a model's weights, as operators do.
-func (s *Store) Name(model string, version int) {
+// SetWeightsVersion names a version of a model's weights, as operators do.
+func (s *Store) SetWeightsVersion(model string, version int) {
 	s.Put(versionPrefix+model, Document{"model": model, "version": version})
 }
 
-// List writes a server's entry, as the server itself does.
-func (s *Store) List(e *Engine, service, address, zone, state string) {
+// PutServer writes a server's entry, as the server itself does.
+func (s *Store) PutServer(e *Engine, service, address, zone, state string) {
 	models := []Document{}
 	if e.settings.Model != "" {
 		models = append(models, Document{"name": e.settings.Model, "version": e.Version(), "adapters": []string{}})
@@ -59,8 +59,8 @@
 	})
 }
 
-// Unlist takes a server's entry away.
-func (s *Store) Unlist(id string) { s.Remove(serverPrefix + id) }
+// RemoveServer takes a server's entry away.
+func (s *Store) RemoveServer(id string) { s.Remove(serverPrefix + id) }
 
 // Configuration is what operators write: a resumable stream under /pick/, one
 // that is not under /card/, calls that run once under /label/ and others under
@@ -92,8 +92,8 @@
 	}
 }
 
-// Request makes the request that a caller sends.
-func (a Ask) Request() (*http.Request, error) {
+// NewRequest makes the request that a caller sends.
+func (a CallerRequest) NewRequest() (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
 	if a.Body != "" {
--- a/internal/standin/beechhome/engine.go
+++ b/internal/standin/beechhome/engine.go
@@ -38,15 +38,15 @@
 		cached        map[string]int         // tokens by salt and part
 		events        [][]any
 		prefillTokens int
-		trouble       EngineTrouble
+		trouble       EngineFaults
 		orders        []Order
 		limit         string // named with each answer; empty is none
 		born          int64  // Unix milliseconds; 0 is not told
 		arrivals      []time.Time
 	}
 
-	// EngineTrouble is what is wrong with an engine.
-	EngineTrouble struct {
+	// EngineFaults is what is wrong with an engine.
+	EngineFaults struct {
 		Refuse       bool   // every request is turned away
 		Hang         bool   // requests run and are never answered
 		Drop         bool   // requests run and the connection is reset
@@ -110,8 +110,8 @@
 	return all
 }
 
-// Seen gives the headers with which a request came last.
-func (e *Engine) Seen(id string) http.Header {
+// RequestHeader gives the headers with which a request came last.
+func (e *Engine) RequestHeader(id string) http.Header {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.seen[id]
@@ -138,8 +138,8 @@
 	return append([]Order(nil), e.orders...)
 }
 
-// ReadTokens counts the prompt tokens that were read.
-func (e *Engine) ReadTokens() int {
+// PrefillTokens counts the prompt tokens that were read.
+func (e *Engine) PrefillTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.prefillTokens
@@ -160,9 +160,9 @@
 	return append([]time.Time(nil), e.arrivals...)
 }
 
-// MostArrivals gives the largest number of requests that came since a time in a window
+// MaxArrivals gives the largest number of requests that came since a time in a window
 // which ends after from and not after until.
-func (e *Engine) MostArrivals(window time.Duration, since, from, until time.Time) int {
+func (e *Engine) MaxArrivals(window time.Duration, since, from, until time.Time) int {
 	arrivals := e.Arrivals()
 	first, _ := slices.BinarySearchFunc(arrivals, since, time.Time.Compare)
 	most := 0
@@ -189,8 +189,8 @@
 	e.events = nil
 }
 
-// SetTrouble changes what is wrong from now on.
-func (e *Engine) SetTrouble(t EngineTrouble) {
+// SetFaults changes what is wrong from now on.
+func (e *Engine) SetFaults(t EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.trouble = t
@@ -298,8 +298,8 @@
 	return since < len(e.events)
 }
 
-// Drop has the engine forget a part, and tell so.
-func (e *Engine) Drop(salt, part string) {
+// Evict has the engine forget a part, and tell so.
+func (e *Engine) Evict(salt, part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.cached, salt+"|"+part)
@@ -402,7 +402,7 @@
 }
 
 // stream answers in events, from the one after Last-Event-Id on.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, trouble EngineTrouble) {
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, trouble EngineFaults) {
 	_, most, _ := strings.Cut(r.Header.Get(headerTokenUsage), ",")
 	count, _ := strconv.Atoi(most)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
@@ -426,5 +426,5 @@
 	}
 }
 
-// Generates tells whether it is a model engine.
-func (e *Engine) Generates() bool { return e.settings.Model != "" }
+// HasModel tells whether it is a model engine.
+func (e *Engine) HasModel() bool { return e.settings.Model != "" }
--- a/internal/standin/beechhome/store.go
+++ b/internal/standin/beechhome/store.go
@@ -19,13 +19,13 @@
 		history  []item
 		dropped  uint64 // revisions up to this one are not in the history any more
 		revision uint64
-		trouble  Trouble
+		trouble  StoreFaults
 		changed  chan struct{} // closed at each change
 		calls    map[string]int
 	}
 
-	// Trouble is what is wrong with the store.
-	Trouble struct {
+	// StoreFaults is what is wrong with the store.
+	StoreFaults struct {
 		Status int           // every call is answered so; 0 is none
 		Silent bool          // no call is answered
 		Slow   time.Duration // before each answer
@@ -108,8 +108,8 @@
 	s.changed = make(chan struct{})
 }
 
-// SetTrouble changes what is wrong from now on.
-func (s *Store) SetTrouble(t Trouble) {
+// SetFaults changes what is wrong from now on.
+func (s *Store) SetFaults(t StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.trouble = t
