--- a/internal/process/beechsettings/doc.go
+++ b/internal/process/beechsettings/doc.go
@@ -1,10 +1,10 @@
 // Package beechsettings reads and checks the settings file of a process.
 //
-// Settings say what differs from host to host: addresses, availability zone,
+// Settings are what differs from host to host: addresses, availability zone,
 // secrets, limits. What the whole deployment shares (models, workspaces,
-// pools) is in the manifest instead, which operators change while processes
-// run. A file is checked against a JSON Schema that refuses unknown fields,
-// so that a misspelt limit stops the process instead of being ignored.
+// pools) is in the manifest, which operators change while processes run. A
+// file is validated against a JSON Schema that rejects unknown fields, so that
+// the process does not start with a misspelt limit instead of ignoring it.
 //
 // # Usage
 //
--- a/internal/process/beechsettings/settings.go
+++ b/internal/process/beechsettings/settings.go
@@ -27,7 +27,7 @@
 		Limits EntryLimits    `json:"limits"`
 	}
 
-	// Agent holds the settings of the process beside a backend server.
+	// Agent holds the settings of the process that runs beside a backend server.
 	Agent struct {
 		Common
 		Listen  netip.AddrPort `json:"listen"` // for links
@@ -36,10 +36,10 @@
 		Limits  AgentLimits    `json:"limits"`
 	}
 
-	// Common holds what both have. Seeds are link addresses of a few agents
-	// to ask at start, also while the platform's service is down. Secret is
-	// shared by the deployment's processes: it authenticates links without
-	// TLS and the ids of streams.
+	// Common holds the settings that Entry and Agent share. Seeds are the link
+	// addresses of a few agents to contact at start, so that a process can start
+	// while the platform's service is down. Secret is shared by all processes of
+	// the deployment; it authenticates links without TLS and the ids of streams.
 	Common struct {
 		Name        string           `json:"name"`
 		Zone        string           `json:"zone"`
@@ -53,76 +53,77 @@
 		Log         string           `json:"log,omitempty"`
 	}
 
-	// TLS names PEM files. Authority signs the other side's certificate; on
-	// links both sides must show one.
+	// TLS holds paths of PEM files. Authority is the CA that signs the peer's
+	// certificate; on links both sides must present one.
 	TLS struct {
 		Certificate string `json:"certificate"`
 		Key         string `json:"key"`
 		Authority   string `json:"authority,omitempty"`
 	}
 
-	// EntryLimits bound what a caller may ask of an entry host.
+	// EntryLimits bound what callers may use of an entry host.
 	EntryLimits struct {
 		HeaderBytes int      `json:"headerBytes,omitempty"`
 		BodyBytes   int      `json:"bodyBytes,omitempty"`
-		BodyTime    Duration `json:"bodyTime,omitempty"` // to send the whole body
+		BodyTime    Duration `json:"bodyTime,omitempty"` // to receive the whole body
 		WriteTime   Duration `json:"writeTime,omitempty"`
 		Streams     int      `json:"streams,omitempty"` // open at once, all workspaces
 	}
 
-	// AgentLimits bound what an agent keeps.
+	// AgentLimits bound the queue of an agent and the responses that it keeps.
 	AgentLimits struct {
-		Grace       Duration `json:"grace,omitempty"` // a generation runs on without its caller
-		Keep        Duration `json:"keep,omitempty"`  // an ended answer is kept for a late caller
+		Grace       Duration `json:"grace,omitempty"` // how long a generation continues after its caller disconnected
+		Keep        Duration `json:"keep,omitempty"`  // how long a finished response is kept for a caller that reconnects
 		AnswerBytes int      `json:"answerBytes,omitempty"`
 		Waiting     int      `json:"waiting,omitempty"` // requests in the queue
 
-		// PrefillAhead bounds the short prefills under way in the engine: 250ms
-		// where deadlines and priorities matter most, none where the tail of
-		// large workspaces does. docs/decisions/queue.md has both measurements.
+		// PrefillAhead bounds the prefill time of the short requests that the
+		// engine processes at once: 250ms if deadlines and priorities matter most,
+		// unset if the tail latency of large workspaces does. Both measurements
+		// are in docs/decisions/queue.md.
 		PrefillAhead Duration `json:"prefillAhead,omitempty"`
 	}
 
-	// Gate holds the settings of the process on an entry host that sends
-	// straight to engines.
+	// Gate holds the settings of the process on an entry host that sends requests
+	// directly to engines.
 	Gate struct {
 		Name   string         `json:"name"`
 		Zone   string         `json:"zone"`
 		Listen netip.AddrPort `json:"listen"` // for callers
-		Ready  netip.AddrPort `json:"ready"`  // says whether new connections are welcome
-		Beats  netip.AddrPort `json:"beats"`  // UDP, with keepers; they listen on the same port
+		Ready  netip.AddrPort `json:"ready"`  // readiness probe for new connections
+		Beats  netip.AddrPort `json:"beats"`  // UDP heartbeats with keepers, which listen on the same port
 		Admin  netip.AddrPort `json:"admin,omitzero"`
 		Store  netip.AddrPort `json:"store"`
-		Memory int            `json:"memory,omitempty"` // MB that the host gives the process
+		Memory int            `json:"memory,omitempty"` // MB available to the process
 		Log    string         `json:"log,omitempty"`
 		Bounds GateBounds     `json:"bounds"`
 	}
 
-	// GateBounds are the operators' promises that a gate must keep.
+	// GateBounds are the operators' guarantees that a gate must keep.
 	GateBounds struct {
-		Revoke  Duration `json:"revoke,omitempty"`  // no key is served so long after it was taken away
-		Grace   Duration `json:"grace,omitempty"`   // from the stop signal to the kill
-		Weights Duration `json:"weights,omitempty"` // no old weights so long after newer ones were named
-		Retries float64  `json:"retries,omitempty"` // share of a service's requests, over all gates
-		Spare   float64  `json:"spare,omitempty"`   // retries beyond that, over all gates
-		Window  Duration `json:"window,omitempty"`  // over which retries are counted
+		Revoke  Duration `json:"revoke,omitempty"`  // maximum time that a revoked key is still served
+		Grace   Duration `json:"grace,omitempty"`   // from the stop signal until the process is killed
+		Weights Duration `json:"weights,omitempty"` // maximum time that old weights are served after newer ones were named
+		Retries float64  `json:"retries,omitempty"` // share of a service's requests, for all gates together
+		Spare   float64  `json:"spare,omitempty"`   // additional retries, for all gates together
+		Window  Duration `json:"window,omitempty"`  // in which retries are counted
 		Quota   Quota    `json:"quota,omitzero"`
 	}
 
-	// Quota is what operators tolerate beyond workspaces' quotas.
+	// Quota is how far the operators tolerate that workspaces exceed their quotas.
 	Quota struct {
-		Window  Duration `json:"window,omitempty"` // over which use is counted
-		Overage float64  `json:"overage"`          // part of the quota
-		Slack   float64  `json:"slack"`            // tokens or requests besides
+		Window  Duration `json:"window,omitempty"` // in which usage is counted
+		Overage float64  `json:"overage"`          // as a share of the quota
+		Slack   float64  `json:"slack"`            // additional tokens or requests
 	}
 
-	// Keeper holds the settings of the process beside an engine that gives it
-	// its orders.
+	// Keeper holds the settings of the process beside an engine that sends the
+	// engine its orders.
 	Keeper struct {
 		Name   string         `json:"name"`
 		Zone   string         `json:"zone"`
 		Engine netip.AddrPort `json:"engine"`
-		Beats  netip.AddrPort `json:"beats"` // UDP, with gates
+		Beats  netip.AddrPort `json:"beats"` // UDP heartbeats with gates
 		Admin  netip.AddrPort `json:"admin,omitzero"`
 		Memory int            `json:"memory,omitempty"` // MB
 		Log    string         `json:"log,omitempty"`
@@ -131,14 +132,14 @@
 	// Duration is a time.Duration written as "1.3s" in JSON.
 	Duration time.Duration
 
-	// FieldError tells which field of a settings file is wrong and why.
+	// FieldError reports an invalid field of a settings file.
 	FieldError struct {
 		Field   string
 		Problem string
 	}
 )
 
-// Defaults of the limits.
+// Default values.
 const (
 	defaultHeaderBytes = 32 << 10
 	defaultBodyBytes   = 8 << 20
@@ -165,7 +166,7 @@
 //go:embed settings.schema.json
 var schemaText []byte
 
-// ParseEntry reads an entry's settings. Errors are FieldError, joined.
+// ParseEntry parses the settings of an entry. Errors are joined values of *FieldError.
 func ParseEntry(data []byte) (*Entry, error) {
 	entry := &Entry{}
 	if err := parse(data, "entry", entry); err != nil {
@@ -180,7 +181,7 @@
 	return entry, nil
 }
 
-// ParseAgent reads an agent's settings. Errors are FieldError, joined.
+// ParseAgent parses the settings of an agent. Errors are joined values of *FieldError.
 func ParseAgent(data []byte) (*Agent, error) {
 	agent := &Agent{}
 	if err := parse(data, "agent", agent); err != nil {
@@ -194,7 +195,7 @@
 	return agent, nil
 }
 
-// ParseGate reads a gate's settings. Errors are FieldError, joined.
+// ParseGate parses the settings of a gate. Errors are joined values of *FieldError.
 func ParseGate(data []byte) (*Gate, error) {
 	gate := &Gate{}
 	if err := parse(data, "gate", gate); err != nil {
@@ -213,7 +214,7 @@
 	return gate, nil
 }
 
-// ParseKeeper reads a keeper's settings. Errors are FieldError, joined.
+// ParseKeeper parses the settings of a keeper. Errors are joined values of *FieldError.
 func ParseKeeper(data []byte) (*Keeper, error) {
 	keeper := &Keeper{}
 	if err := parse(data, "keeper", keeper); err != nil {
@@ -259,7 +260,7 @@
 	return compiler.Compile(schemaURL + "#/$defs/" + definition)
 }
 
-// fieldErrors turns the schema's tree of errors into one error a field.
+// fieldErrors converts the schema's tree of errors into one FieldError per problem.
 func fieldErrors(err error) error {
 	var invalid *jsonschema.ValidationError
 	if !errors.As(err, &invalid) {
@@ -267,7 +268,7 @@
 	}
 	var fields []*FieldError
 	collectFields(invalid, &fields)
-	// The schema's own order is that of a map, another one each time.
+	// The validator iterates over maps, so its order varies between runs.
 	slices.SortStableFunc(fields, func(x, y *FieldError) int {
 		return cmp.Or(strings.Compare(x.Field, y.Field), strings.Compare(x.Problem, y.Problem))
 	})
@@ -296,12 +297,12 @@
 	}
 }
 
-// Error names the field and the problem.
+// Error returns the field and the problem.
 func (e *FieldError) Error() string {
 	return fmt.Sprintf("settings: field %s: %s", e.Field, e.Problem)
 }
 
-// UnmarshalJSON reads a duration such as "1.3s".
+// UnmarshalJSON parses a duration such as "1.3s".
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/process/beechsettings/settings_test.go
+++ b/internal/process/beechsettings/settings_test.go
@@ -20,10 +20,10 @@
 	is.Equal(entry.Limits.BodyBytes, defaultBodyBytes)
 }
 
-// An operator misspells a limit, gives a host name for an address or a number
-// for a duration. The process must not start with something other than what
-// was meant, and the message must name the field.
-func TestWrongSettingsNameTheField(t *testing.T) {
+// An operator misspells a limit, or writes a host name instead of an address or a
+// number instead of a duration. The process must not start with other settings than
+// intended, and the error must name the field.
+func TestInvalidSettingsNameTheField(t *testing.T) {
 	cases := []struct{ from, to, field string }{
 		{`"bodyTime"`, `"bodyTimes"`, "limits"},
 		{`"127.0.0.1:8080"`, `"localhost:8080"`, "listen"},
