--- a/internal/process/beechlog/async_writer.go
+++ b/internal/process/beechlog/async_writer.go
@@ -8,62 +8,63 @@
 	"time"
 )
 
-// AsyncWriter writes lines from a goroutine of its own and never makes a caller
-// wait: where the reader of standard output is slow or gone, lines are dropped,
-// counted, and told of in a line of their own once there is room. Without it a
-// full pipe would stop every request that logs.
+// AsyncWriter queues lines and writes them from its own goroutine, so that a caller
+// never blocks. While the queue is full because the reader of standard output is slow
+// or gone, it drops and counts lines, and later reports their number in a line of its
+// own. Without it a full pipe would block every request that logs.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
-	stopped chan struct{}
+	done    chan struct{}
 	once    sync.Once
 }
 
 const (
-	// maxQueuedLines that wait are about 2 MB: seconds of a busy gate's lines.
+	// maxQueuedLines is about 2 MB, which is what a busy gate logs in a few seconds.
 	maxQueuedLines = 4096
-	// closeTimeout is how long Close waits for a reader that does not read.
+	// closeTimeout is how long Close waits for queued lines to be written.
 	closeTimeout = 500 * time.Millisecond
 )
 
-// NewAsyncWriter returns a writer of lines to w. Close it to have the last ones
-// written.
+// NewAsyncWriter returns an asynchronous writer to w. Close writes the lines that are
+// still queued.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	b := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), stopped: make(chan struct{})}
+	a := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go func() {
-		defer close(b.stopped)
-		told := int64(0)
-		for line := range b.lines {
-			_, _ = w.Write(line) // there is nowhere else to tell
-			if n := b.dropped.Load(); n > told {
-				_, _ = fmt.Fprintf(w, `{"level":"warn","message":"log lines dropped","dropped":%d}`+"\n", n-told)
-				told = n
+		defer close(a.done)
+		reported := int64(0)
+		for line := range a.lines {
+			_, _ = w.Write(line) // an error cannot be reported anywhere else
+			if n := a.dropped.Load(); n > reported {
+				_, _ = fmt.Fprintf(w, `{"level":"warn","message":"log lines dropped","dropped":%d}`+"\n", n-reported)
+				reported = n
 			}
 		}
 	}()
-	return b
+	return a
 }
 
-// Write takes a line. It never blocks and never fails.
-func (b *AsyncWriter) Write(line []byte) (int, error) {
+// Write queues a line, or drops it if the queue is full. It never blocks and never
+// fails.
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	copied := append([]byte(nil), line...)
 	select {
-	case b.lines <- copied:
+	case a.lines <- copied:
 	default:
-		b.dropped.Add(1)
+		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped counts the lines that were dropped.
-func (b *AsyncWriter) Dropped() int64 { return b.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// Close writes what waits, for as long as the reader reads. Write must not be
-// called any more.
-func (b *AsyncWriter) Close() error {
-	b.once.Do(func() { close(b.lines) })
+// Close waits until the queued lines are written, for at most closeTimeout. Write must
+// not be called after Close.
+func (a *AsyncWriter) Close() error {
+	a.once.Do(func() { close(a.lines) })
 	select {
-	case <-b.stopped:
+	case <-a.done:
 	case <-time.After(closeTimeout):
 	}
 	return nil
--- a/internal/process/beechlog/async_writer_test.go
+++ b/internal/process/beechlog/async_writer_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestBoundedWritesInOrder(t *testing.T) {
+func TestAsyncWriterKeepsOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	b := NewAsyncWriter(&out)
@@ -24,9 +24,9 @@
 	is.Equal(b.Dropped(), int64(0))
 }
 
-// Whoever reads standard output has stopped reading, and the pipe is full. A
-// caller that logs goes on at once, and the lines that were lost are counted.
-func TestBoundedNeverBlocks(t *testing.T) {
+// The reader of standard output has stopped, and the pipe is full. A caller that logs
+// must not block, and the dropped lines must be counted and reported.
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	is := is.New(t)
 	r, w, err := os.Pipe()
 	is.NoErr(err)
--- a/internal/process/beechlog/counts.go
+++ b/internal/process/beechlog/counts.go
@@ -7,7 +7,7 @@
 	"go.uber.org/zap"
 )
 
-// Counts gives counters as an object in a log line; none gives no field.
+// Counts returns a field with counters as a JSON object. For nil it adds no field.
 func Counts(name string, v expvar.Var) zap.Field {
 	if v == nil {
 		return zap.Skip()
--- a/internal/process/beechlog/doc.go
+++ b/internal/process/beechlog/doc.go
@@ -1,9 +1,9 @@
-// Package beechlog makes the logger that every process uses: zap, JSON lines,
-// with one name for each field that lines share. It keeps secrets out: a field
-// whose name is known to hold a key, an authorization header, a prompt or an
-// answer is written as "redacted", wherever in a line it stands, and whatever
-// package adds it. The rule goes by field name, so text of a caller must never
-// go into a message or an error.
+// Package beechlog provides the logger of every process: zap with JSON lines and
+// common names for shared fields. It redacts secrets: the value of a field whose
+// name suggests a key, an authorization header, a prompt or an answer is written as
+// "redacted", no matter where in the line it is and which package added it. The rule
+// goes by the field's name only, so text from a caller must never be part of a
+// message or an error.
 //
 // # Usage
 //
--- a/internal/process/beechlog/log.go
+++ b/internal/process/beechlog/log.go
@@ -12,16 +12,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// redacted replaces the value of a field that is never written.
+// redacted replaces the value of a secret field.
 const redacted = "redacted"
 
-// secretNames are parts of field names whose values are never written: keys
-// would let a reader act as a workspace, and prompts and answers hold what
-// members told their advisor.
+// secretNames are parts of the names of fields whose values are never written: with
+// a key, a reader of the log could impersonate a workspace, and prompts and answers
+// contain what members told their advisor.
 var secretNames = []string{"key", "authorization", "secret", "password", "prompt", "messages", "answer", "body", "cookie", "bearer"}
 
-// New returns a logger of JSON lines at level debug, info, warn or error and
-// above. Writes are serialized.
+// New returns a logger that writes JSON lines of at least the level debug, info, warn
+// or error. Writes are serialized.
 func New(w io.Writer, level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -44,37 +44,37 @@
 	return zapcore.NewCore(zapcore.NewJSONEncoder(config), zapcore.Lock(zapcore.AddSync(w)), l)
 }
 
-// RequestID is the request's id, unique over all entry hosts.
+// RequestID returns a field with the request's id, unique over all entry hosts.
 func RequestID(id string) zap.Field {
 	return zap.String("request_id", id)
 }
 
-// Attempt counts the request's runs from 1.
+// Attempt returns a field with the number of the request's attempt, from 1.
 func Attempt(n int) zap.Field {
 	return zap.Int("attempt", n)
 }
 
-// Step is what the process was doing.
+// Step returns a field that names the operation that was in progress.
 func Step(step string) zap.Field {
 	return zap.String("step", step)
 }
 
-// Peer is the other side's address.
+// Peer returns a field with the address of the peer.
 func Peer(peer netip.AddrPort) zap.Field {
 	return zap.Stringer("peer", peer)
 }
 
-// Workspace is the workspace's name.
+// Workspace returns a field with the workspace's name.
 func Workspace(name string) zap.Field {
 	return zap.String("workspace", name)
 }
 
-// Generation is a configuration generation.
+// Generation returns a field with a generation of the configuration.
 func Generation(n uint64) zap.Field {
 	return zap.Uint64("generation", n)
 }
 
-// redactor hides secret fields before the core writes or keeps them.
+// redactor replaces the values of secret fields before the core writes or stores them.
 type redactor struct {
 	zapcore.Core
 }
@@ -114,8 +114,8 @@
 	return clean
 }
 
-// isNumeric tells that a field holds a count, time or truth value, such as
-// prompt_tokens, which gives nothing away.
+// isNumeric reports whether a field holds a number, time or bool. Such a value, for
+// example prompt_tokens, is not secret whatever its name.
 func isNumeric(f zapcore.Field) bool {
 	switch f.Type {
 	case zapcore.BoolType, zapcore.DurationType, zapcore.TimeType, zapcore.TimeFullType,
@@ -138,7 +138,7 @@
 	return false
 }
 
-// SupervisorHook writes what a supervisor tells of its services.
+// SupervisorHook returns a hook that logs a supervisor's events.
 func SupervisorHook(logger *zap.Logger) suture.EventHook {
 	return func(e suture.Event) {
 		switch e := e.(type) {
--- a/internal/process/beechlog/log_test.go
+++ b/internal/process/beechlog/log_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 )
 
-func TestLinesAreJSONWithTheSharedNames(t *testing.T) {
+func TestLinesAreJSONWithSharedFieldNames(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	logger, err := New(&out, "info")
@@ -31,8 +31,8 @@
 	is.True(err != nil)
 }
 
-// A developer logs a whole request to find a fault, and a member's history or a
-// workspace's key ends up in the operator's log store.
+// Guards against secrets in the log: a developer logs a whole request to find a fault,
+// and a member's history or a workspace's key would be stored with the operator's logs.
 func TestKeysAndPromptsAreNeverWritten(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
