--- a/internal/process/beechmetric/metric.go
+++ b/internal/process/beechmetric/metric.go
@@ -1,5 +1,5 @@
-// Package beechmetric serves a process's counters and latency histograms: as
-// JSON, as expvar gives them, and as plain text with a line a figure.
+// Package beechmetric serves a process's counters and latency histograms, as JSON in
+// expvar's format and as plain text with one line per value.
 //
 // # Usage
 //
@@ -25,15 +25,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is a histogram that tells some of its percentiles. It is safe for
-// concurrent use.
+// Latency is a histogram of durations. It is safe for concurrent use.
 type Latency struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
 const (
-	// TextPath is where Handler serves plain text.
+	// TextPath is the path at which Handler serves plain text.
 	TextPath          = "/metrics"
 	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
 	significantDigits = 2
@@ -44,15 +43,15 @@
 	return &Latency{histogram: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 }
 
-// Record takes in a time, to the microsecond, an hour at most.
+// Record adds a duration, in whole microseconds and limited to one hour.
 func (l *Latency) Record(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // within bounds, so it cannot fail
+	_ = l.histogram.RecordValue(min(max(d.Microseconds(), 1), maxLatencyMicros)) // cannot fail within the histogram's bounds
 }
 
-// Percentiles gives the count and some percentiles in microseconds, for
-// expvar.Func.
+// Percentiles returns the count, the maximum and some percentiles in microseconds. It
+// is meant for expvar.Func.
 func (l *Latency) Percentiles() any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,12 +61,13 @@
 	}
 }
 
-// Handler serves metrics: as text at TextPath, as JSON elsewhere.
+// Handler returns a handler that serves metrics as text at TextPath and as JSON at any
+// other path.
 func Handler(vars *expvar.Map) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = io.WriteString(w, vars.String()) // a reader that has left needs nothing
+		_, _ = io.WriteString(w, vars.String()) // fails only if the client has disconnected
 	})
 	mux.HandleFunc("GET "+TextPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -76,8 +76,8 @@
 	return mux
 }
 
-// Text gives metrics as lines of a name and a value, by name. Names of figures
-// inside others are joined with a dot.
+// Text formats metrics as lines of a name and a value, sorted by name. The names of
+// nested metrics are joined with dots.
 func Text(vars *expvar.Map) string {
 	var tree map[string]any
 	if err := json.Unmarshal([]byte(vars.String()), &tree); err != nil {
