--- a/internal/process/beechadmin/admin.go
+++ b/internal/process/beechadmin/admin.go
@@ -20,8 +20,9 @@
 	closeTimeout  = 2 * time.Second
 )
 
-// NewMux has /livez and /readyz, and under the key /debug/vars and /debug/pprof/.
-// Vars is the process's own metrics; several processes may run in one.
+// NewMux returns a mux with /livez and /readyz, and with /debug/vars and /debug/pprof/
+// protected by the key. The metrics are passed as vars and not taken from expvar's globals,
+// because tests and the demo run several of the system's processes in one OS process.
 func NewMux(key string, ready func() bool, vars *expvar.Map) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
@@ -43,7 +44,8 @@
 	return mux
 }
 
-// RequireKey asks for the key as a bearer key, compared in constant time.
+// RequireKey wraps a handler so that it requires the key as a bearer token. The key is
+// compared in constant time.
 func RequireKey(key string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,9 +58,8 @@
 	})
 }
 
-// Listen opens the address and returns what serves the handler until its
-// context ends. The listener is kept over calls, so that a supervisor can call
-// it again.
+// Listen opens the address and returns a function that serves the handler until its
+// context ends. A supervisor can call the function again, as it keeps the listener.
 func Listen(address netip.AddrPort, handler http.Handler) (func(ctx context.Context) error, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -67,9 +68,9 @@
 	return func(ctx context.Context) error {
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 		stop := context.AfterFunc(ctx, func() {
-			closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 			defer cancel()
-			_ = server.Shutdown(closing)
+			_ = server.Shutdown(shutdownCtx)
 		})
 		defer stop()
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/process/beechadmin/doc.go
+++ b/internal/process/beechadmin/doc.go
@@ -1,8 +1,8 @@
-// Package beechadmin is the admin listener that every process has, apart from
-// the one that serves its work: liveness, readiness, metrics and status.
+// Package beechadmin provides the admin listener of every process, which is separate
+// from the one for requests: liveness, readiness, metrics and status.
 //
-// Liveness and readiness are open, since the platform's balancer has no key.
-// Everything else asks for the admin key as a bearer key.
+// Liveness and readiness need no key, since the platform's load balancer has none. All
+// other paths require the admin key as a bearer token.
 //
 // # Usage
 //
