--- a/internal/process/beechmemory/doc.go
+++ b/internal/process/beechmemory/doc.go
@@ -1,13 +1,12 @@
-// Package beechmemory paces the garbage collector by an amount of memory
-// instead of a percentage of the heap.
+// Package beechmemory paces the garbage collector by an amount of garbage instead of
+// a percentage of the heap.
 //
-// The load pattern it answers: an entry host or agent is either nearly idle
-// with a heap of a few megabytes, or holds thousands of open streams. Go's usual
-// pace lets garbage grow as large as what lives. With a small heap that means
-// a collection every few milliseconds under load, which shows in the tail of
-// the first token; with thousands of streams it means that a stream takes twice
-// the memory it needs. One percentage cannot serve both, so it is set anew
-// from what lives.
+// An entry host or agent is either nearly idle with a heap of a few megabytes, or
+// holds thousands of open streams. By default Go lets garbage grow as large as the
+// live heap. With a small heap this causes a collection every few milliseconds under
+// load, which raises the tail latency of the first token; with thousands of streams
+// each stream takes twice the memory that it needs. No single percentage fits both, so
+// the pacer recomputes it from the live heap.
 //
 // # Usage
 //
--- a/internal/process/beechmemory/pacer.go
+++ b/internal/process/beechmemory/pacer.go
@@ -9,7 +9,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Pacer sets the collector's percentage. There is one for a process.
+// Pacer sets the percentage of the garbage collector (GOGC). A process must have only
+// one.
 type Pacer struct {
 	clock clockwork.Clock
 }
@@ -22,28 +23,27 @@
 	globalsMetric = "/gc/scan/globals:bytes"
 	allocsMetric  = "/gc/heap/allocs:bytes"
 
-	// maxSlack is the garbage that may gather before a collection. At 10,000
-	// small requests a second it fills in some tens of milliseconds. A process
-	// with little to do gets less: it would hold the rest for nothing, and
-	// be over its 32 MB.
+	// maxSlack is the most garbage that may accumulate before a collection. At
+	// 10,000 small requests per second this takes some tens of milliseconds. A
+	// process with little load gets less, down to minSlack: it does not need more,
+	// and would exceed its 32 MB.
 	maxSlack = 16 << 20
 	minSlack = 4 << 20
 
-	// slackDuration is for how long at the present rate the slack should last.
+	// slackDuration is how long the slack should last at the current allocation rate.
 	slackDuration = 250 * time.Millisecond
 
-	// minPercent keeps collections from following one another without a pause
-	// when the live heap is large.
-	minPercent = 5 // percent
+	// minPercent prevents continuous collections when the live heap is large.
+	minPercent = 5
 
-	// maxPercent bounds a nearly empty process within its 32 MB.
-	maxPercent = 400 // percent
+	// maxPercent keeps a nearly empty process within its 32 MB.
+	maxPercent = 400
 )
 
-// New makes the pacer; Serve runs it.
+// New returns a pacer; Serve runs it.
 func New(clock clockwork.Clock) *Pacer { return &Pacer{clock: clock} }
 
-// Serve sets the percentage every interval until ctx ends.
+// Serve recomputes the percentage at each interval until ctx ends.
 func (p *Pacer) Serve(ctx context.Context) error {
 	ticker := p.clock.NewTicker(interval)
 	defer ticker.Stop()
@@ -66,9 +66,9 @@
 	}
 }
 
-// slackFor gives the slack for what was allocated in the last interval. It is
-// doubled in steps, so that a rate that wavers does not set the percentage anew
-// each time.
+// slackFor returns the slack for the bytes allocated in the last interval. It is a
+// power of two times minSlack, so that small changes of the rate do not change the
+// percentage each time.
 func slackFor(allocated uint64) uint64 {
 	wanted := allocated * uint64(slackDuration/time.Millisecond) / uint64(interval/time.Millisecond)
 	slack := uint64(minSlack)
@@ -78,10 +78,10 @@
 	return slack
 }
 
-// total adds up metrics. The live heap, the stacks and the globals are what the
-// collector's percentage is a share of. With thousands of open streams the
-// stacks are as large as the heap; taken as a share of the heap alone the slack
-// would be twice as large as wanted, on top of what the streams hold.
+// total returns the sum of metrics. The collector's percentage refers to the sum of
+// live heap, stacks and globals. With thousands of open streams the stacks are as large
+// as the heap, so that a percentage computed from the heap alone would give twice the
+// intended slack, in addition to the memory of the streams.
 func total(samples []metrics.Sample) (bytes uint64) {
 	metrics.Read(samples)
 	for _, s := range samples {
@@ -92,8 +92,8 @@
 	return bytes
 }
 
-// percentage gives the slack as a share of what is marked, in steps of a tenth
-// so that small changes do not set it anew: setting it stops the world.
+// percentage returns the slack as a percentage of the marked bytes. It is rounded to
+// steps of a tenth, so that small changes do not change it: setting it stops the world.
 func percentage(marked, slack uint64) int {
 	if marked == 0 {
 		return maxPercent
--- a/internal/process/beechmemory/pacer_test.go
+++ b/internal/process/beechmemory/pacer_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSlackIsAnAmountWithinBounds(t *testing.T) {
+func TestPercentageWithinBounds(t *testing.T) {
 	is := is.New(t)
 	is.Equal(percentage(0, maxSlack), maxPercent)
 	is.Equal(percentage(1<<20, maxSlack), maxPercent)
@@ -17,7 +17,7 @@
 	is.Equal(percentage(8<<20, minSlack), 50)
 }
 
-func TestSlackGrowsWithTheRateOfAllocation(t *testing.T) {
+func TestSlackGrowsWithAllocationRate(t *testing.T) {
 	is := is.New(t)
 	is.Equal(slackFor(0), uint64(minSlack))
 	is.Equal(slackFor(4<<20), uint64(8<<20))
