--- a/internal/process/beechtask/doc.go
+++ b/internal/process/beechtask/doc.go
@@ -1,5 +1,5 @@
-// Package beechtask gives a process's goroutines the shape that the supervisor
-// wants: a name and a closure that runs until its context ends.
+// Package beechtask adapts functions that run until their context ends to services of
+// a supervisor, and has helpers for such functions.
 //
 // # Usage
 //
--- a/internal/process/beechtask/task.go
+++ b/internal/process/beechtask/task.go
@@ -10,13 +10,14 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Task is one supervised closure. It implements suture.Service.
+// Task is a named function run by a supervisor. It implements suture.Service.
 type Task struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Serve implements suture.Service; errors carry the task's name.
+// Serve implements suture.Service. Errors other than context.Canceled begin with the
+// task's name.
 func (t Task) Serve(ctx context.Context) error {
 	err := t.Run(ctx)
 	if err != nil && !errors.Is(err, context.Canceled) {
@@ -25,7 +26,7 @@
 	return err
 }
 
-// String names the task in the supervisor's log lines.
+// String returns the name, which the supervisor logs.
 func (t Task) String() string { return t.Name }
 
 // Every calls step at once and then each interval, until ctx ends. Calls never
@@ -43,11 +44,11 @@
 	}
 }
 
-// Notify tells a goroutine that waits on a channel with room for one, without waiting
-// for it. What was told and not yet taken is told once.
-func Notify(news chan<- struct{}) {
+// Notify signals a goroutine that receives from a channel with a buffer of one. It never
+// blocks; signals that were not yet received are merged into one.
+func Notify(signal chan<- struct{}) {
 	select {
-	case news <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
