--- a/internal/standin/beechhome/doc.go
+++ b/internal/standin/beechhome/doc.go
@@ -1,6 +1,6 @@
-// Package beechhome stands in for the users' platform: its key-value store and
-// its engines, over HTTP as their protocol is published, with the troubles that
-// tests need. It is small and keeps everything in memory.
+// Package beechhome is a test double of the users' platform: its key-value store and
+// its engines, with their published HTTP protocol. It keeps everything in memory and
+// can inject the faults that tests need.
 //
 // # Usage
 //
--- a/internal/standin/beechhome/documents.go
+++ b/internal/standin/beechhome/documents.go
@@ -9,45 +9,46 @@
 )
 
 type (
-	// Document is a document in the store.
+	// Document is a JSON document in the store.
 	Document = map[string]any
 
-	// CallerRequest is a caller's request.
+	// CallerRequest describes a caller's request. Parts are the parts of its prompt
+	// as ID:TOKENS, separated by commas.
 	CallerRequest struct {
 		ID      string
 		Key     string
 		Host    string
 		URL     string
-		Left    time.Duration // until the caller leaves
+		Left    time.Duration // until the caller's deadline
 		Body    string
-		Model   string // none for a plain service
+		Model   string // empty for a service without a model
 		Prompt  int    // tokens
-		Output  int    // most events of the answer
-		Parts   string // ID:TOKENS, with commas between
+		Output  int    // maximum of output events
+		Parts   string
 		Headers map[string]string
 	}
 )
 
-// Keys of what operators write.
 const (
+	// ConfigurationKey is the key of the operators' configuration.
 	ConfigurationKey = "op/config"
 	serverPrefix     = "servers/"
 	versionPrefix    = "op/version/"
 	advertisedSlots  = 8
-	// ReadyPath is asked whether a gate wants new connections.
+	// ReadyPath is the path of a gate's readiness probe.
 	ReadyPath = "/beechring/ready"
-	// RangePath is where whole reads come in.
+	// RangePath is the path of range reads.
 	RangePath = "/beechring/kv-range"
-	// WatchPath is where watches come in.
+	// WatchPath is the path of watches.
 	WatchPath = "/beechring/kv-watch"
 )
 
-// SetWeightsVersion names a version of a model's weights, as operators do.
+// SetWeightsVersion writes the version of a model's weights, as operators do.
 func (s *Store) SetWeightsVersion(model string, version int) {
 	s.Put(versionPrefix+model, Document{"model": model, "version": version})
 }
 
-// PutServer writes a server's entry, as the server itself does.
+// PutServer writes the entry of an engine or server, as it does itself.
 func (s *Store) PutServer(e *Engine, service, address, zone, state string) {
 	models := []Document{}
 	if e.settings.Model != "" {
@@ -59,12 +60,13 @@
 	})
 }
 
-// RemoveServer takes a server's entry away.
+// RemoveServer deletes a server's entry.
 func (s *Store) RemoveServer(id string) { s.Remove(serverPrefix + id) }
 
-// Configuration is what operators write: a resumable stream under /pick/, one
-// that is not under /card/, calls that run once under /label/ and others under
-// /check/; keys of two workspaces, the second isolated.
+// Configuration returns an operators' configuration with four routes: /pick/ for
+// resumable streams, /card/ for streams that are not resumable, /label/ for requests
+// that are not idempotent and /check/ for safe ones. It has one key for each of two
+// workspaces, the second isolated.
 func Configuration(version int, host, model, engines, plain, key, isolated string) Document {
 	route := func(name, kind, service string, timeout, objective, attempts, priority int) Document {
 		return Document{
@@ -92,27 +94,27 @@
 	}
 }
 
-// NewRequest makes the request that a caller sends.
-func (a CallerRequest) NewRequest() (*http.Request, error) {
+// NewRequest returns the HTTP request that the caller sends.
+func (c CallerRequest) NewRequest() (*http.Request, error) {
 	method := http.MethodGet
 	var body io.Reader
-	if a.Body != "" {
-		method, body = http.MethodPost, strings.NewReader(a.Body)
+	if c.Body != "" {
+		method, body = http.MethodPost, strings.NewReader(c.Body)
 	}
-	r, err := http.NewRequest(method, a.URL, body)
+	r, err := http.NewRequest(method, c.URL, body)
 	if err != nil {
 		return nil, err
 	}
-	r.Host = a.Host
-	r.Header.Set(headerAttemptID, a.ID)
-	r.Header.Set("Beechring-Key", a.Key)
-	r.Header.Set("Beechring-Deadline-Remaining", fmt.Sprint(a.Left.Milliseconds()))
-	if a.Model != "" {
-		r.Header.Set("Beechring-Model", a.Model)
-		r.Header.Set(headerTokenUsage, fmt.Sprintf("%d,%d", a.Prompt, a.Output))
-		r.Header.Set("Beechring-Prompt-Prefix", a.Parts)
+	r.Host = c.Host
+	r.Header.Set(headerAttemptID, c.ID)
+	r.Header.Set("Beechring-Key", c.Key)
+	r.Header.Set("Beechring-Deadline-Remaining", fmt.Sprint(c.Left.Milliseconds()))
+	if c.Model != "" {
+		r.Header.Set("Beechring-Model", c.Model)
+		r.Header.Set(headerTokenUsage, fmt.Sprintf("%d,%d", c.Prompt, c.Output))
+		r.Header.Set("Beechring-Prompt-Prefix", c.Parts)
 	}
-	for name, value := range a.Headers {
+	for name, value := range c.Headers {
 		r.Header.Set(name, value)
 	}
 	return r, nil
--- a/internal/standin/beechhome/engine.go
+++ b/internal/standin/beechhome/engine.go
@@ -13,18 +13,19 @@
 )
 
 type (
-	// EngineSettings describe an engine, or with no model a plain service.
+	// EngineSettings describe an engine, or a server without a model if Model is
+	// empty.
 	EngineSettings struct {
 		ID       string
 		Model    string
 		Version  uint64
 		Slots    int
-		Token    time.Duration // for each event of a stream
-		ReadRate float64       // prompt tokens in a millisecond; 0 reads at once
-		Load     time.Duration // of new weights
+		Token    time.Duration // duration of each event of a stream
+		ReadRate float64       // prompt tokens per millisecond; 0 takes no time
+		Load     time.Duration // duration of loading new weights
 	}
 
-	// Engine runs requests. It is safe for concurrent use.
+	// Engine simulates an engine. It is safe for concurrent use.
 	Engine struct {
 		settings EngineSettings
 
@@ -34,31 +35,31 @@
 		sequence      uint64
 		running       int
 		runs          map[string]int
-		seen          map[string]http.Header // headers of the last run of an id
-		cached        map[string]int         // tokens by salt and part
+		lastHeaders   map[string]http.Header // headers of the last run, by request id
+		cached        map[string]int         // tokens by "salt|part"
 		events        [][]any
 		prefillTokens int
-		trouble       EngineFaults
+		faults        EngineFaults
 		orders        []Order
-		limit         string // named with each answer; empty is none
-		born          int64  // Unix milliseconds; 0 is not told
+		limit         string // Server-Limit of each response; empty is none
+		born          int64  // start in Unix milliseconds; 0 is not reported
 		arrivals      []time.Time
 	}
 
-	// EngineFaults is what is wrong with an engine.
+	// EngineFaults are the faults that an engine simulates.
 	EngineFaults struct {
-		Refuse       bool   // every request is turned away
-		Hang         bool   // requests run and are never answered
+		Refuse       bool   // every request is refused as not executed
+		Hang         bool   // requests run and get no response
 		Drop         bool   // requests run and the connection is reset
-		CutAfter     int    // a stream breaks off after so many events
-		Status       int    // of every answer; 0 is 200
-		Twice        bool   // each answer comes twice
-		Foreign      string // another request's id in the answer
-		Encoding     string // of the answer's body, as some proxies add one
-		SilentOrders bool   // orders get no answer and are not carried out
+		CutAfter     int    // number of events after which a stream is cut; 0 is never
+		Status       int    // status of every response; 0 for the normal 200
+		Twice        bool   // each response is to be sent twice; not implemented, so it has no effect
+		Foreign      string // another request's id, returned in responses
+		Encoding     string // Content-Encoding of responses, as some proxies add one
+		SilentOrders bool   // orders get no response and are not carried out
 	}
 
-	// Order is an order that came in.
+	// Order is an order that an engine received.
 	Order struct {
 		Model    string `json:"model"`
 		Version  uint64 `json:"version"`
@@ -82,24 +83,24 @@
 	defaultSlots        = 8
 )
 
-// NewEngine returns an engine with nothing in its cache.
+// NewEngine returns an engine with an empty cache.
 func NewEngine(s EngineSettings) *Engine {
 	if s.Slots == 0 {
 		s.Slots = defaultSlots
 	}
 	return &Engine{
-		settings: s, version: s.Version, runs: make(map[string]int), seen: make(map[string]http.Header), cached: make(map[string]int),
+		settings: s, version: s.Version, runs: make(map[string]int), lastHeaders: make(map[string]http.Header), cached: make(map[string]int),
 	}
 }
 
-// Runs counts how often a request ran here.
+// Runs returns how often a request ran on this engine.
 func (e *Engine) Runs(id string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// AllRuns counts the runs of each request.
+// AllRuns returns the number of runs of each request, by id.
 func (e *Engine) AllRuns() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -110,58 +111,59 @@
 	return all
 }
 
-// RequestHeader gives the headers with which a request came last.
+// RequestHeader returns the headers of the last run of a request, or nil.
 func (e *Engine) RequestHeader(id string) http.Header {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.seen[id]
+	return e.lastHeaders[id]
 }
 
-// Running counts the requests at work.
+// Running returns the number of requests that are running.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running
 }
 
-// Version is the version of the weights.
+// Version returns the version of the loaded weights.
 func (e *Engine) Version() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// Orders gives the orders that came in.
+// Orders returns the orders that the engine received.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// PrefillTokens counts the prompt tokens that were read.
+// PrefillTokens returns the number of prompt tokens that were not cached and had to be
+// processed.
 func (e *Engine) PrefillTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.prefillTokens
 }
 
-// SetLimit has the engine name a limit with each answer from now on, as it is written;
-// empty names none.
+// SetLimit sets the rate limit that each response names from now on, exactly as given;
+// empty for none.
 func (e *Engine) SetLimit(text string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.limit = text
 }
 
-// Arrivals gives when requests came in, those that were turned away too.
+// Arrivals returns the times at which requests arrived, including refused ones.
 func (e *Engine) Arrivals() []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]time.Time(nil), e.arrivals...)
 }
 
-// MaxArrivals gives the largest number of requests that came since a time in a window
-// which ends after from and not after until.
+// MaxArrivals returns the largest number of requests in a window of the given length
+// that ends after from and not after until. Requests before since are not counted.
 func (e *Engine) MaxArrivals(window time.Duration, since, from, until time.Time) int {
 	arrivals := e.Arrivals()
 	first, _ := slices.BinarySearchFunc(arrivals, since, time.Time.Compare)
@@ -178,8 +180,8 @@
 	return most
 }
 
-// Restart begins another lifetime under the engine's ID: what it held, named and was told
-// is gone.
+// Restart simulates a restart under the same ID: the cache, the limit and the sequence
+// of orders are lost.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,14 +191,15 @@
 	e.events = nil
 }
 
-// SetFaults changes what is wrong from now on.
-func (e *Engine) SetFaults(t EngineFaults) {
+// SetFaults replaces the simulated faults.
+func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.trouble = t
+	e.faults = f
 }
 
-// ServeHTTP answers a request, a report, an order or a call for cache events.
+// ServeHTTP serves reports, orders and cache calls, and any other path as a caller's
+// request.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/beechring/report":
@@ -239,7 +242,7 @@
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
 	switch {
-	case e.trouble.SilentOrders:
+	case e.faults.SilentOrders:
 		panic(http.ErrAbortHandler)
 	case e.version == o.Version:
 		w.WriteHeader(http.StatusOK)
@@ -278,7 +281,7 @@
 	writeJSON(w, map[string]any{"bootEpoch": 1, "next": len(e.events), "lost": false, "events": events})
 }
 
-// cacheList tells all that is cached now.
+// cacheList serves the content of the cache.
 func (e *Engine) cacheList(w http.ResponseWriter) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -298,7 +301,7 @@
 	return since < len(e.events)
 }
 
-// Evict has the engine forget a part, and tell so.
+// Evict removes a part from the cache and adds the cache event.
 func (e *Engine) Evict(salt, part string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -331,46 +334,47 @@
 	}()
 	e.mu.Lock()
 	e.runs[id]++
-	e.seen[id] = r.Header.Clone()
-	trouble, version := e.trouble, e.version
+	e.lastHeaders[id] = r.Header.Clone()
+	faults, version := e.faults, e.version
 	e.mu.Unlock()
-	if trouble.Foreign != "" {
-		w.Header().Set(headerAttemptID, trouble.Foreign)
+	if faults.Foreign != "" {
+		w.Header().Set(headerAttemptID, faults.Foreign)
 	}
-	if trouble.Encoding != "" {
-		w.Header().Set("Content-Encoding", trouble.Encoding)
+	if faults.Encoding != "" {
+		w.Header().Set("Content-Encoding", faults.Encoding)
 	}
 	w.Header().Set(headerSeal, "seal."+id)
 	w.Header().Set(headerLoad, fmt.Sprintf("%d,0,%d", e.Running(), e.settings.Slots))
 	switch {
-	case trouble.Hang:
+	case faults.Hang:
 		<-r.Context().Done()
-	case trouble.Drop:
+	case faults.Drop:
 		panic(http.ErrAbortHandler)
-	case trouble.Status != 0:
-		w.WriteHeader(trouble.Status)
+	case faults.Status != 0:
+		w.WriteHeader(faults.Status)
 	case e.settings.Model == "":
 		_, _ = fmt.Fprintf(w, "%s %s %d", r.Method, r.URL.RequestURI(), len(body))
 	default:
 		w.Header().Set(headerWeightVersion, strconv.FormatUint(version, 10))
 		e.prefill(r)
-		e.stream(w, r, trouble)
+		e.stream(w, r, faults)
 	}
 }
 
-// admit turns away what this engine may not or cannot run.
+// admit refuses a request that is meant for another instance or version, or that finds
+// no free slot.
 func (e *Engine) admit(w http.ResponseWriter, r *http.Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	other := r.Header.Get("Beechring-Expect-Instance")
-	wants := r.Header.Get("Beechring-Expect-Version")
+	expectedInstance := r.Header.Get("Beechring-Expect-Instance")
+	expectedVersion := r.Header.Get("Beechring-Expect-Version")
 	switch {
-	case other != "" && other != e.settings.ID:
+	case expectedInstance != "" && expectedInstance != e.settings.ID:
 		w.Header().Set(headerInstanceID, e.settings.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
-	case wants != "" && wants != strconv.FormatUint(e.version, 10):
+	case expectedVersion != "" && expectedVersion != strconv.FormatUint(e.version, 10):
 		w.WriteHeader(http.StatusMisdirectedRequest)
-	case e.busy || e.trouble.Refuse || e.running >= e.settings.Slots:
+	case e.busy || e.faults.Refuse || e.running >= e.settings.Slots:
 		w.Header().Set(headerNotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
@@ -380,7 +384,8 @@
 	return false
 }
 
-// prefill takes the time for the parts of the prompt that are not cached.
+// prefill simulates the processing of the parts of the prompt that are not cached, and
+// caches them.
 func (e *Engine) prefill(r *http.Request) {
 	salt := r.Header.Get("Beechring-Cache-Salt")
 	tokens := 0
@@ -401,15 +406,15 @@
 	}
 }
 
-// stream answers in events, from the one after Last-Event-Id on.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, trouble EngineFaults) {
-	_, most, _ := strings.Cut(r.Header.Get(headerTokenUsage), ",")
-	count, _ := strconv.Atoi(most)
+// stream responds with events, starting after Last-Event-Id.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, faults EngineFaults) {
+	_, maxOutput, _ := strings.Cut(r.Header.Get(headerTokenUsage), ",")
+	count, _ := strconv.Atoi(maxOutput)
 	from, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
 	for i := from + 1; i <= count; i++ {
-		if trouble.CutAfter > 0 && i > from+trouble.CutAfter {
+		if faults.CutAfter > 0 && i > from+faults.CutAfter {
 			_, _ = fmt.Fprintf(w, "id: %d\ndata: to", i)
 			_ = control.Flush()
 			panic(http.ErrAbortHandler)
@@ -426,5 +431,5 @@
 	}
 }
 
-// HasModel tells whether it is a model engine.
+// HasModel reports whether the engine serves a model.
 func (e *Engine) HasModel() bool { return e.settings.Model != "" }
--- a/internal/standin/beechhome/store.go
+++ b/internal/standin/beechhome/store.go
@@ -11,26 +11,26 @@
 )
 
 type (
-	// Store is the platform's key-value store as far as the router reads it.
-	// It is safe for concurrent use.
+	// Store is the part of the platform's key-value store that gates read. It is safe
+	// for concurrent use.
 	Store struct {
 		mu       sync.Mutex
 		items    map[string]*item
 		history  []item
-		dropped  uint64 // revisions up to this one are not in the history any more
+		dropped  uint64 // revisions up to this one were compacted
 		revision uint64
-		trouble  StoreFaults
-		changed  chan struct{} // closed at each change
+		faults   StoreFaults
+		changed  chan struct{} // closed and replaced at each change
 		calls    map[string]int
 	}
 
-	// StoreFaults is what is wrong with the store.
+	// StoreFaults are the faults that the store simulates.
 	StoreFaults struct {
-		Status int           // every call is answered so; 0 is none
-		Silent bool          // no call is answered
-		Slow   time.Duration // before each answer
-		Deaf   bool          // watches hear nothing
-		Body   string        // instead of the answer, as a page of something else
+		Status int           // status of every response; 0 for the normal ones
+		Silent bool          // calls get no response
+		Slow   time.Duration // delay of each response
+		Deaf   bool          // watches report no changes
+		Body   string        // sent instead of the response, as by another server
 	}
 
 	item struct {
@@ -54,7 +54,7 @@
 	}
 )
 
-// PageItems is how many items a range gives at once.
+// PageItems is the maximum number of items in a page of a range.
 const PageItems = 500
 
 // NewStore returns an empty store.
@@ -62,17 +62,18 @@
 	return &Store{items: make(map[string]*item), revision: 1, changed: make(chan struct{}), calls: make(map[string]int)}
 }
 
-// Put writes a value; one that is not bytes is encoded as JSON.
+// Put writes a value and returns its revision. A value other than []byte is encoded as
+// JSON.
 func (s *Store) Put(key string, value any) uint64 {
 	data, ok := value.([]byte)
 	if !ok {
-		data, _ = json.Marshal(value) // test documents encode
+		data, _ = json.Marshal(value) // documents of tests can be encoded
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	it, there := s.items[key]
-	if !there {
+	it, exists := s.items[key]
+	if !exists {
 		it = &item{Key: key, Created: s.revision}
 		s.items[key] = it
 	}
@@ -99,7 +100,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Compact drops the history, so that watches from before are answered 410.
+// Compact drops the history, so that watches of earlier revisions get 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,44 +109,44 @@
 	s.changed = make(chan struct{})
 }
 
-// SetFaults changes what is wrong from now on.
-func (s *Store) SetFaults(t StoreFaults) {
+// SetFaults replaces the simulated faults.
+func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
+	s.faults = f
 }
 
-// Calls counts the calls of a path.
+// Calls returns the number of calls to a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP serves range reads and watches.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls[r.URL.Path]++
-	trouble := s.trouble
+	faults := s.faults
 	s.mu.Unlock()
-	if trouble.Silent {
+	if faults.Silent {
 		<-r.Context().Done()
 		return
 	}
 	select {
-	case <-time.After(trouble.Slow):
+	case <-time.After(faults.Slow):
 	case <-r.Context().Done():
 		return
 	}
 	switch {
-	case trouble.Status != 0:
-		w.WriteHeader(trouble.Status)
-	case trouble.Body != "":
-		_, _ = w.Write([]byte(trouble.Body))
+	case faults.Status != 0:
+		w.WriteHeader(faults.Status)
+	case faults.Body != "":
+		_, _ = w.Write([]byte(faults.Body))
 	case r.URL.Path == RangePath:
 		s.serveRange(w, r)
 	case r.URL.Path == WatchPath:
-		s.serveWatch(w, r, trouble.Deaf)
+		s.serveWatch(w, r, faults.Deaf)
 	default:
 		http.NotFound(w, r)
 	}
@@ -176,23 +177,23 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	over := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		gone := after < s.dropped
+		compacted := after < s.dropped
 		found := watchPage{Events: []item{}, Current: s.revision}
 		for _, it := range s.history {
 			if it.Revision > after && strings.HasPrefix(it.Key, query.Get("pathPrefix")) && !deaf {
 				found.Events = append(found.Events, it)
 			}
 		}
-		changed, silent := s.changed, s.trouble.Silent
+		changed, silent := s.changed, s.faults.Silent
 		s.mu.Unlock()
-		if silent { // also for watches that have waited since before
+		if silent { // also applies to watches that were already waiting
 			<-r.Context().Done()
 			return
 		}
-		if gone {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -202,7 +203,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			writeJSON(w, found)
 			return
 		case <-r.Context().Done():
@@ -212,7 +213,7 @@
 }
 
 func writeJSON(w http.ResponseWriter, body any) {
-	data, _ := json.Marshal(body) // the types here encode
+	data, _ := json.Marshal(body) // the types of this package can be encoded
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(data)
 }
