--- a/internal/link/beechlink/bench_test.go
+++ b/internal/link/beechlink/bench_test.go
@@ -18,8 +18,9 @@
 	"github.com/matryer/is"
 )
 
-// agentsVariable makes this test binary serve as many agents, for benchmarks
-// that measure an entry alone.
+// agentsVariable is an environment variable with a number of agents. If it is
+// set, this test binary serves that many agents and runs no tests, for
+// benchmarks that measure an entry alone.
 const agentsVariable = "BEECHLINK_AGENTS"
 
 func TestMain(m *testing.M) {
@@ -30,13 +31,13 @@
 	os.Exit(m.Run())
 }
 
-// changingPulse gives another load at each poll.
-type changingPulse struct {
+// changingLoadSource returns a different load at each call.
+type changingLoadSource struct {
 	recorder
 	rounds int
 }
 
-func (p *changingPulse) Beat() beechwire.Heartbeat {
+func (p *changingLoadSource) CurrentHeartbeat() beechwire.Heartbeat {
 	p.rounds++
 	return beechwire.Heartbeat{
 		Ready:      true,
@@ -45,11 +46,11 @@
 	}
 }
 
-// serveAgents prints an address for each agent and serves until its input
+// serveAgents prints the address of each agent and serves until standard input
 // ends.
 func serveAgents(count int) {
-	pulse := &changingPulse{}
-	s := New(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, pulse, nil, realClock)
+	source := &changingLoadSource{}
+	s := NewServer(Settings{}, hello(beechwire.RoleAgent, 7), handlerFuncs{open: engine}, answerFunc(echoCall), &recorder{}, source, nil, realClock)
 	for range count {
 		l, err := Listen(netip.MustParseAddrPort("127.0.0.1:0"))
 		if err != nil {
@@ -62,8 +63,8 @@
 	s.Close()
 }
 
-// engine answers nothing, or tokens of 200 bytes at the pace of a generation,
-// by the request's id.
+// engine sends nothing if the request's id is "wait". Otherwise it sends tokens
+// of 200 bytes at the rate of a generation.
 func engine(ctx context.Context, s ServerStream, r beechwire.Request, _ []byte) {
 	if r.ID == "wait" {
 		<-ctx.Done()
@@ -84,7 +85,7 @@
 	}
 }
 
-// startAgents runs them in a process of their own.
+// startAgents runs agents in a separate process and returns their addresses.
 func startAgents(b *testing.B, count int) []netip.AddrPort {
 	b.Helper()
 	is := is.New(b)
@@ -108,8 +109,8 @@
 	return addresses
 }
 
-// processorTime is what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the processor time used by this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -117,8 +118,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident is the process's memory in bytes, after a collection.
-func resident() int64 {
+// residentBytes returns the resident memory of this process after a garbage
+// collection.
+func residentBytes() int64 {
 	runtime.GC()
 	b, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -133,8 +135,9 @@
 	return 0
 }
 
-// inUse is the memory of heap and stacks in bytes, after a collection.
-func inUse() int64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage
+// collection.
+func memoryInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -142,8 +145,8 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// BenchmarkRoundTrip opens a stream with a small body and reads a small
-// answer, both sides in one process.
+// BenchmarkRoundTrip opens a stream with a small body and reads a small answer.
+// Both sides run in one process.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, callers := range []int{1, 64, 512} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -162,7 +165,7 @@
 					b.Error(err)
 				}
 			}
-			began := processorTime()
+			began := cpuTime()
 			b.ResetTimer()
 			if callers == 1 {
 				for b.Loop() {
@@ -176,19 +179,19 @@
 				})
 			}
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
-			b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N), "cpu-ns/op")
 			k := p.dialer.Counters()
 			b.ReportMetric(float64(k.FramesOut)/float64(max(1, k.Writes)), "frames/write")
 		})
 	}
 }
 
-// BenchmarkTokens streams tokens of 200 bytes, as a generation does.
+// BenchmarkTokens streams answers of 1000 tokens of 200 bytes.
 func BenchmarkTokens(b *testing.B) {
-	p := newPair(b, Settings{}, handlerFuncs{open: answerIn(1000, 200)})
+	p := newPair(b, Settings{}, handlerFuncs{open: answerInChunks(1000, 200)})
 	ctx := context.Background()
 	b.ReportAllocs()
-	began := processorTime()
+	began := cpuTime()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -203,22 +206,23 @@
 		}
 	})
 	b.ReportMetric(float64(b.N)*1000/b.Elapsed().Seconds(), "tokens/s")
-	b.ReportMetric(float64((processorTime()-began).Nanoseconds())/float64(b.N)/1000, "cpu-ns/token")
+	b.ReportMetric(float64((cpuTime()-began).Nanoseconds())/float64(b.N)/1000, "cpu-ns/token")
 }
 
-// BenchmarkOpenStreams holds 5,000 streams whose answer has begun, both sides
-// in one process, with a goroutine that reads each.
+// BenchmarkOpenStreams holds 5,000 streams whose answers have started, with a
+// goroutine that reads each. Both sides run in one process.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 5000
 	for b.Loop() {
 		b.StopTimer()
-		// All come at once, before a second connection can be up.
+		// All streams are opened at the same time, before a second connection
+		// can be up.
 		p := newPair(b, Settings{MaxStreams: streams}, handlerFuncs{open: func(ctx context.Context, s ServerStream, _ beechwire.Request, _ []byte) {
 			_ = s.Send(ctx, HeadReply{})
 			_ = s.Send(ctx, DataReply{Data: beechwire.Data{Sequence: 1, Data: []byte("first")}})
 			<-ctx.Done()
 		}})
-		before := inUse()
+		before := memoryInUse()
 		b.StartTimer()
 		first := make(chan struct{}, streams)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -244,54 +248,54 @@
 			<-first
 		}
 		b.StopTimer()
-		b.ReportMetric(float64(inUse()-before)/streams, "B/stream")
+		b.ReportMetric(float64(memoryInUse()-before)/streams, "B/stream")
 		cancel()
 		b.StartTimer()
 	}
 }
 
-// BenchmarkIdleLinks holds links of an entry to agents in another process,
-// whose load changes all the time, and carries no requests.
+// BenchmarkIdleLinks holds links of an entry to agents in another process whose
+// load changes all the time, without any requests.
 func BenchmarkIdleLinks(b *testing.B) {
 	for _, links := range []int{100, 400} {
-		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) { heldLinks(b, links, "") })
+		b.Run(fmt.Sprintf("links=%d", links), func(b *testing.B) { benchmarkLinks(b, links, "") })
 	}
 }
 
-// BenchmarkBusyLinks does the same with a stream on each link that waits for
-// its first token, or brings one every 71 ms.
+// BenchmarkBusyLinks is like BenchmarkIdleLinks, with a stream on each link
+// that waits for its first token or receives one every 71 ms.
 func BenchmarkBusyLinks(b *testing.B) {
 	for _, stream := range []string{"wait", "tokens"} {
-		b.Run(stream, func(b *testing.B) { heldLinks(b, 400, stream) })
+		b.Run(stream, func(b *testing.B) { benchmarkLinks(b, 400, stream) })
 	}
 }
 
-// BenchmarkBeat makes a beat with a changed load, and takes it.
+// BenchmarkBeat encodes a beat with a changed load and applies it.
 func BenchmarkBeat(b *testing.B) {
 	var (
-		w     beatWriter
-		pulse changingPulse
-		state beechwire.Heartbeat
-		frame []byte
+		w      beatEncoder
+		source changingLoadSource
+		state  beechwire.Heartbeat
+		frame  []byte
 	)
-	w.taken(pulse.Beat(), 0)
+	w.commit(source.CurrentHeartbeat(), 0)
 	b.ReportAllocs()
 	for b.Loop() {
-		h := pulse.Beat()
-		beat, _ := w.next(h, 0)
-		w.taken(h, 0)
+		h := source.CurrentHeartbeat()
+		beat, _ := w.delta(h, 0)
+		w.commit(h, 0)
 		frame, _ = appendFrame(frame[:0], 1<<20, kindBeat, &beat)
 		var got beechwire.Beat
-		if _, err := got.UnmarshalMsg(frame[headBytes:]); err != nil {
+		if _, err := got.UnmarshalMsg(frame[headerBytes:]); err != nil {
 			b.Fatal(err)
 		}
-		merge(&state, &got)
+		mergeBeat(&state, &got)
 	}
 	b.ReportMetric(float64(len(frame)), "B/beat")
 }
 
-// hold reads a stream until its end.
-func hold(ctx context.Context, b *testing.B, c *Client, id string) {
+// readUntilEnd opens a stream and reads it in the background until it ends.
+func readUntilEnd(ctx context.Context, b *testing.B, c *Client, id string) {
 	s, err := c.Open(ctx, request(id), nil)
 	if err != nil {
 		b.Error(err)
@@ -307,37 +311,37 @@
 	}()
 }
 
-// heldLinks measures an entry with links to agents, and with a stream on each
-// link where stream is the id of its request.
-func heldLinks(b *testing.B, links int, stream string) {
+// benchmarkLinks measures an entry with links to agents. If stream is not
+// empty, each link has a stream whose request has that id.
+func benchmarkLinks(b *testing.B, links int, stream string) {
 	const (
 		settle = 5 * time.Second
 		span   = 20 * time.Second
-		// header is that of IP and TCP with time stamps; a beat, its answer
-		// and their acknowledgement are three packets.
+		// header is the size of the IP and TCP headers with timestamps. A beat,
+		// its answer and their acknowledgement are three packets.
 		header = 52
 	)
 	addresses := startAgents(b, links)
 	for b.Loop() {
-		before := resident()
+		before := residentBytes()
 		dialer := newDialer(Settings{}, &recorder{}, nil, realClock)
 		clients := make([]*Client, 0, links)
 		for _, a := range addresses {
 			clients = append(clients, dialer.Dial(a))
 		}
 		for _, c := range clients {
-			until(b, "all links are up", c.Ready)
+			waitFor(b, "all links are up", c.Ready)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		for _, c := range clients {
 			if stream != "" {
-				hold(ctx, b, c, stream)
+				readUntilEnd(ctx, b, c, stream)
 			}
 		}
 		time.Sleep(settle)
-		from, cpu := dialer.Counters(), processorTime()
+		from, cpu := dialer.Counters(), cpuTime()
 		time.Sleep(span)
-		to, used := dialer.Counters(), processorTime()-cpu
+		to, used := dialer.Counters(), cpuTime()-cpu
 		seconds := span.Seconds()
 		beats := float64(to.BeatsOut - from.BeatsOut)
 		payload := float64(to.BytesIn + to.BytesOut - from.BytesIn - from.BytesOut)
@@ -349,7 +353,7 @@
 		b.ReportMetric(beats/seconds, "beats-out/s")
 		b.ReportMetric(float64(to.BeatsIn-from.BeatsIn)/seconds, "beats-in/s")
 		b.ReportMetric(payload/max(1, beats), "B/exchange")
-		b.ReportMetric(float64(resident()-before)/(1<<20), "MB")
+		b.ReportMetric(float64(residentBytes()-before)/(1<<20), "MB")
 		b.ReportMetric(float64(to.Lost), "lost")
 		cancel()
 		dialer.Close()
--- a/internal/link/beechlink/call.go
+++ b/internal/link/beechlink/call.go
@@ -9,86 +9,87 @@
 )
 
 type (
-	// askTable holds this side's calls that wait for a result.
-	askTable struct {
+	// outgoingCalls holds this side's calls that wait for a result.
+	outgoingCalls struct {
 		mu      sync.Mutex
-		last    uint64
-		waiting map[uint64]*ask
+		lastID  uint64
+		waiting map[uint64]*outgoingCall
 		err     error
 	}
 
-	ask struct {
+	outgoingCall struct {
 		method  string
 		payload []byte
-		done    chan error // room for one
+		done    chan error // buffered
 	}
 
-	// answerTable holds the peer's calls that are not answered yet.
-	answerTable struct {
-		mu      sync.Mutex
-		partial map[uint64][]byte
-		running int
-		pending int
+	// incomingCalls holds the peer's calls that are not answered yet.
+	incomingCalls struct {
+		mu           sync.Mutex
+		partial      map[uint64][]byte
+		running      int
+		pendingBytes int
 	}
 )
 
-func (t *askTable) add(method string) (uint64, *ask, error) {
+func (t *outgoingCalls) add(method string) (uint64, *outgoingCall, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.err != nil {
 		return 0, nil, t.err
 	}
 	if t.waiting == nil {
-		t.waiting = map[uint64]*ask{}
+		t.waiting = map[uint64]*outgoingCall{}
 	}
-	t.last++
-	a := &ask{method: method, done: make(chan error, 1)}
-	t.waiting[t.last] = a
-	return t.last, a, nil
+	t.lastID++
+	call := &outgoingCall{method: method, done: make(chan error, 1)}
+	t.waiting[t.lastID] = call
+	return t.lastID, call, nil
 }
 
-func (t *askTable) remove(id uint64) {
+func (t *outgoingCalls) remove(id uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.waiting, id)
 }
 
-func (t *askTable) count() int {
+func (t *outgoingCalls) count() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.waiting)
 }
 
-func (t *askTable) failAll(err error) {
+func (t *outgoingCalls) failAll(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.err = err
-	for id, a := range t.waiting {
-		a.done <- err
+	for id, call := range t.waiting {
+		call.done <- err
 		delete(t.waiting, id)
 	}
 }
 
-// call asks the peer one question. *CallError is the peer's own answer,
-// *LostError means that it may or may not have acted on it.
+// call sends a call to the peer and waits for the result. The error is
+// *CallError if the peer answered with an error, and *LostError if the peer may
+// or may not have acted on the call.
 func (c *connection) call(ctx context.Context, method string, payload []byte) ([]byte, error) {
 	if len(payload) > c.settings.MaxBody {
-		return nil, &OpenError{Peer: c.peer.Address, Err: fmt.Errorf("call %s: payload of %d bytes is over %d", method, len(payload), c.settings.MaxBody)}
+		return nil, &OpenError{Peer: c.peer.Address, Err: fmt.Errorf("call %s: payload of %d bytes exceeds the limit of %d", method, len(payload), c.settings.MaxBody)}
 	}
-	id, a, err := c.asks.add(method)
+	id, pending, err := c.outgoing.add(method)
 	if err != nil {
 		return nil, err
 	}
-	if err := c.out.start(&transfer{kind: kindCall, id: id, method: method, rest: payload}); err != nil {
-		c.asks.remove(id)
+	if err := c.out.startTransfer(&transfer{kind: kindCall, id: id, method: method, remaining: payload}); err != nil {
+		c.outgoing.remove(id)
 		return nil, &LostError{Peer: c.peer.Address, Err: err}
 	}
 	select {
-	case err := <-a.done:
-		return a.payload, err
+	case err := <-pending.done:
+		return pending.payload, err
 	case <-ctx.Done():
-		c.asks.remove(id)
-		c.out.stop(kindCall, id)
+		c.outgoing.remove(id)
+		c.out.cancelTransfer(kindCall, id)
 		return nil, fmt.Errorf("call %s at %s: %w", method, c.peer.Address, ctx.Err())
 	}
 }
@@ -98,31 +99,31 @@
 	if _, err := m.UnmarshalMsg(body); err != nil {
 		return malformed(err)
 	}
-	t := &c.asks
+	t := &c.outgoing
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	a, ok := t.waiting[m.Call]
+	pending, ok := t.waiting[m.Call]
 	if !ok {
 		c.counters.late.Add(1)
 		return nil
 	}
-	if len(a.payload)+len(m.Payload) > c.settings.MaxBody {
-		return &FrameError{Problem: "result is over the limit of a body"}
+	if len(pending.payload)+len(m.Payload) > c.settings.MaxBody {
+		return &FrameError{Problem: "result exceeds the body size limit"}
 	}
-	if a.payload == nil {
-		a.payload = m.Payload
+	if pending.payload == nil {
+		pending.payload = m.Payload
 	} else {
-		a.payload = append(a.payload, m.Payload...)
+		pending.payload = append(pending.payload, m.Payload...)
 	}
 	if m.More {
 		return nil
 	}
 	delete(t.waiting, m.Call)
 	if m.Error != "" {
-		a.done <- &CallError{Peer: c.peer.Address, Method: a.method, Reason: m.Error}
+		pending.done <- &CallError{Peer: c.peer.Address, Method: pending.method, Reason: m.Error}
 		return nil
 	}
-	a.done <- nil
+	pending.done <- nil
 	return nil
 }
 
@@ -131,41 +132,41 @@
 	if _, err := m.UnmarshalMsg(body); err != nil {
 		return malformed(err)
 	}
-	payload, whole, err := c.answers.collect(&m, c.settings)
+	payload, whole, err := c.incoming.assemble(&m, c.settings)
 	if err != nil {
 		return err
 	}
 	if !whole {
 		return nil
 	}
-	if !c.answers.begin() {
-		c.refuseCall(m.Call, "too many calls at once")
+	if !c.incoming.tryBegin() {
+		c.sendCallError(m.Call, "too many calls at once")
 		return nil
 	}
 	go func() {
-		defer c.answers.finish()
-		result, err := c.caller.Answer(c.context, c.known(), m.Method, payload)
+		defer c.incoming.finish()
+		result, err := c.callHandler.Answer(c.context, c.currentPeer(), m.Method, payload)
 		if err != nil {
-			c.refuseCall(m.Call, err.Error())
+			c.sendCallError(m.Call, err.Error())
 			return
 		}
 		if len(result) > c.settings.MaxBody {
-			c.refuseCall(m.Call, fmt.Sprintf("result of %d bytes is over %d", len(result), c.settings.MaxBody))
+			c.sendCallError(m.Call, fmt.Sprintf("result of %d bytes is over %d", len(result), c.settings.MaxBody))
 			return
 		}
-		// An error means that the connection ends; the peer learns from that.
-		_ = c.out.start(&transfer{kind: kindResult, id: m.Call, rest: result})
+		// On an error the connection ends, which tells the peer.
+		_ = c.out.startTransfer(&transfer{kind: kindResult, id: m.Call, remaining: result})
 	}()
 	return nil
 }
 
-func (c *connection) refuseCall(id uint64, reason string) {
+func (c *connection) sendCallError(id uint64, reason string) {
 	_ = c.out.send(kindResult, &beechwire.Result{Call: id, Error: reason})
 }
 
-// collect puts the pieces of a call together. What a peer may leave unfinished
-// is bounded: otherwise a faulty one could fill the memory.
-func (t *answerTable) collect(m *beechwire.Call, s Settings) (payload []byte, whole bool, err error) {
+// assemble joins the chunks of a call. The bytes of incomplete calls are
+// limited, since a faulty peer could otherwise exhaust the memory.
+func (t *incomingCalls) assemble(m *beechwire.Call, s Settings) (payload []byte, whole bool, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.partial == nil {
@@ -177,32 +178,32 @@
 	}
 	payload = append(earlier, m.Payload...)
 	if len(payload) > s.MaxBody {
-		return nil, false, &FrameError{Problem: "call is over the limit of a body"}
+		return nil, false, &FrameError{Problem: "call exceeds the body size limit"}
 	}
 	if !m.More {
 		delete(t.partial, m.Call)
-		t.pending -= len(earlier)
+		t.pendingBytes -= len(earlier)
 		return payload, true, nil
 	}
 	t.partial[m.Call] = payload
-	t.pending += len(m.Payload)
-	if t.pending > pendingLimit*s.MaxBody {
-		return nil, false, &FrameError{Problem: "too many unfinished calls"}
+	t.pendingBytes += len(m.Payload)
+	if t.pendingBytes > pendingBodyFactor*s.MaxBody {
+		return nil, false, &FrameError{Problem: "too many incomplete calls"}
 	}
 	return payload, false, nil
 }
 
-func (t *answerTable) begin() bool {
+func (t *incomingCalls) tryBegin() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.running >= callLimit {
+	if t.running >= maxConcurrentCalls {
 		return false
 	}
 	t.running++
 	return true
 }
 
-func (t *answerTable) finish() {
+func (t *incomingCalls) finish() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.running--
