--- a/internal/process/beechadmin/admin.go
+++ b/internal/process/beechadmin/admin.go
@@ -20,9 +20,10 @@
 	closeTimeout  = 2 * time.Second
 )
 
-// Mux has /livez and /readyz, and under the key /debug/vars and /debug/pprof/.
-// Vars is the process's own metrics; several processes may run in one.
-func Mux(key string, ready func() bool, vars *expvar.Map) *http.ServeMux {
+// NewMux returns a mux with /livez and /readyz, and with /debug/vars and /debug/pprof/
+// protected by the key. The metrics are passed as vars and not taken from expvar's globals,
+// because tests and the demo run several of the system's processes in one OS process.
+func NewMux(key string, ready func() bool, vars *expvar.Map) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(w, "ok")
@@ -34,17 +35,18 @@
 		}
 		fmt.Fprintln(w, "ok")
 	})
-	mux.Handle("GET /debug/vars", Guard(key, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	mux.Handle("GET /debug/vars", RequireKey(key, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		fmt.Fprintln(w, vars.String())
 	})))
-	mux.Handle("GET /debug/pprof/", Guard(key, http.HandlerFunc(pprof.Index)))
-	mux.Handle("GET /debug/pprof/profile", Guard(key, http.HandlerFunc(pprof.Profile)))
+	mux.Handle("GET /debug/pprof/", RequireKey(key, http.HandlerFunc(pprof.Index)))
+	mux.Handle("GET /debug/pprof/profile", RequireKey(key, http.HandlerFunc(pprof.Profile)))
 	return mux
 }
 
-// Guard asks for the key as a bearer key, compared in constant time.
-func Guard(key string, next http.Handler) http.Handler {
+// RequireKey wraps a handler so that it requires the key as a bearer token. The key is
+// compared in constant time.
+func RequireKey(key string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(key))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
@@ -56,9 +58,8 @@
 	})
 }
 
-// Listen opens the address and returns what serves the handler until its
-// context ends. The listener is kept over calls, so that a supervisor can call
-// it again.
+// Listen opens the address and returns a function that serves the handler until its
+// context ends. A supervisor can call the function again, as it keeps the listener.
 func Listen(address netip.AddrPort, handler http.Handler) (func(ctx context.Context) error, error) {
 	listener, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -67,9 +68,9 @@
 	return func(ctx context.Context) error {
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 		stop := context.AfterFunc(ctx, func() {
-			closing, cancel := context.WithTimeout(context.Background(), closeTimeout)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 			defer cancel()
-			_ = server.Shutdown(closing)
+			_ = server.Shutdown(shutdownCtx)
 		})
 		defer stop()
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/process/beechagent/scheduler.go
+++ b/internal/process/beechagent/scheduler.go
@@ -101,7 +101,7 @@
 }
 
 func (s *scheduler) wake() {
-	beechtask.Wake(s.wakeup)
+	beechtask.Notify(s.wakeup)
 }
 
 // serve dispatches requests until ctx ends.
--- a/internal/process/beechlog/bounded_test.go
+++ b/internal/process/beechlog/async_writer_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-func TestBoundedWritesInOrder(t *testing.T) {
+func TestAsyncWriterKeepsOrder(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	b := NewBounded(&out)
+	b := NewAsyncWriter(&out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		_, err := b.Write([]byte(line))
 		is.NoErr(err)
@@ -24,21 +24,21 @@
 	is.Equal(b.Dropped(), int64(0))
 }
 
-// Whoever reads standard output has stopped reading, and the pipe is full. A
-// caller that logs goes on at once, and the lines that were lost are counted.
-func TestBoundedNeverBlocks(t *testing.T) {
+// The reader of standard output has stopped, and the pipe is full. A caller that logs
+// must not block, and the dropped lines must be counted and reported.
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	is := is.New(t)
 	r, w, err := os.Pipe()
 	is.NoErr(err)
-	b := NewBounded(w)
+	b := NewAsyncWriter(w)
 	line := []byte(strings.Repeat("x", 499) + "\n")
 	began := time.Now()
-	for range 4 * linesMost {
+	for range 4 * maxQueuedLines {
 		_, err := b.Write(line)
 		is.NoErr(err)
 	}
 	is.True(time.Since(began) < time.Second)
-	is.True(b.Dropped() > linesMost)
+	is.True(b.Dropped() > maxQueuedLines)
 	read := make(chan []byte)
 	go func() {
 		data, _ := io.ReadAll(r)
@@ -53,7 +53,7 @@
 	for _, bench := range []struct {
 		name string
 		w    io.Writer
-	}{{"direct", io.Discard}, {"bounded", NewBounded(io.Discard)}} {
+	}{{"direct", io.Discard}, {"bounded", NewAsyncWriter(io.Discard)}} {
 		b.Run(bench.name, func(b *testing.B) {
 			log, err := New(bench.w, "info")
 			if err != nil {
