--- a/internal/standin/beechplatform/admin.go
+++ b/internal/standin/beechplatform/admin.go
@@ -30,14 +30,14 @@
 }
 
 func (p *Platform) serveCounts(w http.ResponseWriter, _ *http.Request) {
-	answerJSON(w, p.Counts())
+	writeJSON(w, p.Counts())
 }
 
 func decode(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return false
 	}
 	return true
--- a/internal/standin/beechplatform/claims_test.go
+++ b/internal/standin/beechplatform/claims_test.go
@@ -14,9 +14,9 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// BenchmarkClaims has callers that claim and finish as fast as they are
-// answered, through HTTP on loopback, at the platform's rates. A write here
-// stands for claims and outcomes alike.
+// BenchmarkClaims measures callers that claim and finish requests in a closed
+// loop over HTTP on loopback, at the platform's rates. Both claims and outcomes
+// count as writes.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
--- a/internal/standin/beechplatform/doc.go
+++ b/internal/standin/beechplatform/doc.go
@@ -1,11 +1,11 @@
-// Package beechplatform is a small stand-in for the platform's key-value
-// service and host list, for the demo, scenarios and tests. It speaks the
-// protocol of beechstore, counts each call (a waiting watch as one), limits
-// reads and writes to the platform's rates and refuses values over 1 MB.
+// Package beechplatform simulates the platform's key-value service and host
+// list for the demo, scenarios and tests. It implements the protocol of
+// beechstore, counts calls (a blocking watch counts as one), limits reads and
+// writes to the platform's rates, and rejects values over 1 MB.
 //
-// What goes wrong is set by POST /standin/fault with a Fault in JSON, the
-// hosts by POST /standin/hosts with a list of hosts; GET /standin/counts gives
-// the calls so far and how many were over the rate.
+// POST /standin/fault sets a Fault, POST /standin/hosts sets the list of hosts,
+// and GET /standin/counts returns the number of calls and how many of them
+// exceeded the rate. Bodies are JSON.
 //
 // # Usage
 //
--- a/internal/standin/beechplatform/manifest_test.go
+++ b/internal/standin/beechplatform/manifest_test.go
@@ -16,9 +16,9 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-// manyWorkspaces is a manifest whose parts are more than a process's calls of
-// some seconds.
-func manyWorkspaces(count int) *beechmanifest.Manifest {
+// largeManifest returns a manifest with count workspaces. With thousands of
+// them, reading its parts takes a process several seconds of its call budget.
+func largeManifest(count int) *beechmanifest.Manifest {
 	m := &beechmanifest.Manifest{
 		Deployment: "large",
 		Targets:    beechmanifest.Targets{FirstToken: beechmanifest.Duration(time.Second), Share: 0.95, WasteWeight: 1, MaxLoads: 3},
@@ -37,34 +37,35 @@
 	return m
 }
 
-// A configuration of 9,300 workspaces has more parts than a process may read at
-// once within its budget of calls. Given up on and begun anew each time it would
-// never be read: a process without a configuration would stay so.
-func TestWatcherReadsMorePartsThanItsBudgetAllowsAtOnce(t *testing.T) {
+// A configuration of 9,300 workspaces has more parts than the call budget of a
+// process allows it to read at once. A watcher that started over each time the
+// budget ran out would never finish, and a process without a configuration
+// would never get one.
+func TestWatcherReadsManifestLargerThanItsCallBurst(t *testing.T) {
 	is := is.New(t)
 	const workspaces = 9300
 	clock := clockwork.NewRealClock()
 	s := start(t, Settings{}, beechstore.Settings{CallsPerSecond: 1000})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	is.Equal(beechmanifest.Publish(ctx, s.store, clock, 0, manyWorkspaces(workspaces)), beechmanifest.Accepted{Generation: 1})
+	is.Equal(beechmanifest.Publish(ctx, s.store, clock, 0, largeManifest(workspaces)), beechmanifest.Accepted{Generation: 1})
 	address := netip.MustParseAddrPort(s.http.Listener.Addr().String())
 	reader := beechstore.New(beechstore.Settings{Addresses: []netip.AddrPort{address}}, s.http.Client(), clock)
 	holder := beechmanifest.NewHolder()
-	taken := holder.Changed()
+	configured := holder.Changed()
 	go func() {
 		_ = beechmanifest.NewWatcher(reader, holder, clock, beechmanifest.WatcherSettings{}).Serve(ctx)
 	}()
 	select {
-	case <-taken:
+	case <-configured:
 		is.Equal(holder.Generation(), uint64(1))
 	case <-time.After(20 * time.Second):
-		t.Fatal("no configuration within many times what its reads take at the budget's rate")
+		t.Fatal("no configuration after 20 s, many times the duration of its reads at the budget's rate")
 	}
 }
 
-// BenchmarkPublish changes one of 9,300 workspaces, with the budget of calls of a
-// process that stays, and with that of apply.
+// BenchmarkPublish changes one of 9,300 workspaces, with the call budget of a
+// long-running process and with that of the apply command.
 func BenchmarkPublish(b *testing.B) {
 	for _, calls := range []int{50, 500} {
 		b.Run(fmt.Sprint("calls=", calls), func(b *testing.B) { publishOne(b, calls) })
@@ -77,7 +78,7 @@
 	s := start(b, Settings{}, beechstore.Settings{})
 	address := netip.MustParseAddrPort(s.http.Listener.Addr().String())
 	ctx := context.Background()
-	m := manyWorkspaces(9300)
+	m := largeManifest(9300)
 	if first := beechmanifest.Publish(ctx, s.store, clock, 0, m); first != (beechmanifest.Accepted{Generation: 1}) {
 		b.Fatal(first)
 	}
--- a/internal/standin/beechplatform/platform.go
+++ b/internal/standin/beechplatform/platform.go
@@ -19,32 +19,34 @@
 )
 
 type (
-	// Settings of the stand-in. Zero fields get the defaults named.
+	// Settings configures a Platform. Zero fields get the defaults given below.
 	Settings struct {
-		Key             string // bearer key of each call; empty: any
-		WritesPerSecond int    // 400
-		ReadsPerSecond  int    // 2000
+		Key             string // bearer key required of each call; any if empty
+		WritesPerSecond int    // default 400
+		ReadsPerSecond  int    // default 2000
 	}
 
-	// Fault is what goes wrong from now on; the zero Fault ends all faults.
+	// Fault is the set of injected faults; the zero Fault ends all faults.
 	Fault struct {
-		Down          bool `json:"down"`          // each call gets a 503
-		Cut           bool `json:"cut"`           // each connection is closed without a reply
-		SlowMillis    int  `json:"slowMillis"`    // each call waits so long first
-		LoseReplies   int  `json:"loseReplies"`   // this many writes take effect, then the connection is closed
-		LoseWrites    int  `json:"loseWrites"`    // this many writes take no effect, the connection is closed
-		ExpireLeases  bool `json:"expireLeases"`  // each lease ends now
-		HostLagMillis int  `json:"hostLagMillis"` // the host list shows changes so much later
+		Down          bool `json:"down"`          // calls fail with status 503
+		Cut           bool `json:"cut"`           // connections are closed without a reply
+		SlowMillis    int  `json:"slowMillis"`    // calls are delayed by this time
+		LoseReplies   int  `json:"loseReplies"`   // number of writes that take effect but get no reply; the connection is closed
+		LoseWrites    int  `json:"loseWrites"`    // number of writes that take no effect and get no reply; the connection is closed
+		ExpireLeases  bool `json:"expireLeases"`  // all current leases expire
+		HostLagMillis int  `json:"hostLagMillis"` // changes show in the host list after this time
 	}
 
-	// Counts is the reply to GET /standin/counts.
+	// Counts is the reply to GET /standin/counts. OverRate counts reads and
+	// writes that exceeded the rate.
 	Counts struct {
 		Reads    int `json:"reads"`
 		Writes   int `json:"writes"`
 		OverRate int `json:"overRate"`
 	}
 
-	// Platform is the stand-in; its state is a beechstore.Fake.
+	// Platform simulates the platform's service. A beechstore.Fake holds its
+	// state.
 	Platform struct {
 		settings Settings
 		clock    clockwork.Clock
@@ -63,7 +65,8 @@
 	defaultReads  = 2000
 )
 
-// New starts empty; clock runs leases, lags and rates.
+// New returns a Platform without values, leases or hosts. The clock drives
+// leases, delays and rate limits.
 func New(settings Settings, clock clockwork.Clock) *Platform {
 	if settings.WritesPerSecond == 0 {
 		settings.WritesPerSecond = defaultWrites
@@ -80,16 +83,16 @@
 	}
 }
 
-// Fake is the state behind the HTTP server, for tests in the same process.
+// Fake returns the state behind the HTTP server, for tests in the same process.
 func (p *Platform) Fake() *beechstore.Fake { return p.fake }
 
-// SetFault replaces what goes wrong.
+// SetFault replaces the injected faults.
 func (p *Platform) SetFault(f Fault) {
 	if f.ExpireLeases {
 		p.fake.ExpireLeases()
 	}
-	// Replies are lost here, where a connection can be cut, not in the fake.
-	// The fake is told of an outage only to end the watches that wait in it.
+	// Lost replies are simulated here, where the connection can be closed, and
+	// not in the fake. The fake gets an outage only to end its blocked watches.
 	p.fake.SetFaults(beechstore.Faults{
 		Down:    f.Down || f.Cut,
 		HostLag: time.Duration(f.HostLagMillis) * time.Millisecond,
@@ -99,31 +102,32 @@
 	p.fault = f
 }
 
-// Counts gives the calls so far.
+// Counts returns the number of calls so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counts
 }
 
-// Handler serves the protocol and the paths under /standin/.
+// Handler returns the handler of the beechstore protocol and of the paths under
+// /standin/.
 func (p *Platform) Handler() http.Handler {
 	m := http.NewServeMux()
-	m.HandleFunc("GET "+beechstore.PathValues+"{key}", p.read(p.get))
-	m.HandleFunc("PUT "+beechstore.PathValues+"{key}", p.write(p.put))
-	m.HandleFunc("DELETE "+beechstore.PathValues+"{key}", p.write(p.remove))
-	m.HandleFunc("POST "+beechstore.PathLeases, p.write(p.grant))
-	m.HandleFunc("POST "+beechstore.PathLeases+"/{id}", p.write(p.keepAlive))
-	m.HandleFunc("GET "+beechstore.PathHosts, p.read(p.hosts))
+	m.HandleFunc("GET "+beechstore.PathValues+"{key}", p.readHandler(p.getValue))
+	m.HandleFunc("PUT "+beechstore.PathValues+"{key}", p.writeHandler(p.putValue))
+	m.HandleFunc("DELETE "+beechstore.PathValues+"{key}", p.writeHandler(p.deleteValue))
+	m.HandleFunc("POST "+beechstore.PathLeases, p.writeHandler(p.grantLease))
+	m.HandleFunc("POST "+beechstore.PathLeases+"/{id}", p.writeHandler(p.keepLeaseAlive))
+	m.HandleFunc("GET "+beechstore.PathHosts, p.readHandler(p.listHosts))
 	m.HandleFunc("POST /standin/fault", p.serveFault)
 	m.HandleFunc("POST /standin/hosts", p.serveHosts)
 	m.HandleFunc("GET /standin/counts", p.serveCounts)
 	return m
 }
 
-func (p *Platform) read(h http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) readHandler(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f, ok := p.begin(w, r, p.reads, func(c *Counts) { c.Reads++ })
+		f, ok := p.admit(w, r, p.reads, func(c *Counts) { c.Reads++ })
 		if !ok || !p.delay(r.Context(), f) {
 			return
 		}
@@ -131,25 +135,26 @@
 	}
 }
 
-func (p *Platform) write(h http.HandlerFunc) http.HandlerFunc {
+func (p *Platform) writeHandler(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		f, ok := p.begin(w, r, p.writes, func(c *Counts) { c.Writes++ })
+		f, ok := p.admit(w, r, p.writes, func(c *Counts) { c.Writes++ })
 		if !ok || !p.delay(r.Context(), f) {
 			return
 		}
-		if p.spend(func(f *Fault) *int { return &f.LoseWrites }) {
+		if p.consume(func(f *Fault) *int { return &f.LoseWrites }) {
 			panic(http.ErrAbortHandler)
 		}
-		if p.spend(func(f *Fault) *int { return &f.LoseReplies }) {
-			h(discard{header: http.Header{}}, r)
+		if p.consume(func(f *Fault) *int { return &f.LoseReplies }) {
+			h(discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		}
 		h(w, r)
 	}
 }
 
-// begin counts the call and refuses what the platform would refuse.
-func (p *Platform) begin(w http.ResponseWriter, r *http.Request, limit *rate.Limiter, count func(*Counts)) (Fault, bool) {
+// admit counts a call and checks faults, the bearer key and the rate limit. If
+// it returns false, the call has been answered with an error.
+func (p *Platform) admit(w http.ResponseWriter, r *http.Request, limit *rate.Limiter, count func(*Counts)) (Fault, bool) {
 	p.mu.Lock()
 	f := p.fault
 	count(&p.counts)
@@ -162,12 +167,12 @@
 	case f.Cut:
 		panic(http.ErrAbortHandler)
 	case f.Down:
-		fail(w, http.StatusServiceUnavailable, "the service is down")
+		writeError(w, http.StatusServiceUnavailable, "the service is down")
 	case !p.authorised(r):
-		fail(w, http.StatusUnauthorized, "wrong bearer key")
+		writeError(w, http.StatusUnauthorized, "wrong bearer key")
 	case !allowed:
 		w.Header().Set("Retry-After", "1")
-		fail(w, http.StatusTooManyRequests, "over the rate of calls")
+		writeError(w, http.StatusTooManyRequests, "over the rate of calls")
 	default:
 		return f, true
 	}
@@ -194,8 +199,8 @@
 	}
 }
 
-// spend takes one of a counted fault.
-func (p *Platform) spend(of func(*Fault) *int) bool {
+// consume decrements the counter of a fault and returns false if it was 0.
+func (p *Platform) consume(of func(*Fault) *int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := of(&p.fault)
@@ -206,17 +211,17 @@
 	return true
 }
 
-func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) getValue(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	query := r.URL.Query()
 	if !query.Has(beechstore.QueryWatch) {
 		v, err := p.fake.Get(r.Context(), key, 0)
-		answerValue(w, v, err)
+		writeValue(w, v, err)
 		return
 	}
 	version, err := strconv.ParseUint(query.Get(beechstore.QueryWatch), 10, 64)
 	if err != nil {
-		fail(w, http.StatusBadRequest, "watch: want a version: "+err.Error())
+		writeError(w, http.StatusBadRequest, "watch: want a version: "+err.Error())
 		return
 	}
 	ctx := r.Context()
@@ -229,68 +234,68 @@
 	if ctx.Err() != nil && r.Context().Err() == nil {
 		v, err = p.fake.Get(r.Context(), key, 0)
 	}
-	answerValue(w, v, err)
+	writeValue(w, v, err)
 }
 
-func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
-	version, ok := expected(w, r)
+func (p *Platform) putValue(w http.ResponseWriter, r *http.Request) {
+	version, ok := expectedVersion(w, r)
 	if !ok {
 		return
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, beechstore.MaxValueBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		fail(w, http.StatusRequestEntityTooLarge, "a value may have at most 1 MB")
+		writeError(w, http.StatusRequestEntityTooLarge, "a value may have at most 1 MB")
 		return
 	}
 	if err != nil {
-		panic(http.ErrAbortHandler) // half a body: the writer is gone
+		panic(http.ErrAbortHandler) // incomplete body: the client disconnected
 	}
 	v, err := p.fake.CompareAndSwap(r.Context(), r.PathValue("key"), version, data, r.Header.Get(beechstore.HeaderLease), 0)
 	if err != nil {
-		answerError(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	w.Header().Set(beechstore.HeaderVersion, strconv.FormatUint(v.Version, 10))
 	w.WriteHeader(http.StatusOK)
 }
 
-func (p *Platform) remove(w http.ResponseWriter, r *http.Request) {
-	version, ok := expected(w, r)
+func (p *Platform) deleteValue(w http.ResponseWriter, r *http.Request) {
+	version, ok := expectedVersion(w, r)
 	if !ok {
 		return
 	}
 	if err := p.fake.Delete(r.Context(), r.PathValue("key"), version, 0); err != nil {
-		answerError(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-func (p *Platform) grant(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) grantLease(w http.ResponseWriter, r *http.Request) {
 	var g beechstore.GrantRequest
 	if err := json.NewDecoder(r.Body).Decode(&g); err != nil || g.TTLMillis <= 0 {
-		fail(w, http.StatusBadRequest, "want a ttl above 0 in milliseconds")
+		writeError(w, http.StatusBadRequest, "want a ttl above 0 in milliseconds")
 		return
 	}
 	l, err := p.fake.Grant(r.Context(), time.Duration(g.TTLMillis)*time.Millisecond, 0)
-	answerLease(w, l, err)
+	writeLease(w, l, err)
 }
 
-func (p *Platform) keepAlive(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) keepLeaseAlive(w http.ResponseWriter, r *http.Request) {
 	l, err := p.fake.KeepAlive(r.Context(), beechstore.Lease{ID: r.PathValue("id")}, 0)
-	answerLease(w, l, err)
+	writeLease(w, l, err)
 }
 
-func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) listHosts(w http.ResponseWriter, r *http.Request) {
 	hosts, err := p.fake.Hosts(r.Context(), 0)
 	if err != nil {
-		answerError(w, err)
+		writeStoreError(w, err)
 		return
 	}
 	lines := make([]beechstore.WireHost, 0, len(hosts))
 	for _, h := range hosts {
 		lines = append(lines, h.Wire())
 	}
-	answerJSON(w, lines)
+	writeJSON(w, lines)
 }
--- a/internal/standin/beechplatform/platform_test.go
+++ b/internal/standin/beechplatform/platform_test.go
@@ -22,7 +22,7 @@
 
 const importance = beechstore.ImportanceClaim
 
-// server is a stand-in on loopback with a client of it.
+// server is a simulated platform on loopback with a client for it.
 type server struct {
 	platform *Platform
 	http     *httptest.Server
@@ -57,7 +57,7 @@
 	return r.StatusCode
 }
 
-func TestClientAndStandinAgree(t *testing.T) {
+func TestClientRoundTrip(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := start(t, Settings{Key: "secret"}, beechstore.Settings{})
@@ -87,7 +87,7 @@
 	is.Equal(conflict.Current, uint64(0))
 }
 
-func TestWatchEndsWithAChange(t *testing.T) {
+func TestWatchReturnsOnChange(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := start(t, Settings{}, beechstore.Settings{})
@@ -104,10 +104,10 @@
 	wait.Wait()
 	is.NoErr(err)
 	is.Equal(string(got.Data), "two")
-	is.Equal(s.platform.Counts(), Counts{Reads: 1, Writes: 2}) // the whole wait is one call
+	is.Equal(s.platform.Counts(), Counts{Reads: 1, Writes: 2}) // a blocking watch counts as one call
 }
 
-func TestLeaseEndsWithItsKey(t *testing.T) {
+func TestExpiredLeaseRemovesItsKey(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := start(t, Settings{}, beechstore.Settings{})
@@ -131,13 +131,13 @@
 	is.True(errors.As(err, &refused))
 }
 
-// The service takes a write and its reply is lost on the way. Taken for a
-// failure the write would be made twice, taken for a success a lost one would
-// be missed.
-func TestLostWriteIsUnknown(t *testing.T) {
+// The connection fails after a write was sent. If the client treated this as a
+// failure, a write that took effect would be repeated; if it treated it as
+// success, a lost write would go unnoticed.
+func TestLostWriteHasUnknownOutcome(t *testing.T) {
 	cases := map[string]struct {
-		fault Fault
-		there bool
+		fault  Fault
+		stored bool
 	}{
 		"reply lost": {Fault{LoseReplies: 1}, true},
 		"call lost":  {Fault{LoseWrites: 1}, false},
@@ -153,17 +153,17 @@
 			var unknown beechstore.UnknownOutcome
 			is.True(errors.As(err, &unknown))
 			is.True(strings.Contains(err.Error(), "compare and swap k at 127.0.0.1:"))
-			is.Equal(s.platform.Counts().Writes, 1) // never tried again unasked
+			is.Equal(s.platform.Counts().Writes, 1) // not retried by the client
 			s.platform.SetFault(Fault{})
 			v, err := s.store.Get(context.Background(), "k", importance)
 			is.NoErr(err)
-			is.Equal(v.Version > 0, c.there)
+			is.Equal(v.Version > 0, c.stored)
 		})
 	}
 }
 
-// The service is down, cannot be reached or does not take the value. Nothing
-// was done, and whoever asked must be able to say so.
+// The service is down, unreachable or rejects the value. The write took no
+// effect, and the client must report exactly that.
 func TestRefusedWriteIsRefused(t *testing.T) {
 	is := is.New(t)
 	var refused beechstore.Refused
@@ -174,7 +174,7 @@
 	down := start(t, Settings{}, beechstore.Settings{})
 	down.platform.SetFault(Fault{Down: true})
 	is.True(errors.As(write(down.store, nil), &refused))
-	is.Equal(down.platform.Counts().Writes, 3) // tried again, since nothing was done
+	is.Equal(down.platform.Counts().Writes, 3) // retried, since the write took no effect
 
 	gone := start(t, Settings{}, beechstore.Settings{})
 	gone.http.Close()
@@ -184,15 +184,15 @@
 	is.True(errors.As(write(large.store, make([]byte, beechstore.MaxValueBytes+1)), &refused))
 	is.NoErr(write(large.store, make([]byte, beechstore.MaxValueBytes)))
 
-	stranger := start(t, Settings{Key: "secret"}, beechstore.Settings{})
-	stranger.platform.settings.Key = "other"
-	is.True(errors.As(write(stranger.store, nil), &refused))
+	wrongKey := start(t, Settings{Key: "secret"}, beechstore.Settings{})
+	wrongKey.platform.settings.Key = "other"
+	is.True(errors.As(write(wrongKey.store, nil), &refused))
 
 	none := beechstore.New(beechstore.Settings{}, http.DefaultClient, clockwork.NewRealClock())
 	is.True(errors.As(write(none, nil), &refused))
 }
 
-// One of the service's addresses is dead. Calls go on at the next one.
+// If one address of the service is unreachable, calls must use the next one.
 func TestNextAddressIsTried(t *testing.T) {
 	is := is.New(t)
 	dead := start(t, Settings{}, beechstore.Settings{})
@@ -207,10 +207,10 @@
 	is.NoErr(err)
 }
 
-// A proxy between a process and the service answers with a page of its own,
-// as when the service's address is set wrongly. Taken for an answer it would
-// say that nothing is published and that no booking was ever made.
-func TestForeignReplyIsNoAnswer(t *testing.T) {
+// A proxy answers in place of the service with an HTML page, for example because
+// the service's address is misconfigured. If the client accepted that page as a
+// reply, it would report that nothing is published and no booking was recorded.
+func TestUnexpectedReplyIsAnError(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusNotFound, http.StatusPreconditionFailed, http.StatusBadGateway} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			is := is.New(t)
@@ -235,9 +235,10 @@
 	}
 }
 
-// A herd of processes restarts and calls at once. Beyond its rate the service
-// refuses, and a process's own budget keeps its claims before the rest.
-func TestRatesAndBudgetShareCalls(t *testing.T) {
+// Many processes restart and call the service at the same time. The service
+// rejects calls over its rate, and the call budget of a process reserves calls
+// for claims before less important ones.
+func TestServerRateAndClientBudgetLimitCalls(t *testing.T) {
 	is := is.New(t)
 	ctx := context.Background()
 	s := start(t, Settings{WritesPerSecond: 5, ReadsPerSecond: 5}, beechstore.Settings{Attempts: 1})
@@ -252,30 +253,30 @@
 	is.Equal(s.platform.Counts().OverRate, 1)
 
 	clock := clockwork.NewFakeClock()
-	frugal := beechstore.New(beechstore.Settings{
+	limited := beechstore.New(beechstore.Settings{
 		Addresses:      []netip.AddrPort{netip.MustParseAddrPort(start(t, Settings{}, beechstore.Settings{}).http.Listener.Addr().String())},
 		CallsPerSecond: 1, Burst: 10,
 	}, s.http.Client(), clock)
 	var over beechstore.OverBudget
-	spend := func(i beechstore.Importance) (n int) {
+	callsUntilOverBudget := func(i beechstore.Importance) (n int) {
 		for {
-			if _, err := frugal.Get(ctx, "k", i); err != nil {
+			if _, err := limited.Get(ctx, "k", i); err != nil {
 				is.True(errors.As(err, &over))
 				return n
 			}
 			n++
 		}
 	}
-	is.Equal(spend(beechstore.ImportanceOther), 5)
-	is.Equal(spend(beechstore.ImportanceConfiguration), 3)
-	is.Equal(spend(beechstore.ImportanceClaim), 2)
+	is.Equal(callsUntilOverBudget(beechstore.ImportanceOther), 5)
+	is.Equal(callsUntilOverBudget(beechstore.ImportanceConfiguration), 3)
+	is.Equal(callsUntilOverBudget(beechstore.ImportanceClaim), 2)
 	is.Equal(over.After, time.Second)
 	clock.Advance(over.After)
-	is.Equal(spend(beechstore.ImportanceConfiguration), 0)
-	is.Equal(spend(beechstore.ImportanceClaim), 1)
+	is.Equal(callsUntilOverBudget(beechstore.ImportanceConfiguration), 0)
+	is.Equal(callsUntilOverBudget(beechstore.ImportanceClaim), 1)
 }
 
-func TestStandinRefusesNonsense(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	is := is.New(t)
 	s := start(t, Settings{}, beechstore.Settings{})
 	is.Equal(s.post(t, "/standin/fault", map[string]int{"downn": 1}), http.StatusBadRequest)
@@ -292,10 +293,10 @@
 	r, err := http.DefaultClient.Do(request)
 	is.NoErr(err)
 	r.Body.Close()
-	is.Equal(r.StatusCode, http.StatusBadRequest) // no version
+	is.Equal(r.StatusCode, http.StatusBadRequest) // no If-Match version
 }
 
-func TestHostListLags(t *testing.T) {
+func TestHostListIsDelayed(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	p := New(Settings{}, clock)
@@ -306,5 +307,5 @@
 	}
 	hosts, err := p.Fake().Hosts(context.Background(), importance)
 	is.NoErr(err)
-	is.Equal(hosts[0].Name, "1") // the newest is not shown yet
+	is.Equal(hosts[0].Name, "1") // the latest change is not visible yet
 }
--- a/internal/standin/beechplatform/force_test.go
+++ b/internal/standin/beechplatform/publish_test.go
@@ -19,7 +19,7 @@
 const watchers = 8 // two in each of four availability zones
 
 // BenchmarkPublishUntilInForce changes one workspace at a time and waits until
-// every watcher has the change in force, through HTTP on loopback.
+// every watcher has applied the change, over HTTP on loopback.
 func BenchmarkPublishUntilInForce(b *testing.B) {
 	data, err := os.ReadFile("../../../docs/examples/granite-loop.json")
 	if err != nil {
