--- a/internal/standin/beechservice/doc.go
+++ b/internal/standin/beechservice/doc.go
@@ -1,10 +1,10 @@
-// Package beechservice is a small stand-in for a plain service beside the model
-// engines: bookings, shipments and a path that answers anything. Its journal
-// shows what ran, so that a test can tell a request that ran twice from one
-// that ran once, whatever its caller was told.
+// Package beechservice simulates a plain HTTP service next to the model
+// engines, with bookings, shipments and a path that accepts any request. Its
+// journal records the requests that ran, so that a test can detect a request
+// that ran twice, whatever reply its caller got.
 //
-// The service does not look for repeats by itself: what arrives twice runs
-// twice. That is what makes the router's own promise visible.
+// The service does not deduplicate requests: one that arrives twice runs twice.
+// Tests rely on this to check that the router runs a request at most once.
 //
 // # Usage
 //
--- a/internal/standin/beechservice/faults.go
+++ b/internal/standin/beechservice/faults.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Pause is the fault's time.
+// Pause returns PauseMillis as a duration.
 func (f Fault) Pause() time.Duration {
 	return time.Duration(f.PauseMillis) * time.Millisecond
 }
 
-// Inject brings about a fault. It returns false for a kind it does not know.
+// Inject injects a fault. It returns false if the kind is unknown.
 func (s *Service) Inject(f Fault) bool {
 	switch f.Kind {
 	case FaultCrash:
@@ -21,16 +21,16 @@
 	case FaultThaw:
 		s.thaw()
 	case FaultDropReply:
-		s.set(&s.dropReply, f.Count)
+		s.setCount(&s.dropReply, f.Count)
 	case FaultBusy:
-		s.set(&s.busy, f.Count)
+		s.setCount(&s.busy, f.Count)
 	default:
 		return false
 	}
 	return true
 }
 
-func (s *Service) set(count *int, value int) {
+func (s *Service) setCount(count *int, value int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*count = value
@@ -42,18 +42,18 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.down {
 		return
 	}
-	s.away = true
+	s.down = true
 	close(s.crashed)
-	s.clock.AfterFunc(pause, s.comeBack)
+	s.clock.AfterFunc(pause, s.restart)
 }
 
-func (s *Service) comeBack() {
+func (s *Service) restart() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = false
+	s.down = false
 	s.crashed = make(chan struct{})
 }
 
--- a/internal/standin/beechservice/service.go
+++ b/internal/standin/beechservice/service.go
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// What a Settings field of zero stands for.
+// Defaults of the Settings fields that are zero.
 const (
 	DefaultJournalLimit = 1 << 17
 	DefaultCrashPause   = 200 * time.Millisecond
@@ -24,25 +24,26 @@
 	maxBody       = 16 << 20
 )
 
-// What POST /standin/fault can bring about.
+// Faults that POST /standin/fault can inject.
 const (
-	FaultCrash     FaultKind = "crash"      // cut all connections, come back after PauseMillis
-	FaultFreeze    FaultKind = "freeze"     // answer nothing for PauseMillis, or until thawed where it is 0
+	FaultCrash     FaultKind = "crash"      // close all connections, restart after PauseMillis
+	FaultFreeze    FaultKind = "freeze"     // stop answering for PauseMillis, or until FaultThaw if it is 0
 	FaultThaw      FaultKind = "thaw"       // end a freeze
-	FaultDropReply FaultKind = "drop_reply" // run the next Count requests and cut their connections
-	FaultBusy      FaultKind = "busy"       // refuse the next Count requests with 503, and say that they did not run
+	FaultDropReply FaultKind = "drop_reply" // run the next Count requests and close their connections without a reply
+	FaultBusy      FaultKind = "busy"       // reject the next Count requests with status 503 and the header X-Ran: no
 )
 
 type (
-	// Settings describe one service.
+	// Settings configures a service. Zero fields without a default disable what
+	// they describe.
 	Settings struct {
-		Delay        time.Duration // from running a request to its answer
-		CrashPause   time.Duration // away after a crash
-		JournalLimit int           // runs kept, the oldest go first
-		Journal      io.Writer     // also gets each run before its answer, as JSON lines
+		Delay        time.Duration // time between running a request and its reply
+		CrashPause   time.Duration // downtime after a crash
+		JournalLimit int           // number of runs retained; the oldest are dropped first
+		Journal      io.Writer     // also receives each run as a JSON line before its reply
 	}
 
-	// FaultKind names a fault.
+	// FaultKind is the type of a fault.
 	FaultKind string
 
 	// Fault is the body of POST /standin/fault.
@@ -52,7 +53,7 @@
 		Count       int       `json:"count,omitempty"`
 	}
 
-	// Run is one request that ran.
+	// Run records a request that ran.
 	Run struct {
 		RequestID string    `json:"request_id"`
 		Method    string    `json:"method"`
@@ -61,9 +62,9 @@
 		At        time.Time `json:"at"`
 	}
 
-	// Journal is the answer to GET /journal. The counts tell how often each
-	// request id and each body ran. Dropped counts runs that went from Runs
-	// because the journal was full; the counts keep them.
+	// Journal is the reply to GET /journal. PerRequestID and PerBody count the
+	// runs of each request ID and each body hash, including those dropped from
+	// Runs because the journal was full. Dropped is the number of the latter.
 	Journal struct {
 		Runs         []Run          `json:"runs"`
 		PerRequestID map[string]int `json:"per_request_id"`
@@ -71,14 +72,14 @@
 		Dropped      int            `json:"dropped"`
 	}
 
-	// Receipt is the answer to what ran.
+	// Receipt is the reply to a request that ran.
 	Receipt struct {
 		RequestID string `json:"request_id"`
-		Number    int    `json:"number"` // of this run, from 1
+		Number    int    `json:"number"` // number of this run, from 1
 		BodyHash  string `json:"body_hash"`
 	}
 
-	// Service is a stand-in for a plain service. Make it by New.
+	// Service simulates a plain service. Use New to create one.
 	Service struct {
 		settings Settings
 		clock    clockwork.Clock
@@ -89,15 +90,15 @@
 		perBody   map[string]int
 		dropped   int
 		number    int
-		away      bool
-		crashed   chan struct{} // closed by a crash
+		down      bool
+		crashed   chan struct{} // closed when the service crashes
 		frozen    chan struct{} // nil unless frozen
 		dropReply int
 		busy      int
 	}
 )
 
-// New returns a service that serves at once.
+// New returns a service that is ready to serve.
 func New(s Settings, clock clockwork.Clock) *Service {
 	if s.JournalLimit <= 0 {
 		s.JournalLimit = DefaultJournalLimit
@@ -114,12 +115,12 @@
 	}
 }
 
-// BodyHash names a body in the journal.
+// BodyHash returns the hash that identifies a body in the journal.
 func BodyHash(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
-// Handler serves the service's HTTP interface.
+// Handler returns the handler of the service's HTTP API.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /bookings", s.serveRun)
@@ -132,7 +133,7 @@
 	return mux
 }
 
-// Journal returns what ran so far.
+// Journal returns a snapshot of the journal.
 func (s *Service) Journal() Journal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,14 +153,14 @@
 }
 
 func (s *Service) serveRun(w http.ResponseWriter, r *http.Request) {
-	crashed := s.hold(r)
+	crashed := s.waitUntilAvailable(r)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
 		w.Header().Set(ranHeader, "no")
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s.take(&s.busy) {
+	if s.consume(&s.busy) {
 		w.Header().Set(ranHeader, "no")
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "busy", http.StatusServiceUnavailable)
@@ -167,19 +168,21 @@
 	}
 	receipt := s.record(r, body)
 	s.delay(r, crashed)
-	if s.take(&s.dropReply) {
+	if s.consume(&s.dropReply) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(requestHeader, receipt.RequestID)
 	writeJSON(w, receipt)
 }
 
-// hold waits out a freeze. It cuts the connection while the service is away.
-func (s *Service) hold(r *http.Request) (crashed <-chan struct{}) {
+// waitUntilAvailable blocks while the service is frozen. It closes the
+// connection if the service is down. The returned channel is closed when the
+// service crashes.
+func (s *Service) waitUntilAvailable(r *http.Request) (crashed <-chan struct{}) {
 	s.mu.Lock()
-	frozen, away, crashed := s.frozen, s.away, s.crashed
+	frozen, down, crashed := s.frozen, s.down, s.crashed
 	s.mu.Unlock()
-	if away {
+	if down {
 		panic(http.ErrAbortHandler)
 	}
 	if frozen == nil {
@@ -235,7 +238,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Service) take(count *int) bool {
+func (s *Service) consume(count *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if *count <= 0 {
@@ -245,9 +248,9 @@
 	return true
 }
 
-// serveReady answers whether the service would serve now.
+// serveReady replies once the service accepts requests.
 func (s *Service) serveReady(w http.ResponseWriter, r *http.Request) {
-	s.hold(r)
+	s.waitUntilAvailable(r)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/standin/beechservice/service_test.go
+++ b/internal/standin/beechservice/service_test.go
@@ -19,9 +19,9 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// The service dies after it has booked and before it has answered. Its caller
-// cannot tell that from a service that never booked; the journal can.
-func TestCrashAndFreezeKeepTheJournalTrue(t *testing.T) {
+// The service crashes after it has made a booking and before it replies. The
+// caller cannot tell whether the booking was made; the journal must show it.
+func TestJournalIsKeptAcrossCrashAndFreeze(t *testing.T) {
 	is := is.New(t)
 	clock := clockwork.NewFakeClock()
 	s := New(Settings{Delay: time.Second, CrashPause: time.Second}, clock)
@@ -33,12 +33,12 @@
 		_, err := book(server.URL)
 		replies <- err
 	}()
-	is.NoErr(clock.BlockUntilContext(t.Context(), 1)) // booked, and waits to answer
+	is.NoErr(clock.BlockUntilContext(t.Context(), 1)) // booked, reply pending
 	s.Inject(Fault{Kind: FaultCrash})
 	is.True(<-replies != nil)
 	is.Equal(len(s.Journal().Runs), 1)
 	_, err := book(server.URL)
-	is.True(err != nil) // away
+	is.True(err != nil) // down
 	is.Equal(len(s.Journal().Runs), 1)
 
 	clock.Advance(time.Second)
