--- a/internal/process/beechagent/admission.go
+++ b/internal/process/beechagent/admission.go
@@ -39,10 +39,10 @@
 		return a.refusal(beechwire.ReasonLeaving, shortRetryDelay, "backend server is leaving")
 	}
 	if len(body) != r.BodyBytes {
-		return a.refusal(beechwire.ReasonMalformed, 0, "body has %d bytes, expected %d", len(body), r.BodyBytes)
+		return a.refusal(beechwire.ReasonMalformed, 0, "body has %d bytes, %d were announced", len(body), r.BodyBytes)
 	}
 	if sum := sha256.Sum256(body); len(r.BodyHash) > 0 && string(sum[:]) != string(r.BodyHash) {
-		return a.refusal(beechwire.ReasonMalformed, 0, "body does not match its SHA-256 hash")
+		return a.refusal(beechwire.ReasonMalformed, 0, "body does not match its hash")
 	}
 	if reply := a.admitGeneration(ctx, peer, r); reply != nil {
 		return reply
@@ -67,10 +67,10 @@
 	}
 	have := a.holder.Generation()
 	if r.Generation > have {
-		return a.refusal(beechwire.ReasonGeneration, shortRetryDelay, "agent only has configuration generation %d", have)
+		return a.refusal(beechwire.ReasonGeneration, shortRetryDelay, "agent has only generation %d", have)
 	}
 	if r.Generation < have && r.ResumeSequence == 0 {
-		return a.refusal(beechwire.ReasonGeneration, 0, "configuration generation %d is in force", have)
+		return a.refusal(beechwire.ReasonGeneration, 0, "generation %d is in force", have)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 		return a.refusal(beechwire.ReasonBusy, shortRetryDelay, "service %s does not answer", r.Service)
 	}
 	if !r.Repeatable && r.Claim == "" {
-		return a.refusal(beechwire.ReasonClaim, 0, "claim token is missing")
+		return a.refusal(beechwire.ReasonClaim, 0, "no token to run")
 	}
 	return nil
 }
--- a/internal/process/beechagent/attempt.go
+++ b/internal/process/beechagent/attempt.go
@@ -236,7 +236,7 @@
 	var refused *beechbackend.Refused
 	switch {
 	case errors.As(err, &refused):
-		return a.refusal(beechwire.ReasonBusy, max(refused.After, shortRetryDelay), "the backend server refused the request")
+		return a.refusal(beechwire.ReasonBusy, max(refused.After, shortRetryDelay), "the backend server refused it")
 	case beechbackend.NotRun(err):
 		if a.isEngine() {
 			a.confirmCrash(ctx, t.incarnation)
--- a/internal/process/beechagent/calls.go
+++ b/internal/process/beechagent/calls.go
@@ -30,7 +30,7 @@
 	budgetTimeout = 500 * time.Millisecond
 )
 
-var errUnknownMethod = errors.New("unknown method")
+var errUnknownMethod = errors.New("no such method")
 
 // Answer implements beechlink.CallHandler. It handles calls from entry hosts.
 func (a *Agent) Answer(ctx context.Context, p beechlink.Peer, method string, payload []byte) ([]byte, error) {
@@ -47,7 +47,7 @@
 	case beechwire.MethodShare:
 		var shared beechwire.Snapshot
 		if _, err := shared.UnmarshalMsg(payload); err != nil {
-			return nil, fmt.Errorf("decode shared snapshot from %s: %w", p.Address, err)
+			return nil, fmt.Errorf("read share from %s: %w", p.Address, err)
 		}
 		a.entryHosts.storeShared(shared)
 		return nil, nil
@@ -65,7 +65,7 @@
 // handleCall decodes the payload into ask, calls respond and encodes its result.
 func handleCall(payload []byte, ask msgp.Unmarshaler, respond func() (msgp.Marshaler, error)) ([]byte, error) {
 	if _, err := ask.UnmarshalMsg(payload); err != nil {
-		return nil, fmt.Errorf("decode call: %w", err)
+		return nil, fmt.Errorf("read question: %w", err)
 	}
 	message, err := respond()
 	if err != nil {
--- a/internal/process/beechagent/runner.go
+++ b/internal/process/beechagent/runner.go
@@ -39,10 +39,10 @@
 	refuse, err := a.scheduler.acquire(ctx, a.queueRequest(&g.request, id, deadline))
 	switch {
 	case refuse != nil:
-		a.finishGeneration(g, a.refusal(refusalReason(refuse.Reason), refuse.RetryAfter, "refused by the queue: %s", refuse.Reason))
+		a.finishGeneration(g, a.refusal(refusalReason(refuse.Reason), refuse.RetryAfter, "the queue refused it: %s", refuse.Reason))
 		return nil
 	case err != nil:
-		a.finishGeneration(g, a.refusal(beechwire.ReasonCancelled, 0, "cancelled while waiting in the queue"))
+		a.finishGeneration(g, a.refusal(beechwire.ReasonCancelled, 0, "given up while it waited"))
 		return nil
 	}
 	report, alive := a.backend.last()
--- a/internal/process/beechagent/stream.go
+++ b/internal/process/beechagent/stream.go
@@ -39,7 +39,7 @@
 		return nil, reply
 	}
 	if r.Claim != "" && !a.usedClaims.markUsed(r.Claim) {
-		return nil, failedReply(beechwire.ReasonClaim, beechwire.RanUnknown, "the claim token was already used")
+		return nil, failedReply(beechwire.ReasonClaim, beechwire.RanUnknown, "the token to run was used before")
 	}
 	g, added := a.startGeneration(*r, body)
 	if !added {
@@ -90,7 +90,7 @@
 	if g == nil {
 		reason := beechwire.ReasonGone
 		if a.neverReceived(r) {
-			reason, missing = beechwire.ReasonNever, "the agent never received the request"
+			reason, missing = beechwire.ReasonNever, "the request never came here"
 		}
 		a.log.Info("answer not joined", beechlog.RequestID(r.RequestID), beechlog.Step("join"), beechlog.Peer(s.Peer().Address),
 			beechlog.Workspace(r.Workspace), zap.Uint64("after", r.After), zap.String("reason", missing))
@@ -112,7 +112,7 @@
 // none.
 func (a *Agent) findGeneration(r beechwire.Reattach) (g *generation, missing string) {
 	if r.Incarnation != 0 && r.Incarnation != a.incarnation {
-		return nil, "the agent has restarted since"
+		return nil, "the agent was started again since"
 	}
 	g = a.generations.find(r.Workspace, r.RequestID)
 	if r.RequestID == "" {
@@ -120,9 +120,9 @@
 	}
 	switch {
 	case g == nil:
-		return nil, "the agent does not have this answer"
+		return nil, "no such answer is kept here"
 	case r.After < g.base:
-		return nil, fmt.Sprintf("the answer is available only from piece %d on", g.base+1)
+		return nil, fmt.Sprintf("the answer is kept from piece %d on", g.base+1)
 	default:
 		return g, ""
 	}
