--- a/internal/process/beechentry/configuration.go
+++ b/internal/process/beechentry/configuration.go
@@ -125,7 +125,7 @@
 	}
 	var ask beechwire.ConfigurationAsk
 	if _, err := ask.UnmarshalMsg(payload); err != nil {
-		return nil, fmt.Errorf("decode configuration request of %s: %w", p.Address, err)
+		return nil, fmt.Errorf("read question of %s: %w", p.Address, err)
 	}
 	generation, data := e.holder.Encoded()
 	reply := beechwire.Configuration{Generation: generation}
