--- a/internal/state/beechrecord/chain.go
+++ b/internal/state/beechrecord/chain.go
@@ -40,7 +40,7 @@
 	fullClosedSegments = 2 // newest closed segments that keep their entries in memory
 )
 
-var errSegmentsChanging = errors.New("segments changed during each attempt to read them")
+var errSegmentsChanging = errors.New("the segments changed at each try to read them")
 
 func (e MissingSegment) Error() string {
 	return fmt.Sprintf("record shard %d: segment %s is missing in the platform's service", e.Shard, e.ID)
@@ -72,7 +72,7 @@
 	}
 	refs := c.retained(x.Segments)
 	if len(refs) == 0 {
-		return false, beechstore.CorruptValue{Key: v.Key, Err: errors.New("index lists no segments")}
+		return false, beechstore.CorruptValue{Key: v.Key, Err: errors.New("it lists no segment")}
 	}
 	var segments []*cachedSegment
 	for _, r := range refs {
--- a/internal/state/beechrecord/shard.go
+++ b/internal/state/beechrecord/shard.go
@@ -86,12 +86,14 @@
 	budgetJitter  = 60 * time.Millisecond
 )
 
+// The errors of Finish and Withdraw reach entry hosts as the error of a call,
+// so their texts are part of the protocol between hosts.
 var (
-	errTokenUnknown = errors.New("token not found in any retained segment")
-	errQueueFull    = errors.New("claim queue of the shard is full")
-	errClosed       = errors.New("records are closed")
-	errSegmentFull  = errors.New("open segment is full and cannot be closed at present")
-	errBatchTimeout = errors.New("batch exceeded its time limit")
+	errTokenUnknown = errors.New("the token is in no segment that is kept")
+	errQueueFull    = errors.New("too many claims wait in this shard")
+	errClosed       = errors.New("the records are closed")
+	errSegmentFull  = errors.New("the open segment is full and cannot be closed now")
+	errBatchTimeout = errors.New("the batch took longer than a batch may take")
 )
 
 func (s *shard) run(ctx context.Context) {
@@ -223,9 +225,9 @@
 // time.
 func batchTimeout(attempts, left int, last error) error {
 	if last == nil {
-		return fmt.Errorf("%w: %d operations left after %d attempts", errBatchTimeout, left, attempts)
+		return fmt.Errorf("%w: %d left after %d tries", errBatchTimeout, left, attempts)
 	}
-	return fmt.Errorf("%w: %d operations left after %d attempts, last error: %w", errBatchTimeout, left, attempts, last)
+	return fmt.Errorf("%w: %d left after %d tries, the last: %w", errBatchTimeout, left, attempts, last)
 }
 
 // dropExpired refuses claims whose callers no longer wait. Such a claim would
