--- a/internal/process/beechburn/snapshot.go
+++ b/internal/process/beechburn/snapshot.go
@@ -55,7 +55,7 @@
 		}
 		merged.Hosts += s.Hosts
 		if err := merged.All.merge(s.All); err != nil {
-			return Snapshot{}, fmt.Errorf("merge totals: %w", err)
+			return Snapshot{}, fmt.Errorf("merge burn over all: %w", err)
 		}
 		if err := mergeWorkspaces(named, s.Workspaces); err != nil {
 			return Snapshot{}, err
@@ -75,7 +75,7 @@
 			sum = Series{Workspace: s.Workspace, Windows: emptyWindows()}
 		}
 		if err := sum.merge(s); err != nil {
-			return fmt.Errorf("merge workspace %s: %w", s.Workspace, err)
+			return fmt.Errorf("merge burn of workspace %s: %w", s.Workspace, err)
 		}
 		into[s.Workspace] = sum
 	}
--- a/internal/process/beechburn/table.go
+++ b/internal/process/beechburn/table.go
@@ -19,8 +19,8 @@
 func Table(w io.Writer, r Report, limit int) error {
 	t := tabwriter.NewWriter(w, 0, 0, columnGap, ' ', 0)
 	fmt.Fprintf(t, "burn at %s over %d entry hosts%s\n", r.At.UTC().Format(time.RFC3339), r.Hosts, alertText(r.All.Alert))
-	fmt.Fprintf(t, "complete since %s, when the newest host started\n", r.Since.UTC().Format(time.RFC3339))
-	fmt.Fprintf(t, "objectives: %s\n\n", objectivesText(r.Objectives))
+	fmt.Fprintf(t, "whole since %s, when the youngest host started\n", r.Since.UTC().Format(time.RFC3339))
+	fmt.Fprintf(t, "promised: %s\n\n", objectivesText(r.Objectives))
 	fmt.Fprintln(t, "WINDOW\tBURN\tBY SERVED\tBY FIRST\tBY TOTAL\tREQUESTS\tREFUSED\tFAILED\tFIRST P50\tP95\tP99\tTOTAL P50\tP99\tHIT\tWASTED")
 	for _, v := range r.All.Windows {
 		fmt.Fprintln(t, v.cells(v.Window, ""))
@@ -51,7 +51,7 @@
 		text += fmt.Sprintf(", %s first token within %s", formatPercent(o.FirstTokenShare), o.FirstToken)
 	}
 	if o.Total > 0 {
-		text += fmt.Sprintf(", %s complete within %s", formatPercent(o.TotalShare), o.Total)
+		text += fmt.Sprintf(", %s whole within %s", formatPercent(o.TotalShare), o.Total)
 	}
 	return text
 }
