--- a/internal/command/beechscenario/caller_test.go
+++ b/internal/command/beechscenario/caller_test.go
@@ -20,60 +20,61 @@
 )
 
 type (
-	// request is what a caller asks.
+	// request describes a request of a caller.
 	request struct {
-		Entry     netip.AddrPort
-		Key       string
-		Model     string
-		System    string // the common instruction
-		History   string
-		Prompt    string
-		Tokens    int
-		Stream    bool
-		Idem      string
-		LastEvent string
-		Timeout   time.Duration
-		Service   string // path below /v1/services/, with the service's name
-		Method    string
-		Body      string
-		Slow      time.Duration // pause between reads
-		LeaveAt   int           // goes away after so many events
-		Narrow    bool          // a link that takes little at a time
-		Prior     string        // text that earlier calls of the same answer got
-		Left      time.Duration // goes away after this time; 0 is never
+		Entry            netip.AddrPort
+		Key              string
+		Model            string
+		System           string // system prompt, common to many requests
+		History          string
+		Prompt           string
+		Tokens           int
+		Stream           bool
+		IdempotencyKey   string
+		LastEvent        string
+		Timeout          time.Duration
+		Service          string // path below /v1/services/, starting with the service's name
+		Method           string
+		Body             string
+		ReadDelay        time.Duration // pause between reads
+		LeaveAfterEvents int           // disconnect after this number of events; 0 is never
+		SmallBuffer      bool          // receive through small buffers
+		PriorText        string        // text of the response that earlier calls received
+		LeaveAfter       time.Duration // disconnect after this time; 0 is never
 	}
 
-	// call is one request and what its caller saw.
+	// call is one request and the response that its caller received.
 	call struct {
 		name    string
 		request request
 		done    chan struct{}
 
-		mu        sync.Mutex
-		status    int
-		retry     string
-		header    http.Header
-		events    int
-		lastID    string
-		pending   pendingEvent
-		text      string
-		body      []byte
-		finished  bool // the stream's last event came, or the whole plain body
-		ran       string
-		code      string
-		prompt    int
-		cached    int
-		err       error
-		firstByte time.Duration
-		took      time.Duration
+		mu         sync.Mutex
+		status     int
+		retryAfter string
+		header     http.Header
+		events     int
+		lastID     string
+		pending    pendingEvent
+		text       string
+		body       []byte
+		finished   bool // whether the stream's last event or the whole body was received
+		ran        string
+		code       string
+		prompt     int
+		cached     int
+		err        error
+		firstByte  time.Duration
+		took       time.Duration
 	}
 
-	// pendingEvent is an event whose blank line has not come yet. An event
-	// that a cut leaves half is dropped, as the standard for events says.
+	// pendingEvent is an event whose terminating blank line has not been received.
+	// An incomplete event at the end of a connection is dropped, as the standard
+	// for server-sent events requires.
 	pendingEvent struct {
-		id   string
-		data string
-		any  bool
+		id      string
+		data    string
+		hasData bool
 	}
 
 	chunk struct {
@@ -95,28 +96,28 @@
 	}
 )
 
-const narrowBytes = 4 << 10
+const smallBufferBytes = 4 << 10
 
 var (
-	callers = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
-	// narrow has callers whose hosts take in little at a time, so that what
-	// they do not read stays at the entry host.
-	narrow = &http.Client{Transport: &http.Transport{
-		DisableKeepAlives: true, DisableCompression: true, DialContext: dialNarrow, ReadBufferSize: narrowBytes,
+	defaultClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
+	// smallBufferClient receives through small buffers, so that bytes that a caller
+	// does not read accumulate at the entry host.
+	smallBufferClient = &http.Client{Transport: &http.Transport{
+		DisableKeepAlives: true, DisableCompression: true, DialContext: dialSmallBuffer, ReadBufferSize: smallBufferBytes,
 	}}
-	errLeft = errors.New("the caller left")
+	errCallerLeft = errors.New("caller disconnected")
 )
 
-func dialNarrow(ctx context.Context, network, address string) (net.Conn, error) {
+func dialSmallBuffer(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, narrowBytes)
+			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, smallBufferBytes)
 		})
 	}}
 	return dialer.DialContext(ctx, network, address)
 }
 
-// newCall starts a caller in a goroutine of its own.
+// newCall starts a call in its own goroutine.
 func newCall(ctx context.Context, name string, r request) *call {
 	c := &call{name: name, request: r, done: make(chan struct{})}
 	go func() {
@@ -134,19 +135,19 @@
 func (c *call) run(ctx context.Context, began time.Time) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if c.request.Left > 0 {
-		ctx, cancel = context.WithTimeout(ctx, c.request.Left)
+	if c.request.LeaveAfter > 0 {
+		ctx, cancel = context.WithTimeout(ctx, c.request.LeaveAfter)
 		defer cancel()
 	}
-	asked, err := c.build(ctx)
+	httpRequest, err := c.build(ctx)
 	if err != nil {
 		return err
 	}
-	client := callers
-	if c.request.Narrow {
-		client = narrow
+	client := defaultClient
+	if c.request.SmallBuffer {
+		client = smallBufferClient
 	}
-	response, err := client.Do(asked)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return err
 	}
@@ -154,7 +155,7 @@
 	c.mu.Lock()
 	c.status = response.StatusCode
 	c.header = response.Header
-	c.retry = response.Header.Get("Retry-After")
+	c.retryAfter = response.Header.Get("Retry-After")
 	c.firstByte = time.Since(began)
 	c.mu.Unlock()
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
@@ -179,18 +180,18 @@
 			method = r.Method
 		}
 	}
-	asked, err := http.NewRequestWithContext(ctx, method, "http://"+r.Entry.String()+path, bytes.NewReader(body))
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+r.Entry.String()+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	asked.Header.Set("Authorization", "Bearer "+r.Key)
-	asked.Header.Set("Content-Type", "application/json")
-	setHeader(asked.Header, "Idempotency-Key", r.Idem)
-	setHeader(asked.Header, "Last-Event-ID", r.LastEvent)
+	httpRequest.Header.Set("Authorization", "Bearer "+r.Key)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	setHeader(httpRequest.Header, "Idempotency-Key", r.IdempotencyKey)
+	setHeader(httpRequest.Header, "Last-Event-ID", r.LastEvent)
 	if r.Timeout > 0 {
-		asked.Header.Set("X-Request-Timeout-Ms", fmt.Sprint(r.Timeout.Milliseconds()))
+		httpRequest.Header.Set("X-Request-Timeout-Ms", fmt.Sprint(r.Timeout.Milliseconds()))
 	}
-	return asked, nil
+	return httpRequest, nil
 }
 
 func setHeader(h http.Header, name, value string) {
@@ -199,7 +200,8 @@
 	}
 }
 
-// completion is the body of a chat with the levels that callers' prompts have.
+// completion encodes a chat completion request whose messages are the prompt's
+// levels: system prompt, history and question.
 func (r *request) completion() []byte {
 	var messages []map[string]string
 	for _, level := range []struct{ role, content string }{{"system", r.System}, {"user", r.History}, {"user", r.Prompt}} {
@@ -214,7 +216,7 @@
 	return data
 }
 
-// expected is the text of the whole answer under the given weights.
+// expected returns the complete response text under the given weights version.
 func (r *request) expected(weights string) string {
 	prompt, err := beechengine.Prompt(r.completion())
 	if err != nil {
@@ -230,15 +232,15 @@
 		if c.takeLine(lines.Text()) {
 			return nil
 		}
-		if c.request.LeaveAt > 0 && c.eventCount() >= c.request.LeaveAt {
-			return errLeft
+		if c.request.LeaveAfterEvents > 0 && c.eventCount() >= c.request.LeaveAfterEvents {
+			return errCallerLeft
 		}
-		time.Sleep(c.request.Slow)
+		time.Sleep(c.request.ReadDelay)
 	}
 	return lines.Err()
 }
 
-// takeLine returns true for the stream's last event.
+// takeLine processes a line and returns true after the stream's last event.
 func (c *call) takeLine(line string) bool {
 	name, value, _ := strings.Cut(line, ": ")
 	c.mu.Lock()
@@ -248,18 +250,18 @@
 		c.pending.id = value
 	case "data":
 		c.pending.data += value
-		c.pending.any = true
+		c.pending.hasData = true
 	case "":
 		return c.dispatchLocked()
 	}
 	return false
 }
 
-// dispatchLocked takes the pending event as a whole.
+// dispatchLocked processes the pending event after its blank line.
 func (c *call) dispatchLocked() (last bool) {
 	event := c.pending
 	c.pending = pendingEvent{}
-	if !event.any {
+	if !event.hasData {
 		return false
 	}
 	if event.data == "[DONE]" {
@@ -312,14 +314,14 @@
 	case <-c.done:
 		return nil
 	case <-time.After(limit):
-		return fmt.Errorf("call %s got no end within %s", c.name, limit)
+		return fmt.Errorf("call %s did not end within %s", c.name, limit)
 	}
 }
 
-// describe is for messages of failed checks.
+// describe formats the call for messages of failed checks.
 func (c *call) describe() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return fmt.Sprintf("call %s: status %d, code %q, ran %q, retry %q, events %d, finished %t, error %v, text %.60q, body %.200q",
-		c.name, c.status, c.code, c.ran, c.retry, c.events, c.finished, c.err, c.text, c.body)
+		c.name, c.status, c.code, c.ran, c.retryAfter, c.events, c.finished, c.err, c.text, c.body)
 }
--- a/internal/command/beechscenario/commands_test.go
+++ b/internal/command/beechscenario/commands_test.go
@@ -11,25 +11,25 @@
 )
 
 type (
-	// command is one of the scripts' own commands.
-	command func(w *world, arguments []string) error
+	// command implements a command that scripts have beside those of testscript.
+	command func(d *deployment, arguments []string) error
 
-	// values are a command's name=value arguments.
+	// values holds the name=value arguments of a command.
 	values map[string]string
 )
 
-// commands lists them; docs/PROOFS.md tells what each does.
+// commands maps the names that scripts use; docs/PROOFS.md describes each command.
 var commands = map[string]command{
 	"platform":   commandPlatform,
 	"engine":     commandEngine,
 	"service":    commandService,
 	"entry":      commandEntry,
 	"seeds":      commandSeeds,
-	"sigkill":    eachName((*world).kill),
+	"sigkill":    eachName((*deployment).kill),
 	"sigterm":    commandTerminate,
-	"restart":    eachName((*world).restart),
-	"freeze":     eachName(func(w *world, name string) error { return w.signal(name, syscall.SIGSTOP) }),
-	"thaw":       eachName(func(w *world, name string) error { return w.signal(name, syscall.SIGCONT) }),
+	"restart":    eachName((*deployment).restart),
+	"freeze":     eachName(func(d *deployment, name string) error { return d.signal(name, syscall.SIGSTOP) }),
+	"thaw":       eachName(func(d *deployment, name string) error { return d.signal(name, syscall.SIGCONT) }),
 	"cut":        commandCut,
 	"fault":      commandFault,
 	"leaving":    commandLeaving,
@@ -53,10 +53,10 @@
 	"noise": commandNoise,
 }
 
-func eachName(do func(w *world, name string) error) command {
-	return func(w *world, arguments []string) error {
+func eachName(do func(d *deployment, name string) error) command {
+	return func(d *deployment, arguments []string) error {
 		for _, name := range arguments {
-			if err := do(w, name); err != nil {
+			if err := do(d, name); err != nil {
 				return err
 			}
 		}
@@ -64,10 +64,10 @@
 	}
 }
 
-// usage is the error of a command that was written wrongly.
+// usage returns the error for wrong arguments of a command.
 func usage(form string) error { return fmt.Errorf("usage: %s", form) }
 
-func readValues(arguments []string) (plain []string, named values) {
+func parseArguments(arguments []string) (plain []string, named values) {
 	named = values{}
 	for _, a := range arguments {
 		if name, value, found := strings.Cut(a, "="); found {
@@ -79,11 +79,11 @@
 	return plain, named
 }
 
-func (v values) number(name string, usual int) int {
+func (v values) number(name string, fallback int) int {
 	if n, err := strconv.Atoi(v[name]); err == nil {
 		return n
 	}
-	return usual
+	return fallback
 }
 
 func (v values) duration(name string) time.Duration {
@@ -91,36 +91,36 @@
 	return d
 }
 
-func (v values) text(name, usual string) string {
+func (v values) text(name, fallback string) string {
 	if text, given := v[name]; given {
 		return text
 	}
-	return usual
+	return fallback
 }
 
-// holds NAME...: invariants over everything so far.
-func commandHolds(w *world, arguments []string) error {
+// commandHolds implements holds NAME...: checks invariants over all calls so far.
+func commandHolds(d *deployment, arguments []string) error {
 	for _, name := range arguments {
 		check := invariants[name]
 		if check == nil {
 			return fmt.Errorf("no invariant %q", name)
 		}
-		if err := check(w); err != nil {
+		if err := check(d); err != nil {
 			return fmt.Errorf("%s does not hold: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// scriptCommands makes the commands fit testscript. With a ! before it a
-// command must fail.
+// scriptCommands adapts the commands to testscript. A command with a preceding !
+// is expected to fail.
 func scriptCommands() map[string]func(ts *testscript.TestScript, neg bool, arguments []string) {
 	out := map[string]func(ts *testscript.TestScript, neg bool, arguments []string){}
 	for name, do := range commands {
 		out[name] = func(ts *testscript.TestScript, neg bool, arguments []string) {
-			err := do(ts.Value(worldKey{}).(*world), arguments)
+			err := do(ts.Value(deploymentKey{}).(*deployment), arguments)
 			if neg && err == nil {
-				ts.Fatalf("%s was expected to fail", name)
+				ts.Fatalf("%s succeeded unexpectedly", name)
 			}
 			if !neg && err != nil {
 				ts.Fatalf("%s: %v", name, err)
--- a/internal/command/beechscenario/doc.go
+++ b/internal/command/beechscenario/doc.go
@@ -1,9 +1,12 @@
-// Package beechscenario runs the scripts under scenarios/: each brings up
-// processes of a small deployment, makes something fail, and checks what must
-// hold over what callers saw and what the stand-ins ran.
+// Package beechscenario holds the end-to-end tests. They run the scripts under
+// scenarios/, random failures from a seed, and benchmarks. Each test starts the
+// processes of a small deployment on loopback addresses of their own. Stand-ins
+// simulate the platform's service and the backend servers; they write what they
+// ran to journals. The tests inject failures and check invariants over the
+// responses that callers received and over these journals.
 //
-// The scripts' language is testscript's with a few commands of ours, listed in
-// docs/PROOFS.md. Everything here is a test; the package has no other code.
+// Scripts are written in the language of testscript, with additional commands
+// that docs/PROOFS.md lists. The package consists of tests only.
 //
 // # Usage
 //
--- a/internal/command/beechscenario/hits_test.go
+++ b/internal/command/beechscenario/hits_test.go
@@ -6,18 +6,18 @@
 	"strconv"
 )
 
-// fewestPrompts is how many answers a hit rate must rest on.
-const fewestPrompts = 50
+// minHitAnswers is the minimum number of responses for a hit rate.
+const minHitAnswers = 50
 
-// hits NAME: the prefix hit rate of the calls that ended since the last hits is
-// kept under the name.
-func commandHits(w *world, arguments []string) error {
+// commandHits implements hits NAME: stores under the name the prefix hit rate of
+// the calls that ended since the previous hits command.
+func commandHits(d *deployment, arguments []string) error {
 	if len(arguments) != 1 {
 		return usage("hits NAME")
 	}
-	calls := w.allCalls()
+	calls := d.endedCalls()
 	var prompt, cached, answers int
-	for _, c := range calls[min(w.counted, len(calls)):] {
+	for _, c := range calls[min(d.hitsCounted, len(calls)):] {
 		c.mu.Lock()
 		if c.prompt > 0 {
 			prompt += c.prompt
@@ -26,21 +26,21 @@
 		}
 		c.mu.Unlock()
 	}
-	w.counted = len(calls)
-	if answers < fewestPrompts {
-		return fmt.Errorf("only %d answers for a hit rate", answers)
+	d.hitsCounted = len(calls)
+	if answers < minHitAnswers {
+		return fmt.Errorf("too few responses for a hit rate: %d", answers)
 	}
-	if w.hits == nil {
-		w.hits = map[string]float64{}
+	if d.hits == nil {
+		d.hits = map[string]float64{}
 	}
-	w.hits[arguments[0]] = 100 * float64(cached) / float64(prompt)
-	w.t.Logf("hit rate %s: %.1f%% of %d answers", arguments[0], w.hits[arguments[0]], answers)
+	d.hits[arguments[0]] = 100 * float64(cached) / float64(prompt)
+	d.t.Logf("hit rate %s: %.1f%% of %d answers", arguments[0], d.hits[arguments[0]], answers)
 	return nil
 }
 
-// hitswithin POINTS BEFORE AFTER: the second hit rate is at most so many points
-// behind the first.
-func commandHitsWithin(w *world, arguments []string) error {
+// commandHitsWithin implements hitswithin POINTS BEFORE AFTER: checks that the
+// second hit rate is at most POINTS percentage points below the first.
+func commandHitsWithin(d *deployment, arguments []string) error {
 	if len(arguments) != 3 {
 		return usage("hitswithin POINTS BEFORE AFTER")
 	}
@@ -48,8 +48,8 @@
 	if err != nil {
 		return err
 	}
-	before, known := w.hits[arguments[1]]
-	after, alsoKnown := w.hits[arguments[2]]
+	before, known := d.hits[arguments[1]]
+	after, alsoKnown := d.hits[arguments[2]]
 	if !known || !alsoKnown {
 		return fmt.Errorf("no hit rate %s or %s", arguments[1], arguments[2])
 	}
--- a/internal/command/beechscenario/load_test.go
+++ b/internal/command/beechscenario/load_test.go
@@ -13,43 +13,43 @@
 )
 
 type (
-	// loadPlan says who sends what.
+	// loadPlan describes the callers of a load and their requests.
 	loadPlan struct {
 		name        string
 		callers     int
 		entries     []string
 		base        request
 		seed        uint64
-		balanced    bool // send only to entries that are ready, as the platform's balancer does
-		members     int  // histories that the questions are about
+		balanced    bool // send only to entry hosts that are ready, as the platform's load balancer does
+		members     int  // number of distinct histories in the prompts
 		firstMember int
-		hot         int  // every n-th question is about another member than the first; 0 is all alike
-		keyed       bool // each call goes to two entry hosts at the same time under one key
-		resume      bool // leave in the middle, and come back for the rest
+		hot         int  // only every n-th prompt draws its member, the others use the first one; 0 draws for all
+		keyed       bool // send each call to two entry hosts at the same time with one idempotency key
+		resume      bool // disconnect in the middle of a response, and resume it
 		repeat      bool // send again at another entry host until the outcome is known
 	}
 
-	// load is a steady stream of small requests in the background, as callers
-	// send while something fails.
+	// load sends small requests in the background, so that faults occur under
+	// load.
 	load struct {
-		world  *world
-		plan   loadPlan
-		stop   context.CancelFunc
-		wait   sync.WaitGroup
-		number atomic.Int64
+		deployment *deployment
+		plan       loadPlan
+		stop       context.CancelFunc
+		wait       sync.WaitGroup
+		number     atomic.Int64
 	}
 )
 
 const (
 	defaultMembers = 6
-	mostRepeats    = 5
+	maxRepeats     = 5
 )
 
-// startLoad lets so many callers send one request after the other to the
-// entries in turn, until halt.
-func (w *world) startLoad(plan loadPlan) *load {
+// startLoad starts the callers of a load. Each sends one request after the other,
+// to the entry hosts in turn, until halt.
+func (d *deployment) startLoad(plan loadPlan) *load {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &load{world: w, plan: plan, stop: stop}
+	l := &load{deployment: d, plan: plan, stop: stop}
 	for i := range plan.callers {
 		random := rand.New(rand.NewPCG(plan.seed, uint64(i)))
 		l.wait.Go(func() {
@@ -58,7 +58,7 @@
 			}
 		})
 	}
-	w.loads = append(w.loads, l)
+	d.loads = append(d.loads, l)
 	return l
 }
 
@@ -66,7 +66,7 @@
 	number := int(l.number.Add(1))
 	entry := l.entry(number)
 	if entry == nil {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 		return
 	}
 	r := l.plan.base
@@ -75,11 +75,11 @@
 	r.Prompt = fmt.Sprintf("%s question %d", l.plan.base.Prompt, number)
 	if r.Service != "" {
 		r.Body = fmt.Sprintf(`{"load":%q,"number":%d}`, l.plan.name, number)
-		r.Idem = fmt.Sprintf("%s-%d", l.plan.name, number)
+		r.IdempotencyKey = fmt.Sprintf("%s-%d", l.plan.name, number)
 	}
 	name := fmt.Sprintf("%s-%d", l.plan.name, number)
 	if l.plan.keyed {
-		r.Idem = name
+		r.IdempotencyKey = name
 		l.sendTwice(name, number, r)
 		return
 	}
@@ -88,7 +88,7 @@
 		return
 	}
 	c := l.send(name, r)
-	for i := 1; l.plan.repeat && !c.isSettled() && i <= mostRepeats; i++ {
+	for i := 1; l.plan.repeat && !c.hasOutcome() && i <= maxRepeats; i++ {
 		if next := l.entry(number + i); next != nil {
 			r.Entry = next.address
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// sendTwice sends the same call to two entry hosts at the same time.
+// sendTwice sends the same request to two entry hosts at the same time.
 func (l *load) sendTwice(name string, number int, r request) {
 	second := make(chan struct{})
 	again := r
@@ -111,15 +111,15 @@
 	<-second
 }
 
-// sendAndResume leaves in the middle of an answer and comes back at another
-// entry host for the rest, again and again until it has the end.
+// sendAndResume disconnects in the middle of a response and resumes it at other
+// entry hosts, at most maxRepeats times, until it is complete.
 func (l *load) sendAndResume(name string, number int, r request, random *rand.Rand) {
-	r.LeaveAt = 1 + random.IntN(r.Tokens)
+	r.LeaveAfterEvents = 1 + random.IntN(r.Tokens)
 	c := l.send(name, r)
-	for i := 1; i <= mostRepeats && !c.isWhole() && c.lastID != ""; i++ {
-		r.Prior += c.text
+	for i := 1; i <= maxRepeats && !c.isWhole() && c.lastID != ""; i++ {
+		r.PriorText += c.text
 		r.LastEvent = c.lastID
-		r.LeaveAt = 0
+		r.LeaveAfterEvents = 0
 		if next := l.entry(number + i); next != nil {
 			r.Entry = next.address
 		}
@@ -137,15 +137,17 @@
 	return c.finished && c.code == ""
 }
 
-// isSettled tells whether a caller knows the outcome, or that nobody does.
-func (c *call) isSettled() bool {
+// hasOutcome reports whether the outcome is known, or known to be unknown
+// (status 409).
+func (c *call) hasOutcome() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.status == http.StatusOK || c.status == http.StatusConflict
 }
 
-// member chooses whose history is asked about. With hot, most are about
-// one, as with a season's catalogue.
+// member chooses the member whose history a prompt contains. With hot, most
+// prompts share one history, as they do when many callers ask about the same
+// catalogue.
 func (l *load) member(number int, random *rand.Rand) int {
 	if l.plan.hot > 0 && number%l.plan.hot != 0 {
 		return l.plan.firstMember
@@ -153,11 +155,11 @@
 	return l.plan.firstMember + random.IntN(l.plan.members)
 }
 
-// entry takes the entries in turn. A balanced load passes over those that say
-// that they are not ready; nil is none.
+// entry returns the entry hosts in turn. A balanced load skips those that are not
+// ready. The result is nil if none is left.
 func (l *load) entry(number int) *process {
 	for i := range l.plan.entries {
-		p, err := l.world.process(l.plan.entries[(number+i)%len(l.plan.entries)])
+		p, err := l.deployment.process(l.plan.entries[(number+i)%len(l.plan.entries)])
 		if err == nil && (!l.plan.balanced || isReady(p)) {
 			return p
 		}
@@ -175,19 +177,19 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// send runs one call to its end. A caller that was refused a connection looks
-// again a moment later.
+// send runs one call to its end. After a refused connection it waits for
+// pollInterval, so that callers do not retry in a busy loop.
 func (l *load) send(name string, r request) *call {
 	c := newCall(context.Background(), name, r)
-	l.world.addCall(c)
+	l.deployment.addCall(c)
 	<-c.done
 	if errors.Is(c.err, syscall.ECONNREFUSED) {
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 	return c
 }
 
-// halt lets running requests end and starts no more.
+// halt stops sending and waits until the running requests have ended.
 func (l *load) halt() error {
 	l.stop()
 	ended := make(chan struct{})
@@ -198,38 +200,38 @@
 	select {
 	case <-ended:
 		return nil
-	case <-time.After(patience):
-		return fmt.Errorf("calls of %s got no end: %s", l.plan.name, l.world.openCalls())
+	case <-time.After(conditionTimeout):
+		return fmt.Errorf("calls of load %s did not end: %s", l.plan.name, l.deployment.openCalls())
 	}
 }
 
-func (w *world) addCall(c *call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.calls[c.name] = c
-	w.order = append(w.order, c)
+func (d *deployment) addCall(c *call) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.calls[c.name] = c
+	d.order = append(d.order, c)
 }
 
-func (w *world) call(name string) (*call, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c := w.calls[name]
+func (d *deployment) call(name string) (*call, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	c := d.calls[name]
 	if c == nil {
 		return nil, fmt.Errorf("no call %q", name)
 	}
 	return c, nil
 }
 
-// allCalls returns the calls that have ended, in the order they began.
-func (w *world) allCalls() []*call {
-	ended, _ := w.sortCalls()
+// endedCalls returns the calls that have ended, in the order they were started.
+func (d *deployment) endedCalls() []*call {
+	ended, _ := d.partitionCalls()
 	return ended
 }
 
-func (w *world) sortCalls() (ended, open []*call) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, c := range w.order {
+func (d *deployment) partitionCalls() (ended, open []*call) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, c := range d.order {
 		if c.isOver() {
 			ended = append(ended, c)
 		} else {
@@ -239,9 +241,9 @@
 	return ended, open
 }
 
-// openCalls describes the calls that have no end yet.
-func (w *world) openCalls() string {
-	_, open := w.sortCalls()
+// openCalls describes the calls that have not ended.
+func (d *deployment) openCalls() string {
+	_, open := d.partitionCalls()
 	text := ""
 	for _, c := range open {
 		text += c.describe() + "\n"
--- a/internal/command/beechscenario/memory_test.go
+++ b/internal/command/beechscenario/memory_bench_test.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	openStreams = 5000
-	eventsGiven = 4 // of each stream, so that what opening took has been collected
+	openStreams         = 5000
+	eventsBeforeMeasure = 4 // events of each stream before the measurement, so that memory used for opening has been collected
 )
 
-// BenchmarkOpenStreams reports what 5,000 open streams take of the memory of an
-// entry host's process and of an agent's, each stream with a part of its answer
-// given and the rest to come.
+// BenchmarkOpenStreams reports the memory per stream that an entry host's process
+// and an agent's process use for 5,000 open streams. Each stream has received a
+// part of its response and waits for the rest.
 func BenchmarkOpenStreams(b *testing.B) {
-	w := newWorld(b, b.TempDir())
-	defer w.close()
+	d := newDeployment(b, b.TempDir())
+	defer d.close()
 	steps := []struct {
 		do        command
 		arguments []string
@@ -37,16 +37,16 @@
 		{commandSend, []string{"warm", "entry=n1", "tokens=1"}},
 	}
 	for _, step := range steps {
-		if err := step.do(w, step.arguments); err != nil {
+		if err := step.do(d, step.arguments); err != nil {
 			b.Fatal(err)
 		}
 	}
 	for b.Loop() {
-		entry, agent := residentBytes(b, w, "n1"), residentBytes(b, w, "e1")
+		entry, agent := residentBytes(b, d, "n1"), residentBytes(b, d, "e1")
 		ctx, stop := context.WithCancel(context.Background())
-		calls := openMany(ctx, b, w)
-		b.ReportMetric(float64(residentBytes(b, w, "n1")-entry)/openStreams, "entry-B/stream")
-		b.ReportMetric(float64(residentBytes(b, w, "e1")-agent)/openStreams, "agent-B/stream")
+		calls := openStreamCalls(ctx, b, d)
+		b.ReportMetric(float64(residentBytes(b, d, "n1")-entry)/openStreams, "entry-B/stream")
+		b.ReportMetric(float64(residentBytes(b, d, "e1")-agent)/openStreams, "agent-B/stream")
 		stop()
 		for _, c := range calls {
 			<-c.done
@@ -54,27 +54,28 @@
 	}
 }
 
-// applyManySlots lets the pool's servers run as many requests as are opened.
-func applyManySlots(w *world, _ []string) error {
-	manifest := usualManifest()
+// applyManySlots applies a manifest whose pool has more slots than openStreams.
+func applyManySlots(d *deployment, _ []string) error {
+	manifest := defaultManifest()
 	manifest.Pools[0].Slots = openStreams + 1000
 	data, err := beechmanifest.Encode(manifest)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(w.dir, "many.json"), data, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(d.dir, "many.json"), data, 0o644); err != nil {
 		return err
 	}
-	return commandApply(w, []string{"many.json"})
+	return commandApply(d, []string{"many.json"})
 }
 
-// openMany opens the streams and waits until each has its first event.
-func openMany(ctx context.Context, b *testing.B, w *world) []*call {
+// openStreamCalls opens the streams and waits until each has received
+// eventsBeforeMeasure events.
+func openStreamCalls(ctx context.Context, b *testing.B, d *deployment) []*call {
 	b.Helper()
 	calls := make([]*call, openStreams)
 	for i := range calls {
 		calls[i] = newCall(ctx, fmt.Sprint(i), request{
-			Entry: w.processes["n1"].address, Key: "loop-key", Model: "fit-advisor",
+			Entry: d.processes["n1"].address, Key: "loop-key", Model: "fit-advisor",
 			Prompt: fmt.Sprintf("question %d", i), Tokens: 100, Stream: true,
 		})
 		if i%100 == 0 {
@@ -84,23 +85,23 @@
 	var missing *call
 	opened := func() bool {
 		for _, c := range calls {
-			if c.eventCount() < eventsGiven {
+			if c.eventCount() < eventsBeforeMeasure {
 				missing = c
 				return false
 			}
 		}
 		return true
 	}
-	if err := w.until("every stream goes on", opened); err != nil {
+	if err := d.until("events of all streams", opened); err != nil {
 		b.Fatalf("%v: %s", err, missing.describe())
 	}
 	return calls
 }
 
-// residentBytes is the memory that a process holds now.
-func residentBytes(b *testing.B, w *world, name string) int {
+// residentBytes returns the resident memory of a process.
+func residentBytes(b *testing.B, d *deployment, name string) int {
 	b.Helper()
-	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.processes[name].command.Process.Pid))
+	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.processes[name].command.Process.Pid))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/command/beechscenario/processes_test.go
+++ b/internal/command/beechscenario/processes_test.go
@@ -11,31 +11,32 @@
 	"github.com/beechring/beechring/internal/state/beechmanifest"
 )
 
-// platform starts the platform's service and puts the usual manifest in force.
-func commandPlatform(w *world, arguments []string) error {
-	if _, err := w.startStandin("platform", "platform", arguments); err != nil {
+// commandPlatform implements platform [flags]: starts the stand-in of the
+// platform's service and applies the default manifest.
+func commandPlatform(d *deployment, arguments []string) error {
+	if _, err := d.startStandin("platform", "platform", arguments); err != nil {
 		return err
 	}
-	file := filepath.Join(w.dir, "usual.json")
-	data, err := beechmanifest.Encode(usualManifest())
+	file := filepath.Join(d.dir, "usual.json")
+	data, err := beechmanifest.Encode(defaultManifest())
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(file, data, 0o644); err != nil {
 		return err
 	}
-	return commandApply(w, []string{"usual.json"})
+	return commandApply(d, []string{"usual.json"})
 }
 
-func usualManifest() *beechmanifest.Manifest {
+func defaultManifest() *beechmanifest.Manifest {
 	return &beechmanifest.Manifest{
 		Deployment: "scenario",
 		Targets:    beechmanifest.Targets{FirstToken: beechmanifest.Duration(time.Second), Share: 0.95, WasteWeight: 1, MaxLoads: 2},
 		Models:     []beechmanifest.Model{{Name: "fit-advisor", Weights: "1"}},
 		Priorities: []string{"interactive", "background"},
 		Workspaces: []beechmanifest.Workspace{
-			{Name: "loop", Keys: []string{sumOf("loop-key")}, Priority: "interactive", Weight: 1},
-			{Name: "solis", Keys: []string{sumOf("solis-key")}, Priority: "interactive", Weight: 1},
+			{Name: "loop", Keys: []string{keyHash("loop-key")}, Priority: "interactive", Weight: 1},
+			{Name: "solis", Keys: []string{keyHash("solis-key")}, Priority: "interactive", Weight: 1},
 		},
 		Pools: []beechmanifest.Pool{
 			{Name: "advisors", Kind: beechmanifest.KindEngine, Fenced: true, Models: []string{"fit-advisor"}, Slots: 8},
@@ -47,13 +48,14 @@
 	}
 }
 
-func sumOf(key string) string {
+func keyHash(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// engine NAME ZONE [flags]: a stand-in NAME.engine and its agent NAME.
-func commandEngine(w *world, arguments []string) error {
+// commandEngine implements engine NAME ZONE [flags]: starts a stand-in NAME.engine
+// and its agent NAME.
+func commandEngine(d *deployment, arguments []string) error {
 	if len(arguments) < 2 {
 		return usage("engine NAME ZONE [flags]")
 	}
@@ -62,62 +64,66 @@
 		"--models", "fit-advisor@1", "--slots", "8", "--prefill-rate", "20000", "--token-time", "5ms",
 		"--cache-tokens", "200000", "--load-time", "100ms", "--check-fence",
 	}, arguments[2:]...)
-	engine, err := w.startStandin("engine", name+".engine", flags)
+	engine, err := d.startStandin("engine", name+".engine", flags)
 	if err != nil {
 		return err
 	}
-	return w.startAgent(name, zone, "advisors", engine.address)
+	return d.startAgent(name, zone, "advisors", engine.address)
 }
 
-// service NAME ZONE [flags]: a stand-in NAME.service and its agent NAME.
-func commandService(w *world, arguments []string) error {
+// commandService implements service NAME ZONE [flags]: starts a stand-in
+// NAME.service and its agent NAME.
+func commandService(d *deployment, arguments []string) error {
 	if len(arguments) < 2 {
 		return usage("service NAME ZONE [flags]")
 	}
 	name, zone := arguments[0], arguments[1]
-	service, err := w.startStandin("service", name+".service", arguments[2:])
+	service, err := d.startStandin("service", name+".service", arguments[2:])
 	if err != nil {
 		return err
 	}
-	return w.startAgent(name, zone, "shipping", service.address)
+	return d.startAgent(name, zone, "shipping", service.address)
 }
 
-// agent NAME ZONE BACKEND: a further agent beside an engine's stand-in.
-func commandAgent(w *world, arguments []string) error {
+// commandAgent implements agent NAME ZONE BACKEND: starts an additional agent for
+// an engine's stand-in.
+func commandAgent(d *deployment, arguments []string) error {
 	if len(arguments) != 3 {
 		return usage("agent NAME ZONE BACKEND")
 	}
-	p, err := w.process(arguments[2])
+	p, err := d.process(arguments[2])
 	if err != nil {
 		return err
 	}
-	return w.startAgent(arguments[0], arguments[1], "advisors", p.address)
+	return d.startAgent(arguments[0], arguments[1], "advisors", p.address)
 }
 
-// entry NAME ZONE: an entry host.
-func commandEntry(w *world, arguments []string) error {
+// commandEntry implements entry NAME ZONE: starts an entry host.
+func commandEntry(d *deployment, arguments []string) error {
 	if len(arguments) != 2 {
 		return usage("entry NAME ZONE")
 	}
-	return w.startEntry(arguments[0], arguments[1])
+	return d.startEntry(arguments[0], arguments[1])
 }
 
-// seeds NAME...: agents that entries started later have in their settings.
-func commandSeeds(w *world, arguments []string) error {
+// commandSeeds implements seeds NAME...: adds agents to the seeds in the settings
+// of entry hosts that are started later.
+func commandSeeds(d *deployment, arguments []string) error {
 	for _, name := range arguments {
-		for _, h := range w.hosts {
+		for _, h := range d.hosts {
 			if h.Name == name {
-				w.seeds = append(w.seeds, h.Address)
+				d.seeds = append(d.seeds, h.Address)
 			}
 		}
 	}
 	return nil
 }
 
-// sigterm NAME... [&]: ends processes gracefully; each must exit with 0.
-func commandTerminate(w *world, arguments []string) error {
+// commandTerminate implements sigterm NAME... [&]: sends SIGTERM to processes and
+// waits until each exits with status 0. With & it does not wait.
+func commandTerminate(d *deployment, arguments []string) error {
 	if arguments[len(arguments)-1] == "&" {
-		return eachName(func(w *world, name string) error { return w.signal(name, syscall.SIGTERM) })(w, arguments[:len(arguments)-1])
+		return eachName(func(d *deployment, name string) error { return d.signal(name, syscall.SIGTERM) })(d, arguments[:len(arguments)-1])
 	}
-	return eachName((*world).stop)(w, arguments)
+	return eachName((*deployment).stop)(d, arguments)
 }
--- a/internal/command/beechscenario/requests_test.go
+++ b/internal/command/beechscenario/requests_test.go
@@ -12,17 +12,19 @@
 	"time"
 )
 
-// apply FILE [base=N] [expect=accepted|conflict|unknown|refused].
-func commandApply(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandApply implements apply FILE [base=N]
+// [expect=accepted|conflict|unknown|refused]: applies a manifest and checks the
+// outcome.
+func commandApply(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) != 1 {
 		return usage("apply FILE [base=N] [expect=OUTCOME]")
 	}
-	p, err := w.process("platform")
+	p, err := d.process("platform")
 	if err != nil {
 		return err
 	}
-	call := []string{"apply", filepath.Join(w.dir, plain[0]), "--platform", p.address.String(), "--output", "json", "--timeout", "10s"}
+	call := []string{"apply", filepath.Join(d.dir, plain[0]), "--platform", p.address.String(), "--output", "json", "--timeout", "10s"}
 	if base, given := named["base"]; given {
 		call = append(call, "--base", base)
 	}
@@ -36,47 +38,47 @@
 	}
 	_ = json.Unmarshal(out.Bytes(), &result)
 	if want := named.text("expect", "accepted"); result.Outcome != want {
-		return fmt.Errorf("apply said %q, want %q: %s", result.Outcome, want, errs.String())
+		return fmt.Errorf("outcome of apply is %q, want %q: %s", result.Outcome, want, errs.String())
 	}
 	return nil
 }
 
-// readRequest reads the arguments of send and load.
-func (w *world) readRequest(v values) (request, error) {
+// readRequest builds a request from the arguments of send and load.
+func (d *deployment) readRequest(v values) (request, error) {
 	r := request{
-		Key:     v.text("key", "loop-key"),
-		Model:   v.text("model", "fit-advisor"),
-		System:  v.text("system", "You advise members on the size of their socks."),
-		History: strings.Repeat(v.text("history", "row "), v.number("rows", 1)),
-		Prompt:  v.text("prompt", "Which size?"),
-		Tokens:  v.number("tokens", 20),
-		Stream:  v.text("stream", "yes") == "yes",
-		Idem:    v["idem"],
-		Timeout: v.duration("timeout"),
-		Service: v["service"],
-		Method:  v["method"],
-		Body:    v["body"],
-		Slow:    v.duration("slow"),
-		LeaveAt: v.number("leave", 0),
-		Narrow:  v.text("narrow", "no") == "yes",
-		Left:    v.duration("left"),
+		Key:              v.text("key", "loop-key"),
+		Model:            v.text("model", "fit-advisor"),
+		System:           v.text("system", "You advise members on the size of their socks."),
+		History:          strings.Repeat(v.text("history", "row "), v.number("rows", 1)),
+		Prompt:           v.text("prompt", "Which size?"),
+		Tokens:           v.number("tokens", 20),
+		Stream:           v.text("stream", "yes") == "yes",
+		IdempotencyKey:   v["idem"],
+		Timeout:          v.duration("timeout"),
+		Service:          v["service"],
+		Method:           v["method"],
+		Body:             v["body"],
+		ReadDelay:        v.duration("slow"),
+		LeaveAfterEvents: v.number("leave", 0),
+		SmallBuffer:      v.text("narrow", "no") == "yes",
+		LeaveAfter:       v.duration("left"),
 	}
 	if from, given := v["after"]; given {
-		before, err := w.call(from)
+		before, err := d.call(from)
 		if err != nil {
 			return r, err
 		}
 		r = before.request
-		r.LeaveAt = 0
+		r.LeaveAfterEvents = 0
 		r.LastEvent = before.lastID
-		r.Prior += before.text
+		r.PriorText += before.text
 		r.Key = v.text("key", r.Key)
 		if altered, given := v["event"]; given {
 			r.LastEvent = altered
 		}
 	}
 	if name, given := v["entry"]; given {
-		p, err := w.process(name)
+		p, err := d.process(name)
 		if err != nil {
 			return r, err
 		}
@@ -85,54 +87,56 @@
 	return r, nil
 }
 
-// send NAME entry=N ... [&]: one caller, in the background with &. With
-// persist=yes it goes on in the background until it is not refused as not run.
-func commandSend(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandSend implements send NAME entry=ENTRY ... [&]: sends a call, in the
+// background with &. With persist=yes it repeats the call in the background until
+// it is not refused as not run.
+func commandSend(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) == 0 {
 		return usage("send NAME entry=ENTRY ... [&]")
 	}
-	r, err := w.readRequest(named)
+	r, err := d.readRequest(named)
 	if err != nil {
 		return err
 	}
 	if named.text("persist", "no") == "yes" {
-		go w.sendUntilRun(plain[0], r)
+		go d.sendUntilRun(plain[0], r)
 		return nil
 	}
 	c := newCall(context.Background(), plain[0], r)
-	w.addCall(c)
+	d.addCall(c)
 	if len(plain) > 1 && plain[1] == "&" {
 		return nil
 	}
-	return c.waitDone(patience)
+	return c.waitDone(conditionTimeout)
 }
 
-// sendUntilRun sends again, as callers do, what is refused as not run. Only the
-// last call keeps the name.
-func (w *world) sendUntilRun(name string, r request) {
-	for limit := time.Now().Add(patience); time.Now().Before(limit); {
+// sendUntilRun repeats a call while it is refused as not run, as real callers do.
+// The name refers to the latest of these calls.
+func (d *deployment) sendUntilRun(name string, r request) {
+	for limit := time.Now().Add(conditionTimeout); time.Now().Before(limit); {
 		c := newCall(context.Background(), name, r)
-		w.addCall(c)
+		d.addCall(c)
 		<-c.done
 		if c.ran != "no" {
 			return
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// load NAME entries=A,B callers=N ...: background callers until halt.
-func commandLoad(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandLoad implements load NAME entries=A,B callers=N ...: sends calls in the
+// background until halt.
+func commandLoad(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) != 1 {
 		return usage("load NAME entries=A,B callers=N ...")
 	}
-	r, err := w.readRequest(named)
+	r, err := d.readRequest(named)
 	if err != nil {
 		return err
 	}
-	w.startLoad(loadPlan{
+	d.startLoad(loadPlan{
 		name: plain[0], callers: named.number("callers", 4), entries: strings.Split(named["entries"], ","), base: r,
 		seed: uint64(named.number("seed", 1)), balanced: named.text("balanced", "no") == "yes",
 		members: named.number("members", defaultMembers), firstMember: named.number("first", 0),
@@ -141,10 +145,10 @@
 	return nil
 }
 
-// halt [NAME...]: background callers, or those named, send no more; their
-// requests end.
-func commandHalt(w *world, arguments []string) error {
-	for _, l := range w.loads {
+// commandHalt implements halt [NAME...]: stops all loads, or those named, and waits
+// until their requests have ended.
+func commandHalt(d *deployment, arguments []string) error {
+	for _, l := range d.loads {
 		if len(arguments) > 0 && !slices.Contains(arguments, l.plan.name) {
 			continue
 		}
@@ -155,32 +159,33 @@
 	return nil
 }
 
-// await NAME...: until the calls have ended.
-func commandWait(w *world, arguments []string) error {
+// commandWait implements await NAME...: waits until the calls have ended.
+func commandWait(d *deployment, arguments []string) error {
 	for _, name := range arguments {
-		c, err := w.call(name)
+		c, err := d.call(name)
 		if err != nil {
 			return err
 		}
-		if err := c.waitDone(patience); err != nil {
+		if err := c.waitDone(conditionTimeout); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// expect NAME [status=N] [ran=R] [code=C] [whole=yes|no] [retry=yes] [cached=some|none] [same=OTHER].
-func commandExpect(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandExpect implements expect NAME [status=N] [ran=R] [code=C] [whole=yes|no]
+// [retry=yes|no] [cached=some|none] [body=TEXT] [open=yes|no]: checks a call.
+func commandExpect(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) != 1 {
 		return usage("expect NAME ...")
 	}
-	c, err := w.call(plain[0])
+	c, err := d.call(plain[0])
 	if err != nil {
 		return err
 	}
 	for name, want := range named {
-		got, err := w.property(c, name)
+		got, err := d.property(c, name)
 		if err != nil {
 			return err
 		}
@@ -191,7 +196,7 @@
 	return nil
 }
 
-func (w *world) property(c *call, name string) (string, error) {
+func (d *deployment) property(c *call, name string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch name {
@@ -204,7 +209,7 @@
 	case "whole":
 		return yesNo(c.finished && c.code == "" && c.err == nil), nil
 	case "retry":
-		return yesNo(c.retry != ""), nil
+		return yesNo(c.retryAfter != ""), nil
 	case "cached":
 		if c.cached > 0 {
 			return "some", nil
@@ -215,7 +220,7 @@
 	case "open":
 		return yesNo(!c.isOver()), nil
 	default:
-		return "", fmt.Errorf("nothing to expect by the name %q", name)
+		return "", fmt.Errorf("unknown property %q", name)
 	}
 }
 
--- a/internal/command/beechscenario/scenario_test.go
+++ b/internal/command/beechscenario/scenario_test.go
@@ -12,7 +12,7 @@
 	"github.com/beechring/beechring/internal/command/beechtrace"
 )
 
-type worldKey struct{}
+type deploymentKey struct{}
 
 const scripts = "../../../scenarios"
 
@@ -20,7 +20,7 @@
 	os.Exit(runTests(m))
 }
 
-// runTests builds the program once for all scenarios.
+// runTests builds the beechring binary once for all tests.
 func runTests(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "beechring")
 	if err != nil {
@@ -28,7 +28,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	if err := takeNetwork(); err != nil {
+	if err := reserveNetwork(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
@@ -43,7 +43,7 @@
 	return m.Run()
 }
 
-// TestScenarios runs every script under scenarios/, side by side.
+// TestScenarios runs every script under scenarios/ in parallel.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(scripts, "*", "*.txtar"))
 	if err != nil || len(files) == 0 {
@@ -52,12 +52,12 @@
 	testscript.Run(t, testscript.Params{
 		Files: files,
 		Setup: func(env *testscript.Env) error {
-			w := newWorld(env.T().(testing.TB), env.WorkDir)
-			env.Values[worldKey{}] = w
+			d := newDeployment(env.T().(testing.TB), env.WorkDir)
+			env.Values[deploymentKey{}] = d
 			env.Defer(func() {
-				w.close()
-				if w.t.Failed() {
-					beechtrace.Show(w.t, env.WorkDir)
+				d.close()
+				if d.t.Failed() {
+					beechtrace.Show(d.t, env.WorkDir)
 				}
 			})
 			env.Setenv("PATH", filepath.Dir(binary)+string(os.PathListSeparator)+os.Getenv("PATH"))
--- a/internal/command/beechscenario/soak_test.go
+++ b/internal/command/beechscenario/soak_test.go
@@ -20,27 +20,27 @@
 )
 
 type (
-	// soak is one random run: failures drawn from a seed, against a small
-	// deployment under load.
+	// soak is one random run against a small deployment under load, with faults
+	// drawn from a seed.
 	soak struct {
-		t      *testing.T
-		world  *world
-		random *rand.Rand
-		active []trouble
-		broken map[string]bool // processes that some trouble is about
-		base   int             // generation applied last
+		t          *testing.T
+		deployment *deployment
+		random     *rand.Rand
+		active     []activeFault
+		broken     map[string]bool // processes that have an active fault
+		base       int             // configuration generation applied last
 	}
 
-	// trouble is a failure that goes on until it is ended.
-	trouble struct {
+	// activeFault is a fault that lasts until its end function is called.
+	activeFault struct {
 		name string
-		at   string // the process that it is about
+		at   string // name of the affected process
 		end  func() error
 	}
 
-	// mischief begins a kind of failure at a process drawn from those of the
-	// given names. A nil end is a failure that is over at once.
-	mischief struct {
+	// faultKind is a kind of fault. begin starts it at a process drawn from
+	// targets; a nil end means that the fault needs no end.
+	faultKind struct {
 		name    string
 		targets []string
 		begin   func(s *soak, target string) (end func() error, err error)
@@ -49,45 +49,45 @@
 
 const (
 	soakSteps = 24
-	// weightsLast is how many generations one weights version lasts.
-	weightsLast = 2
-	mostActive  = 2  // failures at once: single and in pairs, as the brief says
-	stepCalls   = 12 // calls that end between two steps, where any can
-	// stepLimit ends a step where nothing can go on until a failure ends.
-	stepLimit = 700 * time.Millisecond
-	// callerLeaves is longer than anything here takes: a call that needs more
-	// got no end.
-	callerLeaves = 15 * time.Second
+	// generationsPerWeights is the number of generations per weights version.
+	generationsPerWeights = 2
+	maxActiveFaults       = 2  // requirement: faults occur alone and in pairs
+	stepCalls             = 12 // calls that end between two steps, unless stepTimeout passes first
+	// stepTimeout ends a step in which no call can end before a fault ends.
+	stepTimeout = 700 * time.Millisecond
+	// soakCallerTimeout exceeds the longest expected call, so that a call that
+	// reaches it counts as never ended.
+	soakCallerTimeout = 15 * time.Second
 )
 
 var (
-	seedCount = flag.Int("seeds", 0, "random runs with seeds from the clock, instead of the fixed ones")
-	oneSeed   = flag.Uint64("seed", 0, "the seed of one random run to be played again")
+	seedCount = flag.Int("seeds", 0, "number of random runs with seeds from the clock, instead of the fixed seeds")
+	oneSeed   = flag.Uint64("seed", 0, "seed of one random run to reproduce")
 
-	// fixedSeeds run in CI. Every seed that found a fault is added here.
+	// fixedSeeds run in CI. Each seed that revealed a fault is added here.
 	fixedSeeds = []uint64{
 		246184284,
 		1, 2, 3, 244692815, 244692816, 244692820, 244692822, 244692829, 244692834,
 	}
 
-	agentsOfEngines = []string{"e1", "e2", "e3"}
-	allAgents       = []string{"e1", "e2", "e3", "s1"}
-	soakEntries     = []string{"n1", "n2"}
-	allRoles        = []string{"e1", "e2", "e3", "s1", "n1", "n2"}
+	engineAgents = []string{"e1", "e2", "e3"}
+	allAgents    = []string{"e1", "e2", "e3", "s1"}
+	soakEntries  = []string{"n1", "n2"}
+	allHosts     = []string{"e1", "e2", "e3", "s1", "n1", "n2"}
 
-	mischiefs = []mischief{
-		{"kill", allRoles, beginKill},
-		{"freeze", append([]string{"platform"}, allRoles...), beginFreeze},
-		{"stop", allRoles, beginStop},
+	faultKinds = []faultKind{
+		{"kill", allHosts, beginKill},
+		{"freeze", append([]string{"platform"}, allHosts...), beginFreeze},
+		{"stop", allHosts, beginStop},
 		{"cut once", allAgents, beginCutOnce},
 		{"cut", allAgents, beginCut},
-		{"silent link", allAgents, beginSilent},
-		{"engine crash", agentsOfEngines, beginEngineCrash},
-		{"engine killed", agentsOfEngines, beginEngineKill},
-		{"engine frozen", agentsOfEngines, beginEngineFreeze},
-		{"engine crossed", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultCross, Count: 2})},
-		{"engine busy", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultBusy, Count: 4})},
-		{"events lost", agentsOfEngines, engineFault(beechengine.Fault{Kind: beechengine.FaultLoseEvents, Count: 20})},
+		{"stalled link", allAgents, beginStalledLink},
+		{"engine crash", engineAgents, beginEngineCrash},
+		{"engine killed", engineAgents, beginEngineKill},
+		{"engine frozen", engineAgents, beginEngineFreeze},
+		{"engine crossed", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultCross, Count: 2})},
+		{"engine busy", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultBusy, Count: 4})},
+		{"events lost", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultLoseEvents, Count: 20})},
 		{"service drops replies", []string{"s1"}, serviceFault(beechservice.Fault{Kind: beechservice.FaultDropReply, Count: 3})},
 		{"service busy", []string{"s1"}, serviceFault(beechservice.Fault{Kind: beechservice.FaultBusy, Count: 3})},
 		{"service crash", []string{"s1"}, serviceFault(beechservice.Fault{Kind: beechservice.FaultCrash, PauseMillis: 200})},
@@ -97,12 +97,13 @@
 		{"platform loses replies", []string{"platform"}, platformFault(beechplatform.Fault{LoseReplies: 4})},
 		{"platform loses writes", []string{"platform"}, platformFault(beechplatform.Fault{LoseWrites: 4})},
 		{"leases end", []string{"platform"}, platformFault(beechplatform.Fault{ExpireLeases: true})},
-		{"configuration", []string{"platform"}, beginApply},
+		{"configuration", []string{"platform"}, beginConfigurationChange},
 	}
 )
 
-// TestSoak mixes all failures from a seed that it prints, and checks at the end
-// what must hold. One seed is played again by -seed N, many are run by -seeds N.
+// TestSoak injects a random sequence of all kinds of faults, and checks at the
+// end that the deployment recovers and the invariants hold. It logs the seed;
+// -seed N reproduces one run, and -seeds N runs N new seeds.
 func TestSoak(t *testing.T) {
 	for _, seed := range soakSeeds() {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -128,12 +129,12 @@
 }
 
 func runSoak(t *testing.T, seed uint64) {
-	t.Logf("play again: go test -count=1 -run TestSoak ./internal/command/beechscenario -seed %d", seed)
+	t.Logf("reproduce with: go test -count=1 -run TestSoak ./internal/command/beechscenario -seed %d", seed)
 	s := &soak{
-		t: t, world: newWorld(t, beechtrace.Folder(t)), random: rand.New(rand.NewPCG(seed, 0)),
+		t: t, deployment: newDeployment(t, beechtrace.Folder(t)), random: rand.New(rand.NewPCG(seed, 0)),
 		broken: map[string]bool{}, base: 1,
 	}
-	defer s.world.close()
+	defer s.deployment.close()
 	s.must("deploy", s.deploy())
 	s.startLoads(seed)
 	for range soakSteps {
@@ -165,7 +166,7 @@
 		{"until", "serving", "n2", "4"},
 	}
 	for _, step := range steps {
-		if err := commands[step[0]](s.world, step[1:]); err != nil {
+		if err := commands[step[0]](s.deployment, step[1:]); err != nil {
 			return fmt.Errorf("%v: %w", step, err)
 		}
 	}
@@ -175,7 +176,7 @@
 func (s *soak) startLoads(seed uint64) {
 	base := request{
 		Key: "loop-key", Model: "fit-advisor", System: "You advise members on the size of their socks.",
-		History: "row row row ", Prompt: "Which size?", Tokens: 30, Stream: true, Left: callerLeaves,
+		History: "row row row ", Prompt: "Which size?", Tokens: 30, Stream: true, LeaveAfter: soakCallerTimeout,
 	}
 	plan := loadPlan{entries: soakEntries, members: defaultMembers, seed: seed}
 	add := func(name string, callers int, change func(p *loadPlan)) {
@@ -183,7 +184,7 @@
 		p.name, p.callers, p.base = name, callers, base
 		p.base.Prompt = name
 		change(&p)
-		s.world.startLoad(p)
+		s.deployment.startLoad(p)
 	}
 	add("streams", 4, func(_ *loadPlan) {})
 	add("plain", 2, func(p *loadPlan) { p.base.Stream = false })
@@ -194,24 +195,24 @@
 	add("parcels", 3, func(p *loadPlan) { p.base.Service, p.repeat = "shipping/shipments", true })
 }
 
-// step begins a failure or ends one, and lets the load go on for a while.
+// step begins or ends a fault, then waits for stepCalls calls to end.
 func (s *soak) step() {
 	s.t.Helper()
-	if len(s.active) == mostActive || len(s.active) > 0 && s.random.IntN(2) == 0 {
+	if len(s.active) == maxActiveFaults || len(s.active) > 0 && s.random.IntN(2) == 0 {
 		s.must("end a failure", s.endOne(s.random.IntN(len(s.active))))
 	} else {
 		s.begin()
 	}
-	ended := len(s.world.allCalls())
-	limit := time.Now().Add(stepLimit)
-	for len(s.world.allCalls()) < ended+stepCalls && time.Now().Before(limit) {
-		time.Sleep(pollPause)
+	ended := len(s.deployment.endedCalls())
+	limit := time.Now().Add(stepTimeout)
+	for len(s.deployment.endedCalls()) < ended+stepCalls && time.Now().Before(limit) {
+		time.Sleep(pollInterval)
 	}
 }
 
 func (s *soak) begin() {
 	s.t.Helper()
-	m := mischiefs[s.random.IntN(len(mischiefs))]
+	m := faultKinds[s.random.IntN(len(faultKinds))]
 	target := m.targets[s.random.IntN(len(m.targets))]
 	if s.broken[target] {
 		return
@@ -221,7 +222,7 @@
 	s.must(m.name+" at "+target, err)
 	if end != nil {
 		s.broken[target] = true
-		s.active = append(s.active, trouble{name: m.name, at: target, end: end})
+		s.active = append(s.active, activeFault{name: m.name, at: target, end: end})
 	}
 }
 
@@ -239,13 +240,13 @@
 			return err
 		}
 	}
-	return s.endCounted()
+	return s.clearServiceFaults()
 }
 
-// endCounted ends the service's faults that are told in calls: with little
-// load towards the end some would be left for the calls of recover, which then
-// are truly told that nobody knows.
-func (s *soak) endCounted() error {
+// clearServiceFaults clears the service's faults that apply to a number of calls.
+// Under low load at the end of a run, some could remain and affect the calls of
+// recover, which would then correctly report an unknown outcome.
+func (s *soak) clearServiceFaults() error {
 	for _, kind := range []beechservice.FaultKind{beechservice.FaultDropReply, beechservice.FaultBusy} {
 		if _, err := serviceFault(beechservice.Fault{Kind: kind, Count: 0})(s, "s1"); err != nil {
 			return err
@@ -254,50 +255,52 @@
 	return nil
 }
 
-// recover checks that everything serves again once nothing is broken any more:
-// each entry host reaches each server, with the newest configuration in force.
+// recover stops the loads and checks that the deployment serves again after all
+// faults have ended: each entry host reaches each server, and the newest
+// configuration is in force.
 func (s *soak) recover() error {
-	w := s.world
-	for _, l := range w.loads {
+	d := s.deployment
+	for _, l := range d.loads {
 		if err := l.halt(); err != nil {
 			return err
 		}
 	}
 	for _, entry := range soakEntries {
-		if err := commandUntil(w, []string{"serving", entry, "4"}); err != nil {
+		if err := commandUntil(d, []string{"serving", entry, "4"}); err != nil {
 			return err
 		}
 	}
-	if err := commandUntil(w, append([]string{"generation", fmt.Sprint(s.base)}, allRoles...)); err != nil {
+	if err := commandUntil(d, append([]string{"generation", fmt.Sprint(s.base)}, allHosts...)); err != nil {
 		return err
 	}
 	for i, entry := range soakEntries {
-		if err := s.askLast(fmt.Sprintf("last-%d", i), entry); err != nil {
+		if err := s.sendAfterRecovery(fmt.Sprintf("last-%d", i), entry); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// askLast asks as callers do: a refusal as not run, as a server that has just
-// come back may still give, is followed by the same call again.
-func (s *soak) askLast(name, entry string) error {
+// sendAfterRecovery sends a completion and a service request. Like a real caller,
+// it repeats a request that was refused as not run, which a server that has just
+// restarted may still do.
+func (s *soak) sendAfterRecovery(name, entry string) error {
 	parcel := name + "-parcel"
 	calls := [][]string{
 		{name, "entry=" + entry, "prompt=" + name, "persist=yes"},
 		{parcel, "entry=" + entry, "service=shipping/shipments", "body=" + parcel, "idem=" + parcel, "persist=yes"},
 	}
 	for _, call := range calls {
-		if err := commandSend(s.world, call); err != nil {
+		if err := commandSend(s.deployment, call); err != nil {
 			return err
 		}
-		if err := commandUntil(s.world, []string{"persisted", call[0]}); err != nil {
-			if c, callErr := s.world.call(call[0]); callErr == nil {
-				return fmt.Errorf("%w: over %t, %s", err, c.isOver(), c.describe())
+		if err := commandUntil(s.deployment, []string{"persisted", call[0]}); err != nil {
+			if c, callErr := s.deployment.call(call[0]); callErr == nil {
+				return fmt.Errorf("%w: ended %t, %s", err, c.isOver(), c.describe())
 			}
 			return err
 		}
-		if err := commandExpect(s.world, []string{call[0], "status=200", "whole=yes"}); err != nil {
+		if err := commandExpect(s.deployment, []string{call[0], "status=200", "whole=yes"}); err != nil {
 			return err
 		}
 	}
@@ -307,12 +310,12 @@
 func (s *soak) check() {
 	s.t.Helper()
 	for _, name := range []string{"whole", "once", "notrun", "told", "isolated", "monotone", "fenced", "settled"} {
-		if err := invariants[name](s.world); err != nil {
+		if err := invariants[name](s.deployment); err != nil {
 			s.t.Errorf("%s does not hold: %v", name, err)
 		}
 	}
 	served, refused, other := 0, 0, 0
-	for _, c := range s.world.allCalls() {
+	for _, c := range s.deployment.endedCalls() {
 		switch {
 		case c.status == http.StatusOK && c.code == "" && c.err == nil:
 			served++
@@ -322,40 +325,40 @@
 			other++
 		}
 	}
-	s.t.Logf("%d calls: %d served, %d refused as not run, %d broken off or unknown", served+refused+other, served, refused, other)
+	s.t.Logf("%d calls: %d served, %d refused as not run, %d interrupted or unknown", served+refused+other, served, refused, other)
 }
 
 func beginKill(s *soak, name string) (func() error, error) {
-	return func() error { return s.world.restart(name) }, s.world.kill(name)
+	return func() error { return s.deployment.restart(name) }, s.deployment.kill(name)
 }
 
-// beginStop replaces a process gracefully.
+// beginStop stops a process gracefully.
 func beginStop(s *soak, name string) (func() error, error) {
-	return func() error { return s.world.restart(name) }, s.world.stop(name)
+	return func() error { return s.deployment.restart(name) }, s.deployment.stop(name)
 }
 
 func beginFreeze(s *soak, name string) (func() error, error) {
-	return func() error { return s.world.signal(name, syscall.SIGCONT) }, s.world.signal(name, syscall.SIGSTOP)
+	return func() error { return s.deployment.signal(name, syscall.SIGCONT) }, s.deployment.signal(name, syscall.SIGSTOP)
 }
 
 func beginCutOnce(s *soak, name string) (func() error, error) {
-	s.world.cutters[name].cut(false)
+	s.deployment.proxies[name].cut(false)
 	return nil, nil
 }
 
 func beginCut(s *soak, name string) (func() error, error) {
-	s.world.cutters[name].cut(true)
-	return s.mend(name), nil
+	s.deployment.proxies[name].cut(true)
+	return s.restore(name), nil
 }
 
-func beginSilent(s *soak, name string) (func() error, error) {
-	s.world.cutters[name].hush(inward, outward)
-	return s.mend(name), nil
+func beginStalledLink(s *soak, name string) (func() error, error) {
+	s.deployment.proxies[name].stall(toProcess, fromProcess)
+	return s.restore(name), nil
 }
 
-func (s *soak) mend(name string) func() error {
+func (s *soak) restore(name string) func() error {
 	return func() error {
-		s.world.cutters[name].mend()
+		s.deployment.proxies[name].restore()
 		return nil
 	}
 }
@@ -366,7 +369,7 @@
 }
 
 func beginEngineKill(s *soak, name string) (func() error, error) {
-	return func() error { return s.world.restart(name + ".engine") }, s.world.kill(name + ".engine")
+	return func() error { return s.deployment.restart(name + ".engine") }, s.deployment.kill(name + ".engine")
 }
 
 func beginEngineFreeze(s *soak, name string) (func() error, error) {
@@ -388,33 +391,33 @@
 }
 
 func (s *soak) fault(name string, fault any) error {
-	p, err := s.world.process(name)
+	p, err := s.deployment.process(name)
 	if err != nil {
 		return err
 	}
 	err = postJSON(p.address, "/standin/fault", fault)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil // the stand-in is down just now
+		return nil // the stand-in is not running at the moment
 	}
 	return err
 }
 
-// beginApply puts the next generation in force, or a second change from the same
-// base, which must be told that it lost.
-func beginApply(s *soak, _ string) (func() error, error) {
-	manifest := usualManifest()
-	manifest.Models[0].Weights = fmt.Sprint(1 + s.base/weightsLast)
+// beginConfigurationChange applies the next generation, and then a second change
+// from the same base, which must fail with a conflict.
+func beginConfigurationChange(s *soak, _ string) (func() error, error) {
+	manifest := defaultManifest()
+	manifest.Models[0].Weights = fmt.Sprint(1 + s.base/generationsPerWeights)
 	data, err := beechmanifest.Encode(manifest)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(s.world.dir+"/again.json", data, 0o644); err != nil {
+	if err := os.WriteFile(s.deployment.dir+"/again.json", data, 0o644); err != nil {
 		return nil, err
 	}
 	base := fmt.Sprintf("base=%d", s.base)
-	if err := commandApply(s.world, []string{"again.json", base}); err != nil {
+	if err := commandApply(s.deployment, []string{"again.json", base}); err != nil {
 		return nil, err
 	}
 	s.base++
-	return nil, commandApply(s.world, []string{"again.json", base, "expect=conflict"})
+	return nil, commandApply(s.deployment, []string{"again.json", base, "expect=conflict"})
 }
--- a/internal/command/beechscenario/wire_test.go
+++ b/internal/command/beechscenario/wire_test.go
@@ -14,24 +14,24 @@
 	"time"
 )
 
-// badInput is what a broken or hostile client writes to an entry host.
+// badInput is the input of a faulty or hostile client to an entry host.
 type badInput struct {
-	head string // header lines beside the usual ones
+	head string // additional header lines
 	body []byte
-	// announced is the Content-Length; the body's own if it is 0. A larger one
-	// makes a client that never sends the rest.
+	// announced is the Content-Length; 0 means the length of the body. A larger
+	// value simulates a client that never sends the rest.
 	announced int
-	raw       []byte // written as it is, instead of a request
+	raw       []byte // written unchanged instead of a request
 }
 
 const (
-	largeBody   = 2 << 20 // entry hosts of the scenarios take 1 MiB
-	largeHeader = 64 << 10
-	noiseBytes  = 8 << 10
-	linkOpening = "BEECHLNK"
+	largeBody    = 2 << 20 // entry hosts of the scenarios accept 1 MiB
+	largeHeader  = 64 << 10
+	noiseBytes   = 8 << 10
+	linkPreamble = "BEECHLNK"
 )
 
-// badInputs by the names that scripts use.
+// badInputs maps the names that scripts use to inputs.
 var badInputs = map[string]badInput{
 	"malformed":  {body: []byte(`{"model":"fit-advisor","messages":[`)},
 	"wrongtype":  {body: []byte(`{"model":7,"messages":"none"}`)},
@@ -46,31 +46,31 @@
 	"nothttp":    {raw: []byte("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n")},
 }
 
-// wire ENTRY KIND status=N [code=C] [ran=R]: bad input written to an entry
-// host's socket, and what comes back.
-func commandWire(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandWire implements wire ENTRY KIND status=N [code=C] [ran=R]: writes a bad
+// input to an entry host's socket and checks the response.
+func commandWire(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) != 2 {
 		return usage("wire ENTRY KIND status=N [code=C] [ran=R]")
 	}
-	p, err := w.process(plain[0])
+	p, err := d.process(plain[0])
 	if err != nil {
 		return err
 	}
 	input, known := badInputs[plain[1]]
 	if !known {
-		return fmt.Errorf("no bad input %q", plain[1])
+		return fmt.Errorf("unknown bad input %q", plain[1])
 	}
 	conn, err := net.Dial("tcp", p.address.String())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(conditionTimeout))
 	go func() { _, _ = conn.Write(input.bytes()) }()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		return fmt.Errorf("%s: no answer: %w", plain[1], err)
+		return fmt.Errorf("%s: no response: %w", plain[1], err)
 	}
 	defer response.Body.Close()
 	body, _ := io.ReadAll(response.Body)
@@ -105,15 +105,16 @@
 	return nil
 }
 
-// noise PROCESS seed=N count=N: so many connections with random bytes at an
-// agent's link port or an entry's port, some behind the right opening words and
-// some behind a frame length that is a lie.
-func commandNoise(w *world, arguments []string) error {
-	plain, named := readValues(arguments)
+// commandNoise implements noise PROCESS [seed=N] [count=N]: opens connections to an
+// agent's link port or an entry host's port and writes random bytes. Some start
+// with the correct link preamble, some also with a frame length, which may be
+// wrong.
+func commandNoise(d *deployment, arguments []string) error {
+	plain, named := parseArguments(arguments)
 	if len(plain) != 1 {
 		return usage("noise PROCESS [seed=N] [count=N]")
 	}
-	p, err := w.process(plain[0])
+	p, err := d.process(plain[0])
 	if err != nil {
 		return err
 	}
@@ -135,18 +136,18 @@
 	case 0:
 		return junk
 	case 1:
-		return append([]byte(linkOpening), junk...)
+		return append([]byte(linkPreamble), junk...)
 	case 2:
-		length := be.BigEndian.AppendUint32([]byte(linkOpening), random.Uint32())
+		length := be.BigEndian.AppendUint32([]byte(linkPreamble), random.Uint32())
 		return append(length, junk...)
 	default:
-		length := be.BigEndian.AppendUint32([]byte(linkOpening), uint32(len(junk)))
+		length := be.BigEndian.AppendUint32([]byte(linkPreamble), uint32(len(junk)))
 		return append(length, junk...)
 	}
 }
 
-// writeNoise writes and reads until the process closes the connection or has
-// nothing to say to half a message.
+// writeNoise writes the data and reads until the process closes the connection, or
+// for one second, as a process may wait for the rest of an incomplete message.
 func writeNoise(p *process, data []byte) error {
 	conn, err := net.Dial("tcp", p.address.String())
 	if err != nil {
