--- a/internal/command/beechscenario/invariants_test.go
+++ b/internal/command/beechscenario/invariants_test.go
@@ -289,7 +289,7 @@
 
 // engineHasModel reports whether an engine has a model loaded.
 func (d *deployment) engineHasModel(engine, model string) bool {
-	var report beechengine.Report
+	var report beechengine.LoadReport
 	return d.readStandin(engine, "/load", &report) == nil && slices.Contains(report.Models, model)
 }
 
--- a/internal/command/beechscenario/soak_test.go
+++ b/internal/command/beechscenario/soak_test.go
@@ -85,7 +85,7 @@
 		{"engine crash", engineAgents, beginEngineCrash},
 		{"engine killed", engineAgents, beginEngineKill},
 		{"engine frozen", engineAgents, beginEngineFreeze},
-		{"engine crossed", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultCross, Count: 2})},
+		{"engine crossed", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultWrongID, Count: 2})},
 		{"engine busy", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultBusy, Count: 4})},
 		{"events lost", engineAgents, engineFault(beechengine.Fault{Kind: beechengine.FaultLoseEvents, Count: 20})},
 		{"service drops replies", []string{"s1"}, serviceFault(beechservice.Fault{Kind: beechservice.FaultDropReply, Count: 3})},
--- a/internal/link/beechbeat/beat_test.go
+++ b/internal/link/beechdatagram/datagram_test.go
@@ -1,4 +1,4 @@
-package beechbeat
+package beechdatagram
 
 import (
 	"context"
@@ -29,7 +29,7 @@
 	Entries{&beechwire.Entries{After: 4, Revision: 6, List: []beechwire.Entry{{Key: "servers/i-1", Value: []byte("{}"), Revision: 6, Created: 2}}}},
 }
 
-func TestMessagesComeAsTheyWereSent(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, m := range messages {
 		data, err := Encode(m)
@@ -39,57 +39,57 @@
 		is.Equal(reflect.TypeOf(got), reflect.TypeOf(m))
 		again, err := Encode(got)
 		is.NoErr(err)
-		is.Equal(again, data) // an empty list comes as none
+		is.Equal(again, data) // compares encodings, since an empty list is decoded as nil
 	}
 }
 
-// A keeper's word goes to each gate several times a second, and to other zones
-// bytes are paid for. With field names it took 250.
-func TestKeepersWordIsSmall(t *testing.T) {
+// A keeper sends its Tell to each gate several times a second, and traffic to other
+// zones is billed by the byte. With field names the message took 250 bytes.
+func TestTellIsSmall(t *testing.T) {
 	is := is.New(t)
 	data, err := Encode(messages[2])
 	is.NoErr(err)
 	is.True(len(data) <= 64)
 }
 
-// Releases run side by side while a fleet is upgraded, and anything may be sent to
-// an open port. What is not known is passed over and counted, and the words after
-// it are heard.
-func TestUnknownDatagramsArePassedOver(t *testing.T) {
+// During a rolling upgrade other releases may send unknown kinds of messages, and any
+// process may send garbage to an open port. Such datagrams must be skipped and counted
+// without losing the valid ones after them.
+func TestUnknownDatagramsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	heard := make(chan Message, 1)
-	go func() { _ = s.Receive(ctx, func(_ netip.AddrPort, m Message) { heard <- m }) }()
+	received := make(chan Message, 1)
+	go func() { _ = s.Receive(ctx, func(_ netip.AddrPort, m Message) { received <- m }) }()
 	known, err := Encode(messages[4])
 	is.NoErr(err)
 	longer, err := Encode(messages[4])
 	is.NoErr(err)
-	longer[1]++ // an array of one field more
+	longer[1]++ // the array claims one more field than it has
 	for _, data := range [][]byte{{}, {'t', 0x81}, {'I'}, longer, known[:len(known)-1], {0xff, 0xff}, known} {
 		_, err := s.conn.WriteToUDPAddrPort(data, s.Address())
 		is.NoErr(err)
 	}
 	select {
-	case m := <-heard:
+	case m := <-received:
 		is.True(reflect.DeepEqual(m, messages[4]))
 	case <-time.After(5 * time.Second):
-		t.Fatal("the known word is not heard")
+		t.Fatal("the valid datagram was not received within 5 s")
 	}
-	is.Equal(s.Malformed(), int64(6))
+	is.Equal(s.MalformedCount(), int64(6))
 }
 
-func TestBytesAreCountedByKindAndWay(t *testing.T) {
+func TestSentBytesByKindAndScope(t *testing.T) {
 	is := is.New(t)
 	s, err := Open(netip.MustParseAddrPort("127.0.0.1:0"))
 	is.NoErr(err)
 	defer s.Close()
-	is.NoErr(s.Send(s.Address(), Far, messages[4]))
-	is.NoErr(s.Send(s.Address(), Near, messages[4]))
-	is.NoErr(s.Send(s.Address(), Near, messages[4]))
-	is.Equal(s.Sent().String(), `{"inquiry far": 3, "inquiry near": 6}`)
+	is.NoErr(s.Send(s.Address(), CrossZone, messages[4]))
+	is.NoErr(s.Send(s.Address(), SameZone, messages[4]))
+	is.NoErr(s.Send(s.Address(), SameZone, messages[4]))
+	is.Equal(s.SentBytes().String(), `{"inquiry far": 3, "inquiry near": 6}`)
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/process/beechgate/gate.go
+++ b/internal/process/beechgate/gate.go
@@ -22,8 +22,8 @@
 	"github.com/beechring/beechring/internal/decision/beechsaturation"
 	"github.com/beechring/beechring/internal/decision/beechsuspect"
 	"github.com/beechring/beechring/internal/decision/beechthrottle"
-	"github.com/beechring/beechring/internal/link/beechbeat"
-	"github.com/beechring/beechring/internal/link/beechguard"
+	"github.com/beechring/beechring/internal/link/beechdatagram"
+	"github.com/beechring/beechring/internal/link/beechframing"
 	"github.com/beechring/beechring/internal/link/beechpool"
 	"github.com/beechring/beechring/internal/process/beechlog"
 	"github.com/beechring/beechring/internal/process/beechsettings"
@@ -75,7 +75,7 @@
 		overloaded     *beechsaturation.Tracker // servers that reject requests
 		otherZones     *roster                  // gates of the other zones
 		core           *beechattempt.Dispatcher
-		socket         *beechbeat.Socket
+		socket         *beechdatagram.Socket
 		peers          *beechreader.Group // gates of this zone, which share their reads of the store
 		operatorMirror *beechmirror.Mirror
 		serverMirror   *beechmirror.Mirror
@@ -137,7 +137,7 @@
 
 // New returns a gate that is bound to its heartbeat address. It serves once Run is called.
 func New(s *beechsettings.Gate, deps Dependencies) (*Gate, error) {
-	socket, err := beechbeat.Open(s.Beats)
+	socket, err := beechdatagram.Open(s.Beats)
 	if err != nil {
 		return nil, err
 	}
@@ -219,16 +219,16 @@
 	}
 	server := &http.Server{
 		Handler: door, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: headerTimeout,
-		ConnContext: beechguard.Context, ErrorLog: zap.NewStdLog(g.log),
+		ConnContext: beechframing.ConnContext, ErrorLog: zap.NewStdLog(g.log),
 	}
 	idle := newIdleTimeouts(g.clock, g.idleTimeout)
 	server.ConnState = func(c net.Conn, state http.ConnState) {
-		beechguard.State(c, state)
+		beechframing.ConnState(c, state)
 		idle.trackState(c, state)
 	}
 	readyServer := &http.Server{Handler: ready, ReadHeaderTimeout: headerTimeout, ErrorLog: zap.NewStdLog(g.log)}
 	failed := make(chan error, 2)
-	go func() { failed <- server.Serve(beechguard.Listen(callerListener)) }()
+	go func() { failed <- server.Serve(beechframing.Listen(callerListener)) }()
 	go func() { failed <- readyServer.Serve(readyListener) }()
 	supervised := g.supervisor.ServeBackground(background)
 	g.log.Info("gate started", zap.Stringer("listen", g.settings.Listen), zap.String("zone", g.settings.Zone))
@@ -284,7 +284,7 @@
 		}
 		store := stores[next%len(stores)]
 		next++
-		err := g.deps.Pool.Reach(ctx, store)
+		err := g.deps.Pool.Probe(ctx, store)
 		if err != nil {
 			g.placer.KVStoreFailed(store)
 		}
@@ -302,13 +302,13 @@
 		if slow := slowEngines(g.placer.Paces()); len(slow) > 0 {
 			g.log.Info("engines slower than the median", zap.Any("times", slow))
 		}
-		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.Sent()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
+		g.log.Info("traffic", beechlog.Counts("datagrams", g.socket.SentBytes()), beechlog.Counts("bodies", g.metrics.bodies), beechlog.Counts("store", g.deps.StoreUse))
 	})
 }
 
 func (g *Gate) tick(ctx context.Context) error {
 	return beechtask.Every(ctx, g.clock, tickInterval, func() {
 		g.health.Tick()
-		g.deps.Pool.Sweep()
+		g.deps.Pool.CloseExpired()
 	})
 }
