--- a/internal/link/beechwire/bench_test.go
+++ b/internal/link/beechwire/bench_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// BenchmarkChanges encodes and decodes an agent's answer to the question what
-// has changed in its engine's cache.
+// BenchmarkChanges encodes and decodes an agent's reply to ChangesAsk.
 func BenchmarkChanges(b *testing.B) {
 	const count = 4
 	changes := Changes{Incarnation: 1 << 60, Next: 1 << 30}
@@ -27,8 +26,7 @@
 	b.ReportMetric(float64(len(data))/count, "B/change")
 }
 
-// BenchmarkMembers encodes what an entry host leaves with agents of the other
-// processes.
+// BenchmarkMembers encodes the list of processes that an entry host stores at agents.
 func BenchmarkMembers(b *testing.B) {
 	const count = 400
 	var state Snapshot
--- a/internal/link/beechwire/tag.go
+++ b/internal/link/beechwire/tag.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Tag stands for a request and its attempt in messages that are too small for
-// both. It is never 0.
+// Tag returns a checksum that identifies a request and its attempt in messages that are
+// too small for the request ID. It is never 0.
 func Tag(requestID string, attempt int) uint32 {
 	b := append([]byte(requestID), ' ')
 	b = strconv.AppendInt(b, int64(attempt), 10)
--- a/internal/link/beechwire/wire_gen.go
+++ b/internal/link/beechwire/wire_gen.go
@@ -6,29 +6,30 @@
 
 package beechwire
 
-// Announce is the datagram by which a gate tells a keeper of a prompt that it has
-// just sent to the keeper's engine, and that is news for the engine.
+// Announce is the datagram in which a gate tells a keeper that it has just sent
+// its engine a prompt that the engine does not have in its cache.
 type Announce struct {
-	// The engine will send them to the store of kept KV cache too.
+	// The engine will also save them to the external KV cache store.
 	Kept bool `msg:"Kept"`
 
-	// Keys of the shared parts that the engine will hold then.
+	// Keys of the shared prefix blocks that the engine's cache will hold afterwards.
 	Parts []uint64 `msg:"Parts"`
 
-	// Tokens that the engine will probably have to read.
+	// Tokens that the engine will probably have to prefill.
 	Read int `msg:"Read"`
 }
 
-// Beat goes both ways as the sign of life. It carries what changed since the
-// sender's last one on the connection; the first carries everything.
+// Beat is the heartbeat message, sent in both directions. The first Beat on a
+// connection carries the whole state, each later one what has changed since the
+// Beat before.
 type Beat struct {
-	// The other side answers with a Beat at once.
+	// The other side replies with a Beat immediately.
 	Ask *bool `msg:"Ask,omitempty"`
 
 	// Entries corresponds to the JSON schema field "Entries".
 	Entries *int `msg:"Entries,omitempty"`
 
-	// Time between the sender's beats while nothing is outstanding.
+	// Interval of the sender's beats while nothing is outstanding.
 	EveryMillis *int64 `msg:"EveryMillis,omitempty"`
 
 	// Generation corresponds to the JSON schema field "Generation".
@@ -53,7 +54,7 @@
 	Suspects []Suspect `msg:"Suspects,omitempty"`
 }
 
-// Body carries a piece of the request's body, entry to agent.
+// Body carries a chunk of the request body, from entry to agent.
 type Body struct {
 	// Data corresponds to the JSON schema field "Data".
 	Data []byte `msg:"Data"`
@@ -62,13 +63,13 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// Bye is sent before a side closes a link on purpose.
+// Bye announces that the sender is about to close the link.
 type Bye struct {
 	// Reason corresponds to the JSON schema field "Reason".
 	Reason string `msg:"Reason"`
 }
 
-// Call asks the other side one question; Result answers it.
+// Call is a remote procedure call to the other side; Result is the reply.
 type Call struct {
 	// Call corresponds to the JSON schema field "Call".
 	Call uint64 `msg:"Call"`
@@ -76,15 +77,15 @@
 	// A Method constant of this package.
 	Method string `msg:"Method"`
 
-	// Further pieces of the payload follow.
+	// Further parts of the payload follow.
 	More bool `msg:"More"`
 
-	// The method's message in msgpack, or a piece of it.
+	// The method's message in msgpack, or a part of it.
 	Payload []byte `msg:"Payload"`
 }
 
-// Cancel ends a stream early, entry to agent. Detached leaves the generation
-// running for its grace time.
+// Cancel ends a stream early; from entry to agent. With Detached, the generation
+// continues for its grace period.
 type Cancel struct {
 	// Detached corresponds to the JSON schema field "Detached".
 	Detached bool `msg:"Detached"`
@@ -93,7 +94,7 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// Change is a prefix that has come into an engine's cache or queue, or gone.
+// Change is a prefix that was added to an engine's cache or queue, or removed.
 type Change struct {
 	// Held corresponds to the JSON schema field "Held".
 	Held bool `msg:"Held"`
@@ -105,13 +106,13 @@
 	Tokens int `msg:"Tokens"`
 }
 
-// Changes answers ChangesAsk. With All, what is not in the list is to be
-// forgotten. Next is the version to ask with next.
+// Changes is the reply to ChangesAsk. With All, the list replaces everything known
+// before. Next is the version for the next ChangesAsk.
 type Changes struct {
 	// All corresponds to the JSON schema field "All".
 	All bool `msg:"All"`
 
-	// Of the agent.
+	// Incarnation of the agent.
 	Incarnation uint64 `msg:"Incarnation"`
 
 	// List corresponds to the JSON schema field "List".
@@ -121,8 +122,8 @@
 	Next uint64 `msg:"Next"`
 }
 
-// ChangesAsk asks an agent what has come into its engine's cache, and gone, since
-// a version; 0 asks for everything.
+// ChangesAsk asks an agent what was added to and evicted from its engine's cache
+// since a version; 0 asks for the whole contents.
 type ChangesAsk struct {
 	// After corresponds to the JSON schema field "After".
 	After uint64 `msg:"After"`
@@ -134,7 +135,7 @@
 	// AfterMillis corresponds to the JSON schema field "AfterMillis".
 	AfterMillis int64 `msg:"AfterMillis"`
 
-	// Where the first request runs, or empty.
+	// Agent that runs the first request, or empty.
 	Agent string `msg:"Agent"`
 
 	// Answer corresponds to the JSON schema field "Answer".
@@ -143,7 +144,7 @@
 	// ContentType corresponds to the JSON schema field "ContentType".
 	ContentType string `msg:"ContentType"`
 
-	// Of the first request under the key.
+	// Request ID of the first request with the key.
 	RequestID string `msg:"RequestID"`
 
 	// State corresponds to the JSON schema field "State".
@@ -156,7 +157,7 @@
 	Token string `msg:"Token"`
 }
 
-// ClaimAsk asks for the token to run a request that may not be repeated.
+// ClaimAsk asks for the token to execute a request that must not be repeated.
 type ClaimAsk struct {
 	// BodyHash corresponds to the JSON schema field "BodyHash".
 	BodyHash []byte `msg:"BodyHash"`
@@ -164,15 +165,15 @@
 	// RecordKey corresponds to the JSON schema field "RecordKey".
 	RecordKey string `msg:"RecordKey"`
 
-	// True: the record is kept in memory only and a repeat joins the first.
+	// True: the record is held in memory only, and a repeat joins the first request.
 	Repeatable bool `msg:"Repeatable"`
 
 	// RequestID corresponds to the JSON schema field "RequestID".
 	RequestID string `msg:"RequestID"`
 }
 
-// Configuration is a whole manifest; Manifest is empty where the asker has the
-// newest.
+// Configuration is a complete manifest. Manifest is empty if the asking process
+// already has the newest.
 type Configuration struct {
 	// Generation corresponds to the JSON schema field "Generation".
 	Generation uint64 `msg:"Generation"`
@@ -187,20 +188,21 @@
 	Have uint64 `msg:"Have"`
 }
 
-// Copy is how a gate's copy of what lies under a prefix of the store stands.
+// Copy describes the state of a gate's copy of the keys under a prefix of the
+// store.
 type Copy struct {
-	// Milliseconds since the store confirmed it, rounded up, at the sender's own
-	// clock; below 0: it holds none.
+	// Milliseconds since the store confirmed the copy, rounded up, by the sender's
+	// clock; negative: the sender has no copy.
 	Age int64 `msg:"Age"`
 
-	// Of all keys with their revisions.
+	// Digest of all keys and their revisions.
 	Digest uint64 `msg:"Digest"`
 
-	// The sender has a watch of its own under way.
+	// The sender itself watches the store.
 	Watched bool `msg:"Watched"`
 }
 
-// Credit lets the agent send more bytes of Data, entry to agent.
+// Credit permits the agent to send more bytes of Data; from entry to agent.
 type Credit struct {
 	// Bytes corresponds to the JSON schema field "Bytes".
 	Bytes int `msg:"Bytes"`
@@ -209,8 +211,9 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// Data carries a piece of the answer: one server-sent event's data of a streamed
-// answer, or some bytes of a plain one. Sequence counts from 1 without holes.
+// Data carries a part of the response: the data of one server-sent event of a
+// streamed response, or some bytes of a plain one. Sequence counts from 1 without
+// gaps.
 type Data struct {
 	// Data corresponds to the JSON schema field "Data".
 	Data []byte `msg:"Data"`
@@ -221,11 +224,12 @@
 	// Stream corresponds to the JSON schema field "Stream".
 	Stream uint64 `msg:"Stream"`
 
-	// Tag of the request and attempt; 0 is not told.
+	// Tag of the request and attempt; 0: not given.
 	Tag uint32 `msg:"Tag"`
 }
 
-// End closes a stream after a whole answer. Last is the sequence of the last Data.
+// End closes a stream after a complete response. Last is the sequence of the last
+// Data.
 type End struct {
 	// Attempt corresponds to the JSON schema field "Attempt".
 	Attempt int `msg:"Attempt"`
@@ -252,10 +256,10 @@
 	Usage Usage `msg:"Usage"`
 }
 
-// Entries is the datagram by which the gate that watches the store tells the
-// others of its availability zone what has changed.
+// Entries is the datagram in which the gate that watches the store sends the
+// changes to the others of its availability zone.
 type Entries struct {
-	// All changes after this revision are told,
+	// Contains all changes after this revision,
 	After uint64 `msg:"After"`
 
 	// List corresponds to the JSON schema field "List".
@@ -265,7 +269,7 @@
 	Revision uint64 `msg:"Revision"`
 }
 
-// Entry is a key of the store as it was written, or that it was removed.
+// Entry is a key of the store with its value, or the removal of a key.
 type Entry struct {
 	// Created corresponds to the JSON schema field "Created".
 	Created uint64 `msg:"Created"`
@@ -283,12 +287,12 @@
 	Value []byte `msg:"Value"`
 }
 
-// Failed closes a stream whose request was begun, or may have been.
+// Failed closes a stream whose request was started, or may have been.
 type Failed struct {
 	// Attempt corresponds to the JSON schema field "Attempt".
 	Attempt int `msg:"Attempt"`
 
-	// The server died while it ran the request.
+	// The server crashed while it ran the request.
 	Crashed bool `msg:"Crashed"`
 
 	// Last corresponds to the JSON schema field "Last".
@@ -310,10 +314,10 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// FinishAsk records the outcome under a token. NotRun releases the claim. Without
-// NotRun, Status and Agent the outcome will not be known.
+// FinishAsk records the outcome of a request under its token. NotRun releases the
+// claim. Without NotRun, Status and Agent the outcome is recorded as unknown.
 type FinishAsk struct {
-	// Where a repeatable request was placed; empty otherwise.
+	// Agent to which a repeatable request was sent; empty otherwise.
 	Agent string `msg:"Agent"`
 
 	// Answer corresponds to the JSON schema field "Answer".
@@ -328,8 +332,8 @@
 	// RecordKey corresponds to the JSON schema field "RecordKey".
 	RecordKey string `msg:"RecordKey"`
 
-	// With NotRun and no Token: withdraws the claim of this request, whose answer was
-	// lost on its way.
+	// With NotRun and no Token: withdraws the claim of this request, to which the
+	// reply was lost.
 	RequestID string `msg:"RequestID"`
 
 	// Status corresponds to the JSON schema field "Status".
@@ -339,16 +343,18 @@
 	Token string `msg:"Token"`
 }
 
-// Follow is the datagram by which a gate asks a keeper for its engine's state, and
-// tells it what the engine is to have.
+// Follow is the datagram in which a gate asks a keeper for the state of its engine
+// and tells it which weights the engine should have.
 type Follow struct {
-	// The gate has heard nothing for a while: tell it at once, and directly.
+	// The gate has received nothing for a while: the keeper replies immediately and
+	// directly.
 	Ask bool `msg:"Ask"`
 
 	// Gate corresponds to the JSON schema field "Gate".
 	Gate string `msg:"Gate"`
 
-	// Prompt tokens in a millisecond that the gate sees engines read; 0 is not known.
+	// Prompt tokens per millisecond that engines prefill, as measured by the gate; 0:
+	// unknown.
 	Rate int `msg:"Rate"`
 
 	// Suspects corresponds to the JSON schema field "Suspects".
@@ -361,25 +367,27 @@
 	Zone string `msg:"Zone"`
 }
 
-// Full is the datagram by which a gate tells the others which servers are full.
+// Full is the datagram in which a gate tells the others which servers are full.
 type Full struct {
 	// List corresponds to the JSON schema field "List".
 	List []FullServer `msg:"List"`
 
-	// The gate that gets it passes it on to the others of its availability zone.
+	// The gate that receives the datagram forwards it to the others of its
+	// availability zone.
 	Pass bool `msg:"Pass"`
 }
 
-// FullServer is a server that turned work away as it is full.
+// FullServer is a server that rejected requests because it was full.
 type FullServer struct {
-	// Milliseconds for which it is taken to be full.
+	// Milliseconds for which the server is treated as full.
 	Left int64 `msg:"Left"`
 
-	// Hash of its ID.
+	// Hash of the ID.
 	Server uint64 `msg:"Server"`
 }
 
-// Head tells that the backend server has begun to answer, agent to entry.
+// Head reports that the backend server has started to respond; from agent to
+// entry.
 type Head struct {
 	// Attempt corresponds to the JSON schema field "Attempt".
 	Attempt int `msg:"Attempt"`
@@ -387,7 +395,7 @@
 	// ContentType corresponds to the JSON schema field "ContentType".
 	ContentType string `msg:"ContentType"`
 
-	// Of a plain service's answer, besides the content type.
+	// Response headers of a plain service, except Content-Type.
 	Headers []Header `msg:"Headers"`
 
 	// Agent incarnation.
@@ -403,7 +411,7 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// Header is one line of an HTTP header that is passed on as it is.
+// Header is one HTTP header field, forwarded unchanged.
 type Header struct {
 	// Name corresponds to the JSON schema field "Name".
 	Name string `msg:"Name"`
@@ -412,8 +420,8 @@
 	Value string `msg:"Value"`
 }
 
-// Heartbeat is the state that Beats add up to. An entry leaves the agent's fields
-// empty and the other way round.
+// Heartbeat is the state that results from all Beats. Entries leave the fields of
+// agents empty, and agents those of entries.
 type Heartbeat struct {
 	// Agent: number of live entries linked to it.
 	Entries int `msg:"Entries"`
@@ -430,7 +438,7 @@
 	// Load corresponds to the JSON schema field "Load".
 	Load Load `msg:"Load"`
 
-	// Agent: model@weights its engine serves now; sent when changed.
+	// Agent: model@weights that its engine serves now; sent when changed.
 	Models []string `msg:"Models"`
 
 	// Ready corresponds to the JSON schema field "Ready".
@@ -464,7 +472,7 @@
 	Zone string `msg:"Zone"`
 }
 
-// HotPrefix is a prefix in demand and the agents that hold it.
+// HotPrefix is a frequently requested prefix and the agents that hold it.
 type HotPrefix struct {
 	// Holders corresponds to the JSON schema field "Holders".
 	Holders []string `msg:"Holders"`
@@ -472,21 +480,21 @@
 	// Key corresponds to the JSON schema field "Key".
 	Key []byte `msg:"Key"`
 
-	// Requests a second.
+	// Requests per second.
 	Rate float64 `msg:"Rate"`
 
 	// Tokens corresponds to the JSON schema field "Tokens".
 	Tokens int `msg:"Tokens"`
 }
 
-// Inquiry is the datagram by which a gate asks another one of its availability
+// Inquiry is the datagram in which a gate asks another gate of its availability
 // zone how old its copies are.
 type Inquiry struct {
-	// Of the question; the answer repeats it.
+	// Number of the inquiry, repeated in the answer.
 	Number uint64 `msg:"Number"`
 }
 
-// Level is one step of a prompt's prefix chain.
+// Level is one prefix in the chain of prefixes of a prompt.
 type Level struct {
 	// Chained hash, 16 bytes.
 	Key []byte `msg:"Key"`
@@ -495,27 +503,29 @@
 	Tokens int `msg:"Tokens"`
 }
 
-// Limit is what a server said of the requests that it takes from all gates
+// Limit is the rate limit that a server reported, for the requests of all gates
 // together.
 type Limit struct {
-	// Of its lifetime; 0 is not told.
+	// Start time of the server process; 0: not given.
 	Born uint64 `msg:"Born"`
 
-	// Thousandths of a request a second; below 0 it names none any more.
+	// Thousandths of a request per second; negative: the server no longer reports a
+	// limit.
 	Rate int64 `msg:"Rate"`
 
-	// Milliseconds since the answer came.
+	// Milliseconds since that response was received.
 	Received int64 `msg:"Received"`
 
-	// Milliseconds since the request was sent that was answered so.
+	// Milliseconds since the request was sent whose response contained the limit.
 	Sent int64 `msg:"Sent"`
 
-	// Hash of its ID.
+	// Hash of the ID.
 	Server uint64 `msg:"Server"`
 }
 
-// Limits is the datagram by which a gate tells the others which servers name
-// limits, and in thousandths of a request what it has sent them.
+// Limits is the datagram in which a gate tells the others the limits that servers
+// reported, and how much it has sent to these servers, in thousandths of a
+// request.
 type Limits struct {
 	// List corresponds to the JSON schema field "List".
 	List []Limit `msg:"List"`
@@ -524,22 +534,22 @@
 	Sent Spent `msg:"Sent"`
 }
 
-// Load is the agent's word on its server.
+// Load is the load of the agent's backend server.
 type Load struct {
-	// Version of what the engine's cache holds; where it differs from the one known,
-	// MethodChanges tells what changed.
+	// Version of the contents of the engine's cache; if it differs from the known
+	// version, MethodChanges returns the changes.
 	Cache uint64 `msg:"Cache"`
 
 	// Time between output tokens, microseconds.
 	DecodeMicros int `msg:"DecodeMicros"`
 
-	// Prompt tokens a second, as seen lately.
+	// Prompt tokens per second, from recent measurements.
 	PrefillRate int `msg:"PrefillRate"`
 
 	// Running corresponds to the JSON schema field "Running".
 	Running int `msg:"Running"`
 
-	// Requests the server runs at once.
+	// Number of requests that the server runs concurrently.
 	Slots int `msg:"Slots"`
 
 	// Waiting corresponds to the JSON schema field "Waiting".
@@ -567,43 +577,45 @@
 	Zone string `msg:"Zone"`
 }
 
-// Names is a list that may have changed to an empty one.
+// Names is a list of names; a type of its own, so that an empty list differs from
+// an unchanged one.
 type Names struct {
 	// Names corresponds to the JSON schema field "Names".
 	Names []string `msg:"Names"`
 }
 
-// Open starts a stream, entry to agent.
+// Open starts a stream, from entry to agent.
 type Open struct {
-	// Bytes of Data the agent may send before the first Credit.
+	// Bytes of Data that the agent may send before the first Credit.
 	Credit int `msg:"Credit"`
 
 	// Request corresponds to the JSON schema field "Request".
 	Request Request `msg:"Request"`
 
-	// Never used twice on a connection.
+	// Stream ID, never reused on a connection.
 	Stream uint64 `msg:"Stream"`
 }
 
-// Paces is the datagram by which a gate tells the others how fast it has seen
-// engines to be.
+// Paces is the datagram in which a gate tells the others the pace of engines that
+// it measured.
 type Paces struct {
 	// List corresponds to the JSON schema field "List".
 	List []Seen `msg:"List"`
 
-	// The gate that gets it passes it on to the others of its availability zone.
+	// The gate that receives the datagram forwards it to the others of its
+	// availability zone.
 	Pass bool `msg:"Pass"`
 }
 
-// Pass is the datagram by which a keeper tells one gate of another availability
-// zone what that gate is to pass on to the others there.
+// Pass is the datagram in which a keeper sends its Tell to one gate of another
+// availability zone, which forwards it to the others there.
 type Pass struct {
 	// Tell corresponds to the JSON schema field "Tell".
 	Tell Tell `msg:"Tell"`
 }
 
-// Passed is a keeper's word as a gate passes it on to the others of its
-// availability zone. It is not passed on again.
+// Passed is the datagram in which a gate forwards a keeper's Pass to the others of
+// its availability zone. It is not forwarded again.
 type Passed struct {
 	// IP of the keeper.
 	Host string `msg:"Host"`
@@ -612,32 +624,33 @@
 	Tell Tell `msg:"Tell"`
 }
 
-// Peers is the datagram by which a keeper tells the gates of its availability zone
-// of one another.
+// Peers is the datagram in which a keeper sends the gates of its availability zone
+// one another's addresses.
 type Peers struct {
-	// IP:port to which datagrams go.
+	// IP:port to send datagrams to.
 	Gates []string `msg:"Gates"`
 }
 
-// Reattach joins a generation that is running or lately ended at the agent.
+// Reattach joins a generation that is running or has recently ended at the agent.
 type Reattach struct {
-	// Sequence of the last Data the caller has; 0 is none.
+	// Sequence of the last Data that the caller has; 0: none.
 	After uint64 `msg:"After"`
 
-	// Token of a request that may not be repeated. An agent that was never sent it
-	// answers that it is not run, and takes it no more.
+	// Token of a request that must not be repeated. An agent that has not received
+	// the request replies that it was not executed, and rejects it if it arrives
+	// later.
 	Claim string `msg:"Claim"`
 
 	// Credit corresponds to the JSON schema field "Credit".
 	Credit int `msg:"Credit"`
 
-	// Agent incarnation that gave the id; 0 is any.
+	// Incarnation of the agent that the request was sent to; 0: any.
 	Incarnation uint64 `msg:"Incarnation"`
 
 	// RecordKey corresponds to the JSON schema field "RecordKey".
 	RecordKey string `msg:"RecordKey"`
 
-	// Request id of the running generation; empty where RecordKey names it.
+	// Request ID of the generation; empty if RecordKey identifies it.
 	RequestID string `msg:"RequestID"`
 
 	// Stream corresponds to the JSON schema field "Stream".
@@ -647,15 +660,15 @@
 	Workspace string `msg:"Workspace"`
 }
 
-// Refused closes a stream whose request was not run.
+// Refused closes a stream whose request was not executed.
 type Refused struct {
-	// When to come back; 0 is not known.
+	// When to retry; 0: unknown.
 	AfterMillis int64 `msg:"AfterMillis"`
 
 	// Attempt corresponds to the JSON schema field "Attempt".
 	Attempt int `msg:"Attempt"`
 
-	// Link address of a better agent, or empty.
+	// Link address of an agent that suits the request better, or empty.
 	Better string `msg:"Better"`
 
 	// Generation in force at the agent.
@@ -677,12 +690,13 @@
 	Stream uint64 `msg:"Stream"`
 }
 
-// Request is what travels with a request through every hop.
+// Request is the data that accompanies a request on every hop.
 type Request struct {
 	// Adapter corresponds to the JSON schema field "Adapter".
 	Adapter string `msg:"Adapter"`
 
-	// Suspect: runs with no other suspect on its engine.
+	// The request is suspected of crashing servers and runs on an engine without
+	// other suspects.
 	Alone bool `msg:"Alone"`
 
 	// Counts from 1.
@@ -694,16 +708,17 @@
 	// SHA-256 of the body.
 	BodyHash []byte `msg:"BodyHash"`
 
-	// Token to run; only for what may not be repeated.
+	// Token that permits execution; only for requests that must not be repeated.
 	Claim string `msg:"Claim"`
 
 	// ContentType corresponds to the JSON schema field "ContentType".
 	ContentType string `msg:"ContentType"`
 
-	// Servers that died while they ran it, as the entry host knows.
+	// Number of servers known to the entry host that crashed while running the
+	// request.
 	Crashes int `msg:"Crashes"`
 
-	// Time left at sending; 0 is none.
+	// Time until the deadline, at the time of sending; 0: no deadline.
 	DeadlineMillis int64 `msg:"DeadlineMillis"`
 
 	// Hash of workspace and body.
@@ -712,10 +727,10 @@
 	// Configuration generation it was admitted under.
 	Generation uint64 `msg:"Generation"`
 
-	// Of a plain service's caller, besides the content type.
+	// Headers that the caller of a plain service sent, except Content-Type.
 	Headers []Header `msg:"Headers"`
 
-	// Request id, unique over all entries.
+	// Request ID, unique across all entry hosts.
 	ID string `msg:"ID"`
 
 	// Levels corresponds to the JSON schema field "Levels".
@@ -727,28 +742,29 @@
 	// Empty for plain services.
 	Model string `msg:"Model"`
 
-	// Estimate or the caller's maximum.
+	// Estimated, or the caller's maximum.
 	OutputTokens int `msg:"OutputTokens"`
 
 	// Path and query at the backend server.
 	Path string `msg:"Path"`
 
-	// 0 is served first.
+	// 0 is the highest priority.
 	Priority int `msg:"Priority"`
 
-	// Estimate.
+	// Estimated.
 	PromptTokens int `msg:"PromptTokens"`
 
 	// Idempotency key scoped to the workspace, hashed; empty without one.
 	RecordKey string `msg:"RecordKey"`
 
-	// False where a second run would do harm.
+	// False if a second execution would do harm.
 	Repeatable bool `msg:"Repeatable"`
 
-	// Text already given to the caller, which the engine continues.
+	// Text that the caller already has and the engine continues.
 	Resume string `msg:"Resume"`
 
-	// Sequence of the last Data already given; the new agent goes on from there.
+	// Sequence of the last Data that the caller already has; the new agent continues
+	// after it.
 	ResumeSequence uint64 `msg:"ResumeSequence"`
 
 	// Cache salt given to the engine.
@@ -770,7 +786,7 @@
 	Workspace string `msg:"Workspace"`
 }
 
-// Result answers a Call.
+// Result is the reply to a Call.
 type Result struct {
 	// Call corresponds to the JSON schema field "Call".
 	Call uint64 `msg:"Call"`
@@ -778,34 +794,35 @@
 	// Error corresponds to the JSON schema field "Error".
 	Error string `msg:"Error"`
 
-	// Further pieces of the payload follow.
+	// Further parts of the payload follow.
 	More bool `msg:"More"`
 
 	// Payload corresponds to the JSON schema field "Payload".
 	Payload []byte `msg:"Payload"`
 }
 
-// Roster is the datagram by which a keeper tells the gates of its availability
-// zone of those of the others.
+// Roster is the datagram in which a keeper sends the gates of its availability
+// zone the gates of the other zones.
 type Roster struct {
 	// Zones corresponds to the JSON schema field "Zones".
 	Zones []Zone `msg:"Zones"`
 }
 
-// Seen is what first words of an engine told a gate of its pace.
+// Seen is the pace of an engine as a gate measured it by times to first token.
 type Seen struct {
-	// Hash of its ID.
+	// Hash of the ID.
 	Engine uint64 `msg:"Engine"`
 
-	// Mean of the logarithm of their time against what was expected, in thousandths.
+	// Mean of the logarithm of measured time divided by expected time, in
+	// thousandths.
 	Log int `msg:"Log"`
 
 	// Samples corresponds to the JSON schema field "Samples".
 	Samples int `msg:"Samples"`
 }
 
-// Snapshot is what an entry that starts needs: the answer to MethodSnapshot, and
-// what entries leave with agents by MethodShare.
+// Snapshot is the state that an entry needs at its start: the reply to
+// MethodSnapshot, and what entries store at agents with MethodShare.
 type Snapshot struct {
 	// Entries corresponds to the JSON schema field "Entries".
 	Entries int `msg:"Entries"`
@@ -820,13 +837,13 @@
 	Suspects []Suspect `msg:"Suspects"`
 }
 
-// Spent is the datagram by which a gate tells the others what it has admitted of
-// the workspaces' quotas.
+// Spent is the datagram in which a gate tells the others how much it has admitted
+// of the workspaces' quotas.
 type Spent struct {
-	// Milliseconds since this lifetime began.
+	// Milliseconds since the gate started.
 	Age int64 `msg:"Age"`
 
-	// A workspace that is not listed has nearly all of its burst.
+	// Workspaces that are not listed have nearly their whole burst left.
 	Full bool `msg:"Full"`
 
 	// Hash of the gate's name.
@@ -835,10 +852,11 @@
 	// Lifetime corresponds to the JSON schema field "Lifetime".
 	Lifetime uint64 `msg:"Lifetime"`
 
-	// The gate that gets it passes it on to the others of its availability zone.
+	// The gate that receives the datagram forwards it to the others of its
+	// availability zone.
 	Pass bool `msg:"Pass"`
 
-	// The levels stand on what other gates told.
+	// The levels include what other gates have reported.
 	Settled bool `msg:"Settled"`
 
 	// Uses corresponds to the JSON schema field "Uses".
@@ -860,17 +878,17 @@
 	Fingerprint uint64 `msg:"Fingerprint"`
 }
 
-// Target is the weights that an engine is to have, and whether its turn to load
-// them has come.
+// Target names the weights that an engine should have, and tells whether it may
+// load them now.
 type Target struct {
-	// Milliseconds from now; the engine takes its turn by itself then, if no gate is
-	// heard.
+	// Milliseconds from now after which the engine loads the weights without a grant,
+	// if it receives nothing from gates.
 	Alone int64 `msg:"Alone"`
 
 	// Grows with the version.
 	Fence uint64 `msg:"Fence"`
 
-	// The engine's turn has come.
+	// The engine may load the weights now.
 	Granted bool `msg:"Granted"`
 
 	// Model corresponds to the JSON schema field "Model".
@@ -880,47 +898,47 @@
 	Version uint64 `msg:"Version"`
 }
 
-// Tell is the datagram by which a keeper tells the gates of its engine. Many are
-// sent, so the names are short.
+// Tell is the datagram in which a keeper tells the gates the state of its engine.
+// It is sent often, so the names are short.
 type Tell struct {
-	// Unix milliseconds at which the engine's lifetime began; 0 is not told.
+	// Start of the engine process in Unix milliseconds; 0: not given.
 	Born uint64 `msg:"Born"`
 
-	// Gates that follow this keeper now.
+	// Number of gates that follow this keeper now.
 	Gates int `msg:"Gates"`
 
-	// Keys of shared parts that the engine has dropped lately.
+	// Keys of shared prefix blocks that the engine evicted recently.
 	Gone []uint64 `msg:"Gone"`
 
 	// The weights that the engine has.
 	Have []Weights `msg:"Have"`
 
-	// Keys of shared parts that the engine was told to send to the store of kept KV
-	// cache lately.
+	// Keys of shared prefix blocks that the engine was recently told to save to the
+	// external KV cache store.
 	Kept []uint64 `msg:"Kept"`
 
-	// Grows with each word of the keeper: words that went by different gates may
-	// overtake one another.
+	// Increases with each message of the keeper, since messages that are forwarded by
+	// different gates may arrive out of order.
 	Number uint32 `msg:"Number"`
 
-	// Milliseconds since the engine's weights were overtaken, as the keeper was told;
-	// 0: they were not.
+	// Milliseconds since the keeper learned of newer weights than the engine's; 0:
+	// there are none.
 	Old int64 `msg:"Old"`
 
-	// Keys of shared parts that gates announced lately.
+	// Keys of shared prefix blocks that gates announced recently.
 	Parts []uint64 `msg:"Parts"`
 
 	// Phase corresponds to the JSON schema field "Phase".
 	Phase int `msg:"Phase"`
 
-	// Of the engine, at the address that the datagram comes from.
+	// Port of the engine, at the address that the datagram comes from.
 	Port uint16 `msg:"Port"`
 
 	// Prompt tokens that gates have announced and that the engine has probably not
-	// read yet.
+	// prefilled yet.
 	Read int `msg:"Read"`
 
-	// Tokens that the memory holds in all.
+	// Capacity of the engine's KV cache in tokens.
 	Room int `msg:"Room"`
 
 	// Running requests.
@@ -929,21 +947,22 @@
 	// Suspects corresponds to the JSON schema field "Suspects".
 	Suspects []Suspect `msg:"Suspects"`
 
-	// Milliseconds that the engine's last load of weights took; 0: there was none.
+	// Duration in milliseconds of the engine's last load of weights; 0: there was
+	// none.
 	Took int64 `msg:"Took"`
 
-	// Orders in a row that the engine has left unanswered.
+	// Number of consecutive orders without a reply from the engine.
 	Tries int `msg:"Tries"`
 
-	// Tokens in the engine's memory that cannot yield.
+	// Tokens in the engine's KV cache that cannot be evicted.
 	Used int `msg:"Used"`
 
 	// Waiting requests.
 	Wait int `msg:"Wait"`
 }
 
-// Usage is what the engine said a request took, in tokens. Known is false where it
-// said nothing.
+// Usage is the token usage of a request as reported by the engine. Known is false
+// if the engine reported none.
 type Usage struct {
 	// Cached corresponds to the JSON schema field "Cached".
 	Cached int `msg:"Cached"`
@@ -958,15 +977,16 @@
 	Prompt int `msg:"Prompt"`
 }
 
-// Use is what a gate has admitted of a workspace's quota.
+// Use is how much of a workspace's quota a gate has admitted.
 type Use struct {
-	// What the gate believes to be left of the whole bucket; below 0 is a debt.
+	// Level of the workspace's token bucket, summed over all gates, as estimated by
+	// the gate; negative: a debt.
 	Level int64 `msg:"Level"`
 
-	// In this lifetime of the gate; never falls.
+	// Total since the gate started; never decreases.
 	Total uint64 `msg:"Total"`
 
-	// Hash of its name.
+	// Hash of the workspace's name.
 	Workspace uint64 `msg:"Workspace"`
 }
 
@@ -982,7 +1002,7 @@
 	Servers Copy `msg:"Servers"`
 }
 
-// Weights is the version of a model that an engine has.
+// Weights is a model and the version of its weights on an engine.
 type Weights struct {
 	// Model corresponds to the JSON schema field "Model".
 	Model string `msg:"Model"`
@@ -991,9 +1011,9 @@
 	Version uint64 `msg:"Version"`
 }
 
-// Zone is the gates of an availability zone.
+// Zone lists the gates of an availability zone.
 type Zone struct {
-	// IP:port to which datagrams go, as binary text.
+	// IP:port to send datagrams to, in binary form.
 	Gates []string `msg:"Gates"`
 
 	// Name corresponds to the JSON schema field "Name".
--- a/internal/link/beechwire/wire_test.go
+++ b/internal/link/beechwire/wire_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// A process of a newer version sends a field that this one has never heard
-// of. If that broke decoding, a rolling upgrade would cut every link.
-func TestUnknownFieldsArePassedOver(t *testing.T) {
+// A process of a newer release sends a field that this release does not know. If decoding
+// failed, a rolling upgrade would break every link.
+func TestUnknownFieldsAreSkipped(t *testing.T) {
 	is := is.New(t)
 	frame := []byte{0x82, 0xa6, 'S', 't', 'r', 'e', 'a', 'm', 0x07, 0xa3, 'n', 'e', 'w', 0xc3}
 	var cancel Cancel
