--- a/internal/process/beechreplay/compare_test.go
+++ b/internal/process/beechreplay/compare_test.go
@@ -19,36 +19,37 @@
 		{name: "random", kind: random},
 		{name: "least loaded", kind: leastLoaded},
 		{name: "two choices", kind: twoChoices},
-		{name: "bounded hash 1.25", kind: boundedHash, factor: 1.25},
-		{name: "bounded hash 2", kind: boundedHash, factor: 2},
+		{name: "bounded hash 1.25", kind: boundedHash, loadFactor: 1.25},
+		{name: "bounded hash 2", kind: boundedHash, loadFactor: 2},
 		{name: "affinity only", kind: affinity},
-		{name: "beechroute", kind: ours},
+		{name: "beechroute", kind: routed},
 		{name: "oracle", kind: oracle},
 	}
 	ablations = []policy{
-		{name: "all mechanisms", kind: ours},
-		{name: "no learned holders", kind: ours, without: beechroute.MechanismHolders},
-		{name: "no homes", kind: ours, without: beechroute.MechanismHomes},
-		{name: "no own dispatches", kind: ours, without: beechroute.MechanismOwnDispatches},
-		{name: "no announcements", kind: ours, without: beechroute.MechanismAnnouncements},
-		{name: "announced every 400 ms", kind: ours, tellEvery: 400 * time.Millisecond},
-		{name: "a tenth of announcements lost", kind: ours, lost: 0.1},
-		{name: "no waste weight", kind: ours, without: beechroute.MechanismRecomputeCost},
-		{name: "no zone distance", kind: ours, without: beechroute.MechanismZoneDistance},
+		{name: "all mechanisms", kind: routed},
+		{name: "no learned holders", kind: routed, disabled: beechroute.MechanismHolders},
+		{name: "no homes", kind: routed, disabled: beechroute.MechanismHomes},
+		{name: "no own dispatches", kind: routed, disabled: beechroute.MechanismOwnDispatches},
+		{name: "no announcements", kind: routed, disabled: beechroute.MechanismAnnouncements},
+		{name: "announced every 400 ms", kind: routed, announceInterval: 400 * time.Millisecond},
+		{name: "a tenth of announcements lost", kind: routed, lossRate: 0.1},
+		{name: "no waste weight", kind: routed, disabled: beechroute.MechanismRecomputeCost},
+		{name: "no zone distance", kind: routed, disabled: beechroute.MechanismZoneDistance},
 	}
 )
 
 type (
-	// result is what callers got. Tokens are of prompts that are counted.
+	// result counts the prompt tokens, and lists the times to first token, of all
+	// requests after the warm-up.
 	result struct {
 		prompt, cached, wasted int
-		firsts                 []time.Duration
+		timesToFirstToken      []time.Duration
 	}
 )
 
-// figures are a policy's over all seeds: the means of the seeds' figures.
+// figures summarise the results of a policy, as a mean over all seeds.
 type figures struct {
-	hit, waste float64 // shares of prompt tokens
+	hit, waste float64 // as shares of prompt tokens
 	p50, p99   time.Duration
 }
 
@@ -56,12 +57,12 @@
 	return figures{
 		hit:   float64(r.cached) / float64(r.prompt),
 		waste: float64(r.wasted) / float64(r.prompt),
-		p50:   r.firsts[len(r.firsts)/2],
-		p99:   r.firsts[len(r.firsts)*99/100],
+		p50:   r.timesToFirstToken[len(r.timesToFirstToken)/2],
+		p99:   r.timesToFirstToken[len(r.timesToFirstToken)*99/100],
 	}
 }
 
-// measure runs every policy over the same streams, the seeds side by side.
+// measure runs every policy on the same streams, with the seeds in parallel.
 func measure(d deployment, load float64, policies []policy) []figures {
 	totals := make([]figures, len(policies))
 	var mutex sync.Mutex
@@ -114,22 +115,23 @@
 	}
 }
 
-// BenchmarkWeights shows what the weight of waste against first token does.
+// BenchmarkWeights shows the effect of the weight of waste relative to time to first token.
 func BenchmarkWeights(b *testing.B) {
 	var weights []policy
 	for _, w := range []float64{0, 2, 8, 24, 56} {
-		weights = append(weights, policy{name: fmt.Sprint("weight ", w), kind: ours, weighted: true, weight: w})
+		weights = append(weights, policy{name: fmt.Sprint("weight ", w), kind: routed, overrideWeight: true, wasteWeight: w})
 	}
 	for range b.N {
 		printTable(weights)
 	}
 }
 
-// bound is the figures reached, with room for changes that trade a little of one for
-// another: a point of hit rate, half of the waste, a sixth of the times. Behind names
-// what a baseline is ahead in: affinity only, at loads that overload its busiest
-// engines, lets a prefix's requests gather in their queues, which makes more of them
-// hit than even the oracle does. It pays with the tail.
+// bound holds the figures reached at a load. TestBounds tolerates changes that trade a
+// little of one for another: a percentage point of hit rate, half of the waste, a sixth of
+// the times. behind names the figures in which a baseline is better: at loads that overload
+// its busiest engines, the policy "affinity only" lets requests with the same prefix
+// accumulate in their queues, so more of them hit the cache than even with the oracle, at
+// the cost of the tail latency.
 type bound struct {
 	deployment deployment
 	load       float64
@@ -148,9 +150,9 @@
 	{solisMonterroso, 1.00, figures{hit: 0.699, waste: 0.0020, p50: 7567 * ms, p99: 20893 * ms}, "hit"},
 }
 
-// A change to the router may cost what it was measured to win, and no other test would
-// see it: a caller would, by first tokens that are late again. Virtual time and fixed
-// seeds give the same figures on any machine.
+// Guards against changes to the router that lose measured gains in hit rate or time to first
+// token, which no other test detects. Virtual time and fixed seeds give the same figures on
+// any machine.
 func TestBounds(t *testing.T) {
 	for _, b := range bounds {
 		measured := measure(b.deployment, b.load, policies)
@@ -158,10 +160,10 @@
 		got, best := measured[len(policies)-2], measured[len(policies)-1]
 		t.Logf("%s: %s", name, got)
 		if got.hit < b.figures.hit-0.01 || got.waste > 1.5*b.figures.waste || got.p50 > b.figures.p50*7/6 || got.p99 > b.figures.p99*7/6 {
-			t.Errorf("%s: %s is worse than the %s once reached", name, got, b.figures)
+			t.Errorf("%s: %s is worse than the %s reached before", name, got, b.figures)
 		}
 		if got.hit < best.hit-0.03 {
-			t.Errorf("%s: hit rate %.3f is over 3 points behind the oracle's %.3f", name, got.hit, best.hit)
+			t.Errorf("%s: hit rate %.3f is more than 3 percentage points below the oracle's %.3f", name, got.hit, best.hit)
 		}
 		b.compareBaselines(t, name, got, measured[:len(policies)-2])
 	}
@@ -177,13 +179,13 @@
 		best.p99 = min(best.p99, f.p99)
 	}
 	if got.hit <= best.hit && !strings.Contains(b.behind, "hit") {
-		t.Errorf("%s: hit rate %.4f is not ahead of the best baseline's %.4f", name, got.hit, best.hit)
+		t.Errorf("%s: hit rate %.4f is not better than the best baseline's %.4f", name, got.hit, best.hit)
 	}
 	if got.p50 >= best.p50 && !strings.Contains(b.behind, "p50") {
-		t.Errorf("%s: p50 %s is not ahead of the best baseline's %s", name, got.p50, best.p50)
+		t.Errorf("%s: p50 %s is not better than the best baseline's %s", name, got.p50, best.p50)
 	}
 	if got.waste > best.waste/2 || got.p99 > best.p99*8/10 {
-		t.Errorf("%s: waste %.4f of %.4f, p99 %s of %s", name, got.waste, best.waste, got.p99, best.p99)
+		t.Errorf("%s: waste %.4f and p99 %s are not well below the best baseline's %.4f and %s", name, got.waste, got.p99, best.waste, best.p99)
 	}
 }
 
--- a/internal/process/beechreplay/doc.go
+++ b/internal/process/beechreplay/doc.go
@@ -1,24 +1,24 @@
-// Package beechreplay compares ways to route on one stream of requests, in virtual
-// time. It holds tests and benchmarks only.
+// Package beechreplay compares routing policies by replaying the same stream of requests
+// in a simulation with virtual time. It contains only tests and benchmarks.
 //
-// A stream of requests with nested prefixes and skew, at a deployment's size, is
-// decided by the real packages (beechprefix, beechroute, and beechqueue at every
-// engine whatever the policy) against a plain model of an engine: prefills run one
-// after the other, decodes side by side in a bounded number of slots, and a cache of
-// limited size drops what was used least recently.
-// There are no hosts, links or failures in it. One entry host a zone decides with
-// what it has learned itself and with load reports that lag.
+// The stream has the size of a real deployment, with nested prompt prefixes of skewed
+// popularity. The production packages make the decisions: beechprefix, beechroute, and for
+// every policy beechqueue at each engine. Engines are simulated: prefills run one after
+// another, decodes run concurrently in a limited number of slots, and a prompt cache of
+// limited size evicts the least recently used entries. Hosts, links and failures are not
+// simulated. Each zone has one entry host, which decides from what it has learned itself
+// and from delayed load reports.
 //
-// A mean over five seeds moves by about a tenth in the tail when a policy changes in
-// nothing that matters; smaller differences want more seeds.
+// Changes without real effect on a policy move the tail of a mean over five seeds by about
+// a tenth, so smaller differences need more seeds.
 //
-// Full load is the rate at which the fleet's prefills would just keep up if all
-// caches were one, so no policy can carry more.
+// Full load is the rate at which the prefills of the fleet would just keep up if all
+// engines shared one cache, so no policy can sustain more.
 //
 // # Usage
 //
 //	go test -run '^$' -bench . -benchtime 1x ./internal/process/beechreplay
 //
-// prints the tables of docs/decisions/routing.md. TestBounds holds the figures
-// reached as regression bounds.
+// prints the tables of docs/decisions/routing.md. TestBounds uses the results reached so
+// far as regression bounds.
 package beechreplay
--- a/internal/process/beechreplay/policy_test.go
+++ b/internal/process/beechreplay/policy_test.go
@@ -14,15 +14,15 @@
 	policyKind int
 
 	policy struct {
-		name    string
-		kind    policyKind
-		without beechroute.Mechanism
-
-		factor    float64       // of the mean load, that bounds a hashed engine's
-		tellEvery time.Duration // between announcements, if longer than usual
-		lost      float64       // share of announcements
-		weighted  bool          // by weight, in place of the deployment's
-		weight    float64
+		name     string
+		kind     policyKind
+		disabled beechroute.Mechanism
+
+		loadFactor       float64       // maximum load of an engine chosen by hash, relative to the mean
+		announceInterval time.Duration // between announcements, if longer than changesInterval
+		lossRate         float64       // share of announcements that are lost
+		overrideWeight   bool          // use wasteWeight instead of the deployment's
+		wasteWeight      float64
 	}
 
 	ringPoint struct {
@@ -30,17 +30,17 @@
 		engine int
 	}
 
-	// entry is one entry host: what it knows, and its way to choose.
+	// entry is an entry host: its knowledge of the fleet, and its choice of engines.
 	entry struct {
-		r      *replay
-		zone   int
-		random *rand.Rand
-		router *beechroute.Router
-		known  []int // requests on an engine by the last report, and own ones since
-		ring   []ringPoint
+		r        *replay
+		zone     int
+		random   *rand.Rand
+		router   *beechroute.Router
+		requests []int // by engine: those in the last report and the entry's own since
+		ring     []ringPoint
 	}
 
-	fullHealth struct{}
+	allHealthy struct{}
 )
 
 const (
@@ -51,30 +51,30 @@
 	twoChoices
 	boundedHash
 	affinity
-	ours
+	routed
 	oracle
 
-	pointsEach = 64
-	historyAt  = 1
+	ringPointsPerEngine = 64
+	historyLevel        = 1
 )
 
-func (fullHealth) Weight(netip.AddrPort) float64 { return 1 }
+func (allHealthy) Weight(netip.AddrPort) float64 { return 1 }
 
 func newEntry(r *replay, zone int, random *rand.Rand) *entry {
-	n := &entry{r: r, zone: zone, random: random, known: make([]int, r.deployment.engines)}
-	settings := beechroute.Settings{Zone: zoneName(zone), WasteWeight: r.deployment.wasteWeight, Disabled: r.policy.without}
-	if r.policy.weighted {
-		settings.WasteWeight = r.policy.weight
+	n := &entry{r: r, zone: zone, random: random, requests: make([]int, r.deployment.engines)}
+	settings := beechroute.Settings{Zone: zoneName(zone), WasteWeight: r.deployment.wasteWeight, Disabled: r.policy.disabled}
+	if r.policy.overrideWeight {
+		settings.WasteWeight = r.policy.wasteWeight
 	}
-	n.router = beechroute.New(settings, r.clock, random, fullHealth{})
+	n.router = beechroute.New(settings, r.clock, random, allHealthy{})
 	var servers []beechroute.Server
-	places := rand.New(rand.NewPCG(1, 2))
+	ringRandom := rand.New(rand.NewPCG(1, 2))
 	for i := range r.deployment.engines {
 		servers = append(servers, beechroute.Server{
 			Address: address(i), Zone: zoneName(zoneOf(i, r.deployment)), Incarnation: 1, Models: []string{model},
 		})
-		for range pointsEach {
-			n.ring = append(n.ring, ringPoint{hash: places.Uint64(), engine: i})
+		for range ringPointsPerEngine {
+			n.ring = append(n.ring, ringPoint{hash: ringRandom.Uint64(), engine: i})
 		}
 	}
 	slices.SortFunc(n.ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
@@ -95,74 +95,75 @@
 
 func (n *entry) choose(q *request) int {
 	engine := n.pick(q)
-	n.known[engine]++
+	n.requests[engine]++
 	return engine
 }
 
 func (n *entry) pick(q *request) int {
-	engines := len(n.known)
+	engines := len(n.requests)
 	switch n.r.policy.kind {
 	case leastLoaded:
-		return n.least(n.random.Perm(engines))
+		return n.chooseLeastLoaded(n.random.Perm(engines))
 	case twoChoices:
-		return n.least([]int{n.random.IntN(engines), n.random.IntN(engines)})
+		return n.chooseLeastLoaded([]int{n.random.IntN(engines), n.random.IntN(engines)})
 	case boundedHash:
-		return n.hashed(q, n.r.policy.factor)
+		return n.chooseByHash(q, n.r.policy.loadFactor)
 	case affinity:
-		return n.hashed(q, float64(engines)*2)
-	case ours:
-		return n.route(q)
+		return n.chooseByHash(q, float64(engines)*2)
+	case routed:
+		return n.chooseByRouter(q)
 	case oracle:
-		return n.foresee(q)
+		return n.chooseOracle(q)
 	}
 	return n.random.IntN(engines)
 }
 
-func (n *entry) least(engines []int) int {
-	return slices.MinFunc(engines, func(a, b int) int { return cmp.Compare(n.known[a], n.known[b]) })
+func (n *entry) chooseLeastLoaded(engines []int) int {
+	return slices.MinFunc(engines, func(a, b int) int { return cmp.Compare(n.requests[a], n.requests[b]) })
 }
 
-// hashed walks the ring from the history's place to the first engine within the
-// bound on its load.
-func (n *entry) hashed(q *request, factor float64) int {
+// chooseByHash walks the hash ring from the position of the request's history to the first
+// engine whose load is within the bound.
+func (n *entry) chooseByHash(q *request, factor float64) int {
 	total := 1
-	for _, k := range n.known {
+	for _, k := range n.requests {
 		total += k
 	}
-	bound := factor * float64(total) / float64(len(n.known))
+	bound := factor * float64(total) / float64(len(n.requests))
 	var hash uint64
-	for _, b := range q.levels[historyAt].Key[:8] {
+	for _, b := range q.levels[historyLevel].Key[:8] {
 		hash = hash<<8 | uint64(b)
 	}
 	start, _ := slices.BinarySearchFunc(n.ring, hash, func(p ringPoint, h uint64) int { return cmp.Compare(p.hash, h) })
 	for i := range n.ring {
 		p := n.ring[(start+i)%len(n.ring)]
-		if float64(n.known[p.engine]) <= bound {
+		if float64(n.requests[p.engine]) <= bound {
 			return p.engine
 		}
 	}
 	return n.ring[start%len(n.ring)].engine
 }
 
-func (n *entry) route(q *request) int {
+func (n *entry) chooseByRouter(q *request) int {
 	asked := beechroute.Request{Model: model, Levels: q.levels, PromptTokens: q.prompt, OutputTokens: q.output}
 	best := n.router.Choose(asked).Ranked[0]
 	n.router.RecordDispatch(best.Server, asked, best.Uncached)
 	return engineAt(best.Server)
 }
 
-// foresee sees every cache, what is about to be cached, and every queue as it is.
-func (n *entry) foresee(q *request) int {
+// chooseOracle chooses with full knowledge: the current contents of all caches, what is
+// about to be cached, and the current queues.
+func (n *entry) chooseOracle(q *request) int {
 	best, least := 0, time.Duration(1<<62)
 	for i, e := range n.r.engines {
-		prefill := prefillTime(q.prompt - e.expected(q))
+		prefill := prefillTime(q.prompt - e.expectedCached(q))
 		cost := prefillTime(e.waitingTokens(n.r.now)) + prefill
 		if state := e.queue.State(); state.Running+state.Waiting >= slots {
 			cost += tokenTime * time.Duration(n.r.deployment.outputMean)
 		}
 		cost += time.Duration((8 + n.r.deployment.wasteWeight) * float64(prefill))
 		if zoneOf(i, n.r.deployment) != n.zone {
-			cost += zoneDistance
+			cost += crossZoneRoundTrip
 		}
 		if cost < least {
 			best, least = i, cost
@@ -171,28 +172,28 @@
 	return best
 }
 
-func (n *entry) learn(j *job) {
-	if n.r.policy.kind != ours {
+func (n *entry) recordFinish(j *job) {
+	if n.r.policy.kind != routed {
 		return
 	}
 	server := address(j.engine)
 	n.router.RecordFinish(server)
 	n.router.RecordReply(beechroute.Reply{
 		Server: server, Incarnation: 1, Model: model, Levels: j.request.levels,
-		PromptTokens: j.request.prompt, CachedTokens: j.cached, FirstToken: j.first,
+		PromptTokens: j.request.prompt, CachedTokens: j.cached, FirstToken: j.timeToFirstToken,
 	})
 }
 
-func (n *entry) hear(heartbeats []heartbeat) {
+func (n *entry) applyHeartbeats(heartbeats []heartbeat) {
 	for i, h := range heartbeats {
-		if n.r.policy.kind == ours && !(n.random.Float64() < n.r.policy.lost) {
+		if n.r.policy.kind == routed && !(n.random.Float64() < n.r.policy.lossRate) {
 			n.router.ApplyCacheChanges(address(i), 1, beechroute.CacheChanges{List: h.changes})
 		}
 		if h.load == nil {
 			continue
 		}
-		n.known[i] = h.load.Running + h.load.Waiting
-		if n.r.policy.kind == ours {
+		n.requests[i] = h.load.Running + h.load.Waiting
+		if n.r.policy.kind == routed {
 			n.router.UpdateLoad(address(i), *h.load)
 		}
 	}
--- a/internal/process/beechreplay/replay_test.go
+++ b/internal/process/beechreplay/replay_test.go
@@ -13,9 +13,10 @@
 )
 
 type (
-	// cache is an engine's prompt cache by levels: the least recently used goes
-	// first, and a prefix is always more recent than what builds on it. Copies
-	// counts, over all engines, where a level is cached or being prefilled.
+	// cache is the prompt cache of an engine, with an entry for each prefix level. It
+	// evicts the least recently used level; a level always counts as more recently
+	// used than those that extend it. copies is shared by all engines and counts on
+	// how many of them a level is cached or being prefilled.
 	cache struct {
 		entries  *simplelru.LRU[beechroute.Key, int]
 		capacity int
@@ -23,31 +24,31 @@
 		copies   map[beechroute.Key]int
 	}
 
-	// engine prefills one request after the other, in the order the agent's queue
-	// lets them run, and decodes side by side in slots.
+	// engine prefills one request after another, in the order in which the agent's
+	// queue releases them, and decodes concurrently in slots.
 	engine struct {
-		cache   *cache
-		queue   *beechqueue.Queue
-		pending map[uint64]*job        // not prefilled yet
-		awaited map[beechroute.Key]int // their levels
-		missing int                    // their tokens that were not expected to be cached
-		running []*job                 // those that the queue let run
-		busy    *job
-		until   time.Duration            // when the prefill under way ends
-		changes []beechroute.CacheChange // since the last heartbeat
+		cache           *cache
+		queue           *beechqueue.Queue
+		pending         map[uint64]*job        // requests that are not prefilled yet
+		pendingLevels   map[beechroute.Key]int // number of pending requests by level
+		pendingUncached int                    // sum of expectedUncached of the pending requests
+		running         []*job                 // released by the queue, waiting for prefill
+		prefilling      *job
+		prefillEnd      time.Duration            // end of the current prefill
+		changes         []beechroute.CacheChange // since the last heartbeat
 	}
 
 	job struct {
-		request *request
-		engine  int
-		missing int // tokens not expected to be cached when it was queued
-		cached  int
-		wasted  int
-		first   time.Duration
+		request          *request
+		engine           int
+		expectedUncached int // tokens not expected to be cached when it was queued
+		cached           int
+		wasted           int
+		timeToFirstToken time.Duration
 	}
 
 	heartbeat struct {
-		load    *beechroute.Load // nil in between
+		load    *beechroute.Load // nil in heartbeats with cache changes only
 		changes []beechroute.CacheChange
 	}
 
@@ -56,17 +57,17 @@
 		run func()
 	}
 
-	// replay is one run of one policy over one stream.
+	// replay is a simulation of one policy on one stream.
 	replay struct {
-		deployment deployment
-		policy     policy
-		clock      *clockwork.FakeClock
-		now        time.Duration
-		events     []event // the next one last
-		engines    []*engine
-		entries    []*entry
-		warm       time.Duration
-		result     result
+		deployment  deployment
+		policy      policy
+		clock       *clockwork.FakeClock
+		now         time.Duration
+		events      []event // by time, the next one last
+		engines     []*engine
+		entries     []*entry
+		countedFrom time.Duration
+		result      result
 	}
 )
 
@@ -101,7 +102,7 @@
 	return evicted
 }
 
-// tokens is level i's own, without those above it.
+// tokens returns the tokens that level i adds to the level before it.
 func (q *request) tokens(i int) int {
 	if i == 0 {
 		return q.levels[0].Tokens
@@ -109,38 +110,38 @@
 	return q.levels[i].Tokens - q.levels[i-1].Tokens
 }
 
-// run decides the whole stream and gives its figures.
+// run simulates a policy on a whole stream and returns the result.
 func run(d deployment, p policy, stream []*request, seed uint64) result {
 	r := &replay{deployment: d, policy: p, clock: clockwork.NewFakeClockAt(time.Unix(0, 0))}
 	copies := map[beechroute.Key]int{}
 	for range d.engines {
 		r.engines = append(r.engines, &engine{
 			cache: newCache(cacheTokens, copies), queue: beechqueue.New(agentQueue, r.clock),
-			pending: map[uint64]*job{}, awaited: map[beechroute.Key]int{},
+			pending: map[uint64]*job{}, pendingLevels: map[beechroute.Key]int{},
 		})
 	}
 	for zone := range d.zones {
 		r.entries = append(r.entries, newEntry(r, zone, rand.New(rand.NewPCG(seed, uint64(zone)))))
 	}
-	r.warm = stream[len(stream)/warmShare].at
-	r.beat()
+	r.countedFrom = stream[len(stream)/warmupDivisor].at
+	r.sendHeartbeats()
 	for _, q := range stream {
-		r.playUntil(q.at)
+		r.runUntil(q.at)
 		r.arrive(&job{request: q})
 	}
 	for slices.ContainsFunc(r.engines, func(e *engine) bool { return len(e.pending) > 0 }) {
-		r.playUntil(r.now + time.Second)
+		r.runUntil(r.now + time.Second)
 	}
-	slices.Sort(r.result.firsts)
+	slices.Sort(r.result.timesToFirstToken)
 	return r.result
 }
 
-func (r *replay) at(at time.Duration, run func()) {
+func (r *replay) schedule(at time.Duration, run func()) {
 	i, _ := slices.BinarySearchFunc(r.events, at, func(e event, at time.Duration) int { return cmp.Compare(at, e.at) })
 	r.events = slices.Insert(r.events, i, event{at: at, run: run})
 }
 
-func (r *replay) playUntil(end time.Duration) {
+func (r *replay) runUntil(end time.Duration) {
 	for last := len(r.events) - 1; last >= 0 && r.events[last].at <= end; last = len(r.events) - 1 {
 		e := r.events[last]
 		r.events = r.events[:last]
@@ -158,14 +159,14 @@
 func (r *replay) arrive(j *job) {
 	j.engine = r.entries[j.request.zone].choose(j.request)
 	e := r.engines[j.engine]
-	expected := e.expected(j.request)
-	j.missing = j.request.prompt - expected
+	expected := e.expectedCached(j.request)
+	j.expectedUncached = j.request.prompt - expected
 	e.announce(j.request, expected)
-	e.wait(j, 1)
+	e.updatePending(j, 1)
 	if _, ok := e.queue.Offer(j.work(expected), engineLoad).(beechqueue.Run); ok {
 		e.running = append(e.running, j)
 	}
-	r.start(e)
+	r.startPrefill(e)
 }
 
 func (j *job) work(cached int) beechqueue.Request {
@@ -177,17 +178,17 @@
 	return w
 }
 
-// start begins the next prefill if the engine is free for one. Waste is what some
-// engine holds or is prefilling now.
-func (r *replay) start(e *engine) {
+// startPrefill starts the next prefill unless the engine is prefilling. Tokens are wasted if
+// they are prefilled although some engine has them cached or is prefilling them.
+func (r *replay) startPrefill(e *engine) {
 	for _, w := range e.queue.Dispatch(engineLoad) {
 		e.running = append(e.running, e.pending[w.ID])
 	}
-	if e.busy != nil || len(e.running) == 0 {
+	if e.prefilling != nil || len(e.running) == 0 {
 		return
 	}
 	j := e.running[0]
-	e.busy, e.running = j, e.running[1:]
+	e.prefilling, e.running = j, e.running[1:]
 	j.cached = e.cache.cached(j.request)
 	e.announce(j.request, j.cached)
 	for i, l := range j.request.levels {
@@ -199,8 +200,8 @@
 		}
 		e.cache.copies[l.Key]++
 	}
-	e.until = r.now + prefillOverhead + prefillTime(j.request.prompt-j.cached)
-	r.at(e.until, func() { r.firstToken(e, j) })
+	e.prefillEnd = r.now + prefillOverhead + prefillTime(j.request.prompt-j.cached)
+	r.schedule(e.prefillEnd, func() { r.firstToken(e, j) })
 }
 
 func (r *replay) firstToken(e *engine, j *job) {
@@ -209,81 +210,82 @@
 			e.cache.copies[l.Key]--
 		}
 	}
-	e.busy = nil
-	e.wait(j, -1)
+	e.prefilling = nil
+	e.updatePending(j, -1)
 	e.queue.FinishPrefill(j.request.id)
 	for _, key := range e.cache.store(j.request) {
-		if e.awaited[key] == 0 {
+		if e.pendingLevels[key] == 0 {
 			e.changes = append(e.changes, beechroute.CacheChange{Key: key})
 		}
 	}
-	j.first = r.now - j.request.at
+	j.timeToFirstToken = r.now - j.request.at
 	if zoneOf(j.engine, r.deployment) != j.request.zone {
-		j.first += zoneDistance
+		j.timeToFirstToken += crossZoneRoundTrip
 	}
-	if j.request.at >= r.warm {
+	if j.request.at >= r.countedFrom {
 		r.result.prompt += j.request.prompt
 		r.result.cached += j.cached
 		r.result.wasted += j.wasted
-		r.result.firsts = append(r.result.firsts, j.first)
+		r.result.timesToFirstToken = append(r.result.timesToFirstToken, j.timeToFirstToken)
 	}
-	r.at(r.now+time.Duration(j.request.output)*tokenTime, func() {
+	r.schedule(r.now+time.Duration(j.request.output)*tokenTime, func() {
 		e.queue.Finish(j.request.id, beechqueue.Usage{Known: true, Prompt: j.request.prompt, Cached: j.cached, Output: j.request.output})
-		r.entries[j.request.zone].learn(j)
-		r.start(e)
+		r.entries[j.request.zone].recordFinish(j)
+		r.startPrefill(e)
 	})
-	r.start(e)
+	r.startPrefill(e)
 }
 
-// announce tells of the levels that a request brings into the cache.
+// announce adds the levels that a request will add to the cache to the changes of the next
+// heartbeat.
 func (e *engine) announce(q *request, cached int) {
-	for _, l := range q.levels[:historyAt+1] {
+	for _, l := range q.levels[:historyLevel+1] {
 		if l.Tokens > cached {
 			e.changes = append(e.changes, beechroute.CacheChange{Key: l.Key, Tokens: l.Tokens, Held: true})
 		}
 	}
 }
 
-// wait adds a job to those that are not prefilled yet, or takes it away.
-func (e *engine) wait(j *job, sign int) {
+// updatePending adds a job to those not prefilled yet, or removes it if sign is negative.
+func (e *engine) updatePending(j *job, sign int) {
 	if e.pending[j.request.id] = j; sign < 0 {
 		delete(e.pending, j.request.id)
 	}
-	e.missing += sign * j.missing
+	e.pendingUncached += sign * j.expectedUncached
 	for _, l := range j.request.levels {
-		e.awaited[l.Key] += sign
+		e.pendingLevels[l.Key] += sign
 	}
 }
 
-// expected is the tokens of a request that are cached, or will be once what waits
-// before it has run.
-func (e *engine) expected(q *request) int {
+// expectedCached returns how many tokens of a request are cached, or will be once the pending
+// requests before it are prefilled.
+func (e *engine) expectedCached(q *request) int {
 	for _, l := range slices.Backward(q.levels) {
-		if e.awaited[l.Key] > 0 || e.cache.entries.Contains(l.Key) {
+		if e.pendingLevels[l.Key] > 0 || e.cache.entries.Contains(l.Key) {
 			return l.Tokens
 		}
 	}
 	return 0
 }
 
-// waitingTokens is the prefill work ahead of a new request.
+// waitingTokens returns the tokens to prefill before a new request.
 func (e *engine) waitingTokens(now time.Duration) int {
-	tokens := e.missing
-	if e.busy != nil {
-		tokens += int((e.until-now).Seconds()*prefillRate) - e.busy.missing
+	tokens := e.pendingUncached
+	if e.prefilling != nil {
+		tokens += int((e.prefillEnd-now).Seconds()*prefillRate) - e.prefilling.expectedUncached
 	}
 	return max(0, tokens)
 }
 
-// beat takes each agent's heartbeat; entry hosts hear them a lag later. Some carry
-// changes only.
-func (r *replay) beat() {
+// sendHeartbeats collects a heartbeat from each agent, and schedules their arrival at the
+// entry hosts after reportLag. Only every loadInterval do they include the load.
+func (r *replay) sendHeartbeats() {
 	heartbeats := make([]heartbeat, len(r.engines))
 	for i, e := range r.engines {
 		heartbeats[i].changes = e.changes
 		e.changes = nil
-		r.start(e)
-		if r.now%loadEvery == 0 {
+		r.startPrefill(e)
+		if r.now%loadInterval == 0 {
 			state := e.queue.State()
 			heartbeats[i].load = &beechroute.Load{
 				Running: state.Running, Waiting: state.Waiting, WaitingTokens: state.WaitingTokens,
@@ -291,10 +293,10 @@
 			}
 		}
 	}
-	r.at(r.now+reportLag, func() {
+	r.schedule(r.now+reportLag, func() {
 		for _, n := range r.entries {
-			n.hear(heartbeats)
+			n.applyHeartbeats(heartbeats)
 		}
 	})
-	r.at(r.now+max(tellEvery, r.policy.tellEvery), r.beat)
+	r.schedule(r.now+max(changesInterval, r.policy.announceInterval), r.sendHeartbeats)
 }
--- a/internal/process/beechreplay/workload_test.go
+++ b/internal/process/beechreplay/workload_test.go
@@ -12,31 +12,31 @@
 	"github.com/beechring/beechring/internal/prompt/beechprefix"
 )
 
-// An engine of both fleets, and what lies between it and an entry host.
+// Properties of an engine, the same in both fleets, and of its connection to entry hosts.
 const (
-	cacheTokens     = 120_000
-	prefillRate     = 8000 // tokens a second
-	prefillOverhead = 4 * time.Millisecond
-	slots           = 32
-	tokenTime       = 15 * time.Millisecond
-	zoneDistance    = 2 * time.Millisecond // there and back
-	loadEvery       = 400 * time.Millisecond
-	tellEvery       = 100 * time.Millisecond // what came into a cache and went
-	reportLag       = 100 * time.Millisecond
+	cacheTokens        = 120_000
+	prefillRate        = 8000 // tokens per second
+	prefillOverhead    = 4 * time.Millisecond
+	slots              = 32
+	tokenTime          = 15 * time.Millisecond
+	crossZoneRoundTrip = 2 * time.Millisecond
+	loadInterval       = 400 * time.Millisecond
+	changesInterval    = 100 * time.Millisecond // between reports of cache changes
+	reportLag          = 100 * time.Millisecond
 )
 
-const warmShare = 5 // the first fifth of a stream warms the caches and is not counted
+const warmupDivisor = 5 // the first fifth of a stream only warms the caches and is not counted
 
 type (
-	// deployment is one of the two firms' fleets and what its callers send.
+	// deployment is the fleet of one of two companies, and the requests of its callers.
 	deployment struct {
 		name        string
 		engines     int
 		zones       int
 		requests    int
-		histories   int // of each workspace
+		histories   int // conversation histories of each workspace
 		outputMean  int
-		hotShare    float64 // of requests that read the one hot prefix
+		hotShare    float64 // share of requests that use the one hot prefix
 		wasteWeight float64
 	}
 
@@ -70,16 +70,16 @@
 
 	engineLoad = beechqueue.Load{Slots: slots, PrefillRate: prefillRate, TokenTime: tokenTime}
 
-	// agentQueue refuses nothing, so that every policy serves the same requests.
+	// agentQueue accepts all requests, so that every policy serves the same ones.
 	agentQueue = beechqueue.Settings{
 		MaxWaiting: 1 << 20, MaxLongPrefills: 1, LongPrefill: prefillRate, MaxPrefixWait: 3 * time.Second,
 	}
 
-	// A few workspaces are large.
+	// workspaceShares are shares of the requests; a few workspaces are large.
 	workspaceShares = [...]float64{0.34, 0.24, 0.16, 0.08, 0.06, 0.05, 0.04, 0.03}
 )
 
-// stream is the requests of a deployment at a share of full load.
+// stream returns the requests of a deployment at the given share of full load.
 func (d deployment) stream(seed uint64, load float64) []*request {
 	random := rand.New(rand.NewPCG(seed, 1))
 	workspaces := d.workspaces(random)
@@ -114,8 +114,8 @@
 	return workspaces
 }
 
-// request draws one. The hot prefix is a history of the largest workspace, and in
-// the middle of the stream another one takes its place.
+// request draws a random request. The hot prefix is a history of the largest workspace; in
+// the middle of the stream it is replaced by another one.
 func (d deployment) request(random *rand.Rand, workspaces []*workspace, i int) *request {
 	draw, n := random.Float64(), 0
 	for n < len(workspaces)-1 && draw > workspaceShares[n] {
@@ -138,15 +138,15 @@
 	return q
 }
 
-// fullRate is the requests a second that the fleet's prefills could carry if all
-// its caches were one.
+// fullRate returns full load, in requests per second: the rate that the fleet's prefills
+// could sustain if all engines shared one cache.
 func (d deployment) fullRate(requests []*request) float64 {
 	c := newCache(d.engines*cacheTokens, map[beechroute.Key]int{})
 	uncached, counted := 0, 0
 	for i, q := range requests {
 		missing := q.prompt - c.cached(q)
 		c.store(q)
-		if i >= len(requests)/warmShare {
+		if i >= len(requests)/warmupDivisor {
 			uncached += missing
 			counted++
 		}
