--- a/internal/command/beechtrace/trace.go
+++ b/internal/command/beechtrace/trace.go
@@ -17,7 +17,7 @@
 	"github.com/beechring/beechring/internal/process/beechlog"
 )
 
-// line is one of a log, with the process that wrote it.
+// line is a log line and the process that wrote it.
 type line struct {
 	time    string
 	process string
@@ -25,15 +25,15 @@
 }
 
 const (
-	keepVariable = "SCENARIO_KEEP"
-	logSuffix    = ".log"
-	mostLines    = 300 // printed of one failed test
-	mostBytes    = 400 // printed of one line
-	longestLine  = 1 << 20
+	keepVariable      = "SCENARIO_KEEP"
+	logSuffix         = ".log"
+	maxTailLines      = 300 // printed for each failed test
+	maxPrintedBytes   = 400 // printed of each line
+	maxInputLineBytes = 1 << 20
 )
 
-// Folder is where a test's processes write. It is removed after a test that
-// passes.
+// Folder creates a folder for the logs and journals of a test's processes. It is removed
+// when the test ends, unless the test failed or SCENARIO_KEEP is set.
 func Folder(t testing.TB) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("", strings.ReplaceAll(t.Name(), "/", "-")+"-")
@@ -55,8 +55,8 @@
 	return folder
 }
 
-// Show prints the last lines of the logs in a folder that its owner will remove,
-// and keeps a copy of it.
+// Show prints the last lines of the logs in a folder, and keeps a copy of the folder, which
+// its owner will remove.
 func Show(t testing.TB, folder string) {
 	t.Helper()
 	t.Log(tail(folder))
@@ -65,21 +65,21 @@
 		err = os.CopyFS(kept, os.DirFS(folder))
 	}
 	if err != nil {
-		t.Logf("logs and journals are not kept: %v", err)
+		t.Logf("could not keep logs and journals: %v", err)
 		return
 	}
 	t.Logf("logs and journals are kept in %s", kept)
 }
 
-// Logger is for a process inside the test. Its lines are printed if the test
-// fails.
+// Logger returns a logger for code that runs inside the test process. Its last lines are
+// printed if the test fails.
 func Logger(t testing.TB) *zap.Logger {
 	t.Helper()
 	lines := &zaptest.Buffer{}
 	t.Cleanup(func() {
 		if t.Failed() {
 			all := lines.Lines()
-			t.Log(strings.Join(all[max(0, len(all)-mostLines):], "\n"))
+			t.Log(strings.Join(all[max(0, len(all)-maxTailLines):], "\n"))
 		}
 	})
 	log, err := beechlog.New(zapcore.Lock(lines), "info")
@@ -89,8 +89,7 @@
 	return log
 }
 
-// tail joins the last lines of all logs in a folder, in the order of their
-// times.
+// tail returns the last lines of all logs in a folder, sorted by time.
 func tail(folder string) string {
 	files, err := filepath.Glob(filepath.Join(folder, "*"+logSuffix))
 	if err != nil || len(files) == 0 {
@@ -98,20 +97,20 @@
 	}
 	var all []line
 	for _, file := range files {
-		all = append(all, read(file)...)
+		all = append(all, readLog(file)...)
 	}
 	slices.SortStableFunc(all, func(x, y line) int { return strings.Compare(x.time, y.time) })
 	var text strings.Builder
-	fmt.Fprintf(&text, "the last of %d lines of %d logs:\n", len(all), len(files))
-	for _, l := range all[max(0, len(all)-mostLines):] {
-		fmt.Fprintf(&text, "%s: %s\n", l.process, l.text[:min(len(l.text), mostBytes)])
+	fmt.Fprintf(&text, "last lines of the logs (%d lines in %d logs):\n", len(all), len(files))
+	for _, l := range all[max(0, len(all)-maxTailLines):] {
+		fmt.Fprintf(&text, "%s: %s\n", l.process, l.text[:min(len(l.text), maxPrintedBytes)])
 	}
 	return text.String()
 }
 
-// read gives a log's lines. One without a time, as of a panic, has that of the
-// line before.
-func read(file string) []line {
+// readLog returns the lines of a log. A line without a time, such as that of a panic, gets the
+// time of the line before it.
+func readLog(file string) []line {
 	f, err := os.Open(file)
 	if err != nil {
 		return []line{{process: file, text: err.Error()}}
@@ -121,7 +120,7 @@
 	var out []line
 	var last string
 	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxInputLineBytes)
 	for scanner.Scan() {
 		var head struct {
 			Time string `json:"time"`
--- a/internal/command/beechtrace/trace_test.go
+++ b/internal/command/beechtrace/trace_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// Lines of all processes come in the order of their times, and a panic stays
-// behind the line that it follows.
-func TestTailIsInTheOrderOfTimes(t *testing.T) {
+// The lines of all processes are sorted by time, and a panic, which has no time, stays after
+// the line that it follows.
+func TestTailIsSortedByTime(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	write := func(name, text string) { is.NoErr(os.WriteFile(filepath.Join(folder, name), []byte(text), 0o600)) }
@@ -28,7 +28,7 @@
 	is.True(!strings.Contains(got, "not a log"))
 }
 
-func TestFolderOfATestThatPassesIsRemoved(t *testing.T) {
+func TestFolderOfPassedTestIsRemoved(t *testing.T) {
 	is := is.New(t)
 	t.Setenv(keepVariable, "")
 	var folder string
