--- a/internal/command/beechchart/chart.go
+++ b/internal/command/beechchart/chart.go
@@ -1,5 +1,5 @@
-// Package beechchart shows plays side by side: what callers got in each, as a
-// table or as a plot, so that a round of changes can be seen as a whole.
+// Package beechchart compares plays, which are recorded runs of beechplay: the
+// results of the callers in each, as a table or as a plot.
 //
 // # Usage
 //
@@ -21,17 +21,17 @@
 )
 
 const (
-	width     = 900
-	height    = 400
-	percent   = 100
-	dotWidth  = 3
-	plotLeast = 2 // a line needs two points
+	width        = 900
+	height       = 400
+	percent      = 100
+	dotWidth     = 3
+	minPlotPlays = 2 // a line needs two points
 )
 
-// ErrTooFew says that there are too few plays for a plot.
-var ErrTooFew = errors.New("a plot needs two plays or more")
+// ErrTooFewPlays is the error of Plot if there are fewer than two plays.
+var ErrTooFewPlays = errors.New("a plot needs two plays or more")
 
-// Table writes a line for each play, the earliest first.
+// Table writes a table with a line for each play, in the order of records (earliest first).
 func Table(out io.Writer, records []beechplay.Record) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(w, "play\twhole\tin time\trefused\tfailed\tp50\tp99\tread\tbroken\t  why")
@@ -40,13 +40,14 @@
 			percent*r.Whole(), percent*r.InTime(), r.Refused, r.Failed, r.Median.Round(time.Millisecond), r.Tail.Round(time.Millisecond),
 			percent*r.ReadShare(), r.Promises, r.Why)
 	}
-	return w.Flush() // also tells of the writes before
+	return w.Flush() // also returns errors of earlier writes
 }
 
-// Plot writes the plays' shares as an SVG picture.
+// Plot writes the shares of complete answers, of answers in time and of prefilled prompt
+// tokens as an SVG line chart over the plays.
 func Plot(out io.Writer, records []beechplay.Record) error {
-	if len(records) < plotLeast {
-		return fmt.Errorf("%w: there are %d", ErrTooFew, len(records))
+	if len(records) < minPlotPlays {
+		return fmt.Errorf("%w: there are %d", ErrTooFewPlays, len(records))
 	}
 	plays := make([]float64, len(records))
 	ticks := make([]chart.Tick, len(records))
--- a/internal/command/beechchart/chart_test.go
+++ b/internal/command/beechchart/chart_test.go
@@ -28,9 +28,9 @@
 			lines++
 		}
 	}
-	is.True(lines >= 3) // one a share
+	is.True(lines >= 3) // one for each share
 }
 
 func TestTooFewPlays(t *testing.T) {
-	is.New(t).True(errors.Is(Plot(io.Discard, make([]beechplay.Record, 1)), ErrTooFew))
+	is.New(t).True(errors.Is(Plot(io.Discard, make([]beechplay.Record, 1)), ErrTooFewPlays))
 }
