--- a/internal/command/beechtrace/trace.go
+++ b/internal/command/beechtrace/trace.go
@@ -25,10 +25,12 @@
 }
 
 const (
-	keepVariable      = "SCENARIO_KEEP"
-	logSuffix         = ".log"
-	maxTailLines      = 300 // printed for each failed test
-	maxPrintedBytes   = 400 // printed of each line
+	keepVariable    = "SCENARIO_KEEP"
+	logSuffix       = ".log"
+	maxTailLines    = 300 // printed for each failed test
+	maxPrintedBytes = 400 // printed of each line
+
+	// maxInputLineBytes limits the length of a log line. The log is not read beyond a longer one.
 	maxInputLineBytes = 1 << 20
 )
 
