--- a/internal/command/beechchart/chart.go
+++ b/internal/command/beechchart/chart.go
@@ -37,7 +37,7 @@
 	_, _ = fmt.Fprintln(w, "play\twhole\tin time\trefused\tfailed\tp50\tp99\tread\tbroken\t  why")
 	for i, r := range records {
 		_, _ = fmt.Fprintf(w, "%d\t%.1f%%\t%.1f%%\t%d\t%d\t%s\t%s\t%.1f%%\t%d\t  %s\n", i+1,
-			percent*r.Whole(), percent*r.InTime(), r.Refused, r.Failed, r.Median.Round(time.Millisecond), r.Tail.Round(time.Millisecond),
+			percent*r.AnsweredShare(), percent*r.InTimeShare(), r.Refused, r.Failed, r.Median.Round(time.Millisecond), r.Tail.Round(time.Millisecond),
 			percent*r.ReadShare(), r.Promises, r.Why)
 	}
 	return w.Flush() // also tells of the writes before
@@ -63,7 +63,7 @@
 		name  string
 		value func(beechplay.Record) float64
 	}{
-		{"whole answers", beechplay.Record.Whole}, {"in time", beechplay.Record.InTime}, {"prompt tokens read", beechplay.Record.ReadShare},
+		{"whole answers", beechplay.Record.AnsweredShare}, {"in time", beechplay.Record.InTimeShare}, {"prompt tokens read", beechplay.Record.ReadShare},
 	} {
 		shares := make([]float64, len(records))
 		for i, r := range records {
--- a/internal/command/beechplay/world.go
+++ b/internal/command/beechplay/cluster.go
@@ -18,7 +18,7 @@
 	// World is the users' platform in small: a store, engines with their
 	// keepers, plain services, and gates in front of them, each on a loopback
 	// address of its own. It is not safe for concurrent use.
-	World struct {
+	Cluster struct {
 		Store   *beechhome.Store
 		Engines map[string]*beechhome.Engine
 		Places  map[string]netip.AddrPort // of the store, engines, gates, and NAME-ready
@@ -38,12 +38,12 @@
 
 // What a world's configuration names.
 const (
-	Model      = "advisor"
-	Host       = "advice.example"
-	Key        = "key-of-mill"
-	IsolateKey = "key-of-barn" // of an isolated workspace
-	Generation = "llm"         // the service of engines
-	Plain      = "app"         // the plain service
+	Model         = "advisor"
+	Host          = "advice.example"
+	Key           = "key-of-mill"
+	IsolateKey    = "key-of-barn" // of an isolated workspace
+	EngineService = "llm"         // the service of engines
+	PlainService  = "app"         // the plain service
 )
 
 const (
@@ -57,8 +57,8 @@
 var nextHost atomic.Int32
 
 // NewWorld returns a world with a store only.
-func NewWorld(launcher Launcher) (*World, error) {
-	w := &World{
+func NewCluster(launcher Launcher) (*Cluster, error) {
+	w := &Cluster{
 		Store: beechhome.NewStore(), Engines: make(map[string]*beechhome.Engine), Places: make(map[string]netip.AddrPort),
 		launcher: launcher, zone: "mill", beats: uint16(firstBeats + nextHost.Add(1)), processes: make(map[string]Process),
 		gates: make(map[string]*beechsettings.Gate), keepers: make(map[string]*beechsettings.Keeper),
@@ -79,7 +79,7 @@
 	return netip.AddrFrom4([4]byte{127, byte(second), byte(process), byte(1 + int(n)%hostsInNet)})
 }
 
-func (w *World) listen(address netip.Addr, h http.Handler) (netip.AddrPort, error) {
+func (w *Cluster) listen(address netip.Addr, h http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp4", netip.AddrPortFrom(address, 0).String())
 	if err != nil {
 		return netip.AddrPort{}, err
@@ -91,7 +91,7 @@
 }
 
 // AddEngine starts a backend server and lists it; with a model it gets a keeper.
-func (w *World) AddEngine(name string, s beechhome.EngineSettings) (*beechhome.Engine, error) {
+func (w *Cluster) AddEngine(name string, s beechhome.EngineSettings) (*beechhome.Engine, error) {
 	s.ID = name
 	e := beechhome.NewEngine(s)
 	address := loopback()
@@ -100,7 +100,7 @@
 		return nil, err
 	}
 	w.Engines[name], w.Places[name] = e, place
-	w.List(name, "ready")
+	w.ListServer(name, "ready")
 	if s.Model == "" {
 		return e, nil
 	}
@@ -109,33 +109,33 @@
 	return e, w.Start(keeper)
 }
 
-// List writes a server's entry, as the server itself would, with its state.
-func (w *World) List(name, state string) {
+// ListServer writes a server's entry, as the server itself would, with its state.
+func (w *Cluster) ListServer(name, state string) {
 	e := w.Engines[name]
-	service := Plain
+	service := PlainService
 	if e.Generates() {
-		service = Generation
+		service = EngineService
 	}
 	w.Store.List(e, service, w.Places[name].String(), w.zone, state)
 }
 
-// In has what is added from now on stand in an availability zone.
-func (w *World) In(zone string) { w.zone = zone }
+// SetZone has what is added from now on stand in an availability zone.
+func (w *Cluster) SetZone(zone string) { w.zone = zone }
 
 // Configure writes a configuration; edit may change it before.
-func (w *World) Configure(version int, edit func(c Document)) {
-	c := beechhome.Configuration(version, Host, Model, Generation, Plain, Key, IsolateKey)
+func (w *Cluster) Configure(version int, edit func(c Document)) {
+	c := beechhome.Configuration(version, Host, Model, EngineService, PlainService, Key, IsolateKey)
 	if edit != nil {
 		edit(c)
 	}
 	w.Store.Put(beechhome.ConfigurationKey, c)
 }
 
-// Name names a version of the model's weights.
-func (w *World) Name(version int) { w.Store.Name(Model, version) }
+// SetWeights names a version of the model's weights.
+func (w *Cluster) SetWeights(version int) { w.Store.Name(Model, version) }
 
 // AddGate starts a gate; its front door and its readiness stand in Places.
-func (w *World) AddGate(name string, bounds beechsettings.GateBounds) error {
+func (w *Cluster) AddGate(name string, bounds beechsettings.GateBounds) error {
 	address := loopback()
 	front, ready, err := freePorts(address)
 	if err != nil {
@@ -150,7 +150,7 @@
 
 // Start starts a gate or a keeper that the world knows, also again after it has
 // stopped, at the same addresses.
-func (w *World) Start(name string) error {
+func (w *Cluster) Start(name string) error {
 	var p Process
 	var err error
 	if s, ok := w.gates[name]; ok {
@@ -186,19 +186,19 @@
 }
 
 // Process gives a process that was started.
-func (w *World) Process(name string) Process { return w.processes[name] }
+func (w *Cluster) Process(name string) Process { return w.processes[name] }
 
 // Signal asks a process to stop, without waiting for it.
-func (w *World) Signal(name string) { w.processes[name].Signal() }
+func (w *Cluster) Signal(name string) { w.processes[name].Signal() }
 
 // Stop asks a process to stop and waits until it has.
-func (w *World) Stop(name string) error {
+func (w *Cluster) Stop(name string) error {
 	w.processes[name].Signal()
 	return w.processes[name].Wait()
 }
 
 // Close stops everything, processes side by side.
-func (w *World) Close() error {
+func (w *Cluster) Close() error {
 	var errs []error
 	for _, p := range w.processes {
 		p.Signal()
@@ -213,7 +213,7 @@
 }
 
 // Runs counts how often a request ran, over all servers.
-func (w *World) Runs(id string) int {
+func (w *Cluster) Runs(id string) int {
 	total := 0
 	for _, e := range w.Engines {
 		total += e.Runs(id)
--- a/internal/command/beechplay/day.go
+++ b/internal/command/beechplay/day.go
@@ -40,7 +40,7 @@
 )
 
 // Kinds lists the kinds of faults, each with what it does.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"weights":      "new weights are named",
 	"configure":    "the configuration changes",
 	"store down":   "the store answers 503",
@@ -90,7 +90,7 @@
 		}
 	}
 	for i, f := range day.Faults {
-		if _, ok := Kinds[f.Kind]; !ok {
+		if _, ok := FaultKinds[f.Kind]; !ok {
 			return Day{}, fmt.Errorf("%w: field faults.%d.kind: %q is no kind of fault", errDay, i, f.Kind)
 		}
 		if f.Rate < 0 {
--- a/internal/command/beechplay/launch.go
+++ b/internal/command/beechplay/launch.go
@@ -35,7 +35,7 @@
 	}
 
 	// Inside starts gates and keepers within this process.
-	Inside struct {
+	InProcess struct {
 		Age beechfresh.Clock // by which gates tell how old their beliefs are
 		Log *zap.Logger
 	}
@@ -51,7 +51,7 @@
 const stopMost = 12 * time.Second
 
 // Gate implements Launcher.
-func (i Inside) Gate(s *beechsettings.Gate) (Process, error) {
+func (i InProcess) Gate(s *beechsettings.Gate) (Process, error) {
 	clock := clockwork.NewRealClock()
 	pool := beechpool.New(beechpool.Defaults, clock)
 	store := platform.NewStore(s.Store)
@@ -68,7 +68,7 @@
 }
 
 // Keeper implements Launcher.
-func (i Inside) Keeper(s *beechsettings.Keeper) (Process, error) {
+func (i InProcess) Keeper(s *beechsettings.Keeper) (Process, error) {
 	clock := clockwork.NewRealClock()
 	engines := platform.NewEngines(beechpool.New(beechpool.Defaults, clock), clock)
 	k, err := beechkeeper.New(s, beechkeeper.Dependencies{
@@ -80,7 +80,7 @@
 	return i.launch(s.Name, k.Run), nil
 }
 
-func (i Inside) launch(name string, run func(context.Context) error) *inside {
+func (i InProcess) launch(name string, run func(context.Context) error) *inside {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &inside{name: name, cancel: cancel, done: make(chan error, 1)}
 	go func() {
--- a/internal/command/beechplay/limits_soak_test.go
+++ b/internal/command/beechplay/limits_soak_test.go
@@ -53,7 +53,7 @@
 			}
 			if from := calm.Add(limitKnown); from.Before(until) {
 				checked++
-				if most := span.server.MostArrivals(limitWindow, calm, from, until); float64(most) > Tolerated(span.rate) {
+				if most := span.server.MostArrivals(limitWindow, calm, from, until); float64(most) > MaxArrivals(span.rate) {
 					s.t.Errorf("a server that takes %g a second was sent %d requests in %s", span.rate, most, limitWindow)
 				}
 			}
--- a/internal/command/beechplay/play.go
+++ b/internal/command/beechplay/play.go
@@ -37,7 +37,7 @@
 	// player plays one day.
 	player struct {
 		day    Day
-		world  *World
+		world  *Cluster
 		random *rand.Rand
 		client *http.Client
 
@@ -84,7 +84,7 @@
 // Play plays a day and reports what callers got. An error says that the day
 // could not be played, not that callers were served badly.
 func Play(ctx context.Context, day Day, log *zap.Logger) (*Report, error) {
-	world, err := NewWorld(Inside{Age: beechfresh.BootClock{}, Log: log})
+	world, err := NewCluster(InProcess{Age: beechfresh.BootClock{}, Log: log})
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
 	}
@@ -108,7 +108,7 @@
 
 func (p *player) begin() error {
 	p.world.Configure(p.config, nil)
-	p.world.Name(p.version)
+	p.world.SetWeights(p.version)
 	for i := range p.day.Engines {
 		_, err := p.world.AddEngine(fmt.Sprintf("e%d", i+1), beechhome.EngineSettings{
 			Model: Model, Version: 1, Slots: 48, Token: time.Duration(p.day.Token), ReadRate: p.day.Reading, Load: 300 * time.Millisecond,
@@ -204,7 +204,7 @@
 	switch f.Kind {
 	case "weights":
 		p.version++
-		p.world.Name(p.version)
+		p.world.SetWeights(p.version)
 	case "configure":
 		p.config++
 		p.world.Configure(p.config, nil)
@@ -255,7 +255,7 @@
 			continue
 		}
 		e.SetLimit("")
-		if most := e.MostArrivals(limitWindow, since, since.Add(limitKnown), until); float64(most) > Tolerated(f.Rate) {
+		if most := e.MostArrivals(limitWindow, since, since.Add(limitKnown), until); float64(most) > MaxArrivals(f.Rate) {
 			p.broken("%s: was sent %d requests in %s, and takes %g a second", name, most, limitWindow, f.Rate)
 		}
 	}
@@ -263,7 +263,7 @@
 
 // Tolerated is what a server that names a limit may be sent in limitWindow, some of it
 // under way when the limit was named.
-func Tolerated(rate float64) float64 {
+func MaxArrivals(rate float64) float64 {
 	return rate*limitWindow.Seconds()*(1+limitOverage) + limitSlack
 }
 
--- a/internal/command/beechplay/play_test.go
+++ b/internal/command/beechplay/play_test.go
@@ -15,7 +15,7 @@
 // Servers refuse, hang, reset and cut, the store falls silent, weights and
 // configuration change and a gate is replaced, all within some seconds. Callers
 // may be refused, but no promise is broken.
-func TestPlayedDay(t *testing.T) {
+func TestDayWithFaults(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../../docs/examples/day.json")
 	is.NoErr(err)
@@ -28,7 +28,7 @@
 	is.True(report.Served > report.Asked*9/10)
 }
 
-func TestCalmDay(t *testing.T) {
+func TestDayWithoutFaults(t *testing.T) {
 	is := is.New(t)
 	day := Default
 	day.Length = beechsettings.Duration(3 * time.Second)
@@ -43,7 +43,7 @@
 // A gate has two doors. Chosen one after the other their ports are the same one in a
 // few of a hundred thousand cases (27 of 200,000 were); the gate then ends when it
 // opens the second, and the day is over before it began: `not ready within 10s`.
-func TestDoorsHavePortsOfTheirOwn(t *testing.T) {
+func TestGatePortsDiffer(t *testing.T) {
 	address := loopback()
 	for range 20000 {
 		front, ready, err := freePorts(address)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestBadDays(t *testing.T) {
+func TestInvalidDays(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]string{
 		`{`:                                    "unexpected EOF",
@@ -73,7 +73,7 @@
 
 // Two servers name limits while callers ask, one of them with a keeper. Nobody is refused,
 // and neither server is sent more than it takes.
-func TestDayOfLimits(t *testing.T) {
+func TestDayWithLimits(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../../docs/examples/limit.json")
 	is.NoErr(err)
--- a/internal/command/beechplay/record.go
+++ b/internal/command/beechplay/record.go
@@ -45,11 +45,11 @@
 	}
 }
 
-// InTime is the share of requests that were answered within their objective.
-func (r Record) InTime() float64 { return share(r.Served-r.Late, r.Asked) }
+// InTimeShare is the share of requests that were answered within their objective.
+func (r Record) InTimeShare() float64 { return share(r.Served-r.Late, r.Asked) }
 
-// Whole is the share of requests that were answered.
-func (r Record) Whole() float64 { return share(r.Served, r.Asked) }
+// AnsweredShare is the share of requests that were answered.
+func (r Record) AnsweredShare() float64 { return share(r.Served, r.Asked) }
 
 // ReadShare is the share of prompt tokens that engines read; the rest they had.
 func (r Record) ReadShare() float64 { return share(r.Read, r.Prompts) }
--- a/internal/command/beechplay/record_test.go
+++ b/internal/command/beechplay/record_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRecords(t *testing.T) {
+func TestAppendAndReadRecords(t *testing.T) {
 	is := is.New(t)
 	report := &Report{Asked: 10, Served: 8, Late: 2, Prompts: 1000, Read: 250, Promises: []string{"one"}, First: hdrhistogram.New(1, latencyMax, digits)}
 	is.NoErr(report.First.RecordValue(20000))
@@ -25,9 +25,9 @@
 	records, err := ReadRecords(bytes.NewReader(data))
 	is.NoErr(err)
 	is.Equal(records, []Record{first, second})
-	is.Equal(records[0].InTime(), 0.6)
-	is.Equal(records[0].Whole(), 0.8)
+	is.Equal(records[0].InTimeShare(), 0.6)
+	is.Equal(records[0].AnsweredShare(), 0.8)
 	is.Equal(records[0].ReadShare(), 0.25)
 	is.Equal(records[0].Promises, 1)
-	is.Equal(Record{}.Whole(), 0.0) // nothing was asked
+	is.Equal(Record{}.AnsweredShare(), 0.0) // nothing was asked
 }
--- a/internal/command/beechplay/soak_test.go
+++ b/internal/command/beechplay/soak_test.go
@@ -62,7 +62,7 @@
 	soak struct {
 		t      *testing.T
 		seed   uint64
-		world  *World
+		world  *Cluster
 		random *rand.Rand
 		client *http.Client
 		gates  []string
@@ -183,7 +183,7 @@
 }
 
 func play(t *testing.T, binary string, seed uint64) {
-	w, err := NewWorld(outside{t: t, program: binary, folder: beechtrace.Folder(t)})
+	w, err := NewCluster(outside{t: t, program: binary, folder: beechtrace.Folder(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +202,7 @@
 
 func (s *soak) begin() {
 	s.world.Configure(1, nil)
-	s.world.Name(1)
+	s.world.SetWeights(1)
 	for i := range 3 {
 		s.must(s.world.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{Model: Model, Version: 1, Slots: 32, Token: 20 * time.Millisecond, Load: 300 * time.Millisecond}))
 		s.must(s.world.AddEngine(fmt.Sprintf("s%d", i), beechhome.EngineSettings{Slots: 32}))
@@ -297,7 +297,7 @@
 		s.loseStore(false)
 		s.world.Store.Compact()
 	case 6:
-		s.world.Name(version)
+		s.world.SetWeights(version)
 	case 7:
 		s.revoke(version)
 	default:
--- a/internal/command/beechplay/moments_test.go
+++ b/internal/command/beechplay/streams_test.go
@@ -42,13 +42,13 @@
 // TestStreamsOutliveEveryMoment guards against streams of which an event is
 // missing, comes twice or never comes where a gate is killed, stopped or
 // suspended, or an engine breaks off, at any moment of them.
-func TestStreamsOutliveEveryMoment(t *testing.T) {
+func TestStreamsSurviveGateAndEngineFailures(t *testing.T) {
 	playMoments(t, func(r *momentRun) func() { return r.fail })
 }
 
 // TestEnginesThatFailInTwoWays guards against streams whose rest is asked for at an
 // engine that answers with an error, and which then end as if they were whole.
-func TestEnginesThatFailInTwoWays(t *testing.T) {
+func TestStreamsSurviveEngineErrors(t *testing.T) {
 	playMoments(t, func(r *momentRun) func() { return r.failEngines })
 }
 
@@ -58,7 +58,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed-", seed+1), func(t *testing.T) {
 			t.Parallel()
-			w, err := NewWorld(outside{t: t, program: program, folder: beechtrace.Folder(t)})
+			w, err := NewCluster(outside{t: t, program: program, folder: beechtrace.Folder(t)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -76,7 +76,7 @@
 func (r *momentRun) deploy() {
 	w := r.soak.world
 	w.Configure(1, nil)
-	w.Name(1)
+	w.SetWeights(1)
 	for i := range 3 {
 		r.soak.must(w.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{
 			Model: Model, Version: 1, Slots: 32, Token: 10 * time.Millisecond,
