--- a/internal/command/beechplay/cluster.go
+++ b/internal/command/beechplay/cluster.go
@@ -15,68 +15,68 @@
 )
 
 type (
-	// World is the users' platform in small: a store, engines with their
-	// keepers, plain services, and gates in front of them, each on a loopback
-	// address of its own. It is not safe for concurrent use.
+	// Cluster is a small deployment: a store, engines with their keepers, plain
+	// services, and gates in front of them, each on its own loopback address. It
+	// is not safe for concurrent use.
 	Cluster struct {
 		Store   *beechhome.Store
 		Engines map[string]*beechhome.Engine
-		Places  map[string]netip.AddrPort // of the store, engines, gates, and NAME-ready
+		Places  map[string]netip.AddrPort // addresses of the store, engines and gates by name, and of a gate's readiness check by NAME-ready
 
-		launcher  Launcher
-		zone      string
-		beats     uint16
-		servers   []*http.Server
-		processes map[string]Process
-		gates     map[string]*beechsettings.Gate
-		keepers   map[string]*beechsettings.Keeper
+		launcher      Launcher
+		zone          string
+		heartbeatPort uint16
+		servers       []*http.Server
+		processes     map[string]Process
+		gates         map[string]*beechsettings.Gate
+		keepers       map[string]*beechsettings.Keeper
 	}
 
-	// Document is a document in the store.
+	// Document is a JSON document in the store.
 	Document = beechhome.Document
 )
 
-// What a world's configuration names.
+// Names in a cluster's configuration.
 const (
 	Model         = "advisor"
 	Host          = "advice.example"
 	Key           = "key-of-mill"
-	IsolateKey    = "key-of-barn" // of an isolated workspace
-	EngineService = "llm"         // the service of engines
-	PlainService  = "app"         // the plain service
+	IsolateKey    = "key-of-barn" // key of an isolated workspace
+	EngineService = "llm"         // service of the engines
+	PlainService  = "app"         // service of the plain servers
 )
 
 const (
-	headTime   = 8 * time.Second
-	firstBeats = 20000
-	firstNet   = 16 // 127.16.0.0 and up
-	nets       = 200
-	hostsInNet = 250
+	headerTimeout     = 8 * time.Second
+	baseHeartbeatPort = 20000
+	firstSubnet       = 16 // 127.16.0.0 and above
+	subnets           = 200
+	hostsPerSubnet    = 250
 )
 
 var nextHost atomic.Int32
 
-// NewWorld returns a world with a store only.
+// NewCluster returns a cluster that has a store only.
 func NewCluster(launcher Launcher) (*Cluster, error) {
 	w := &Cluster{
 		Store: beechhome.NewStore(), Engines: make(map[string]*beechhome.Engine), Places: make(map[string]netip.AddrPort),
-		launcher: launcher, zone: "mill", beats: uint16(firstBeats + nextHost.Add(1)), processes: make(map[string]Process),
+		launcher: launcher, zone: "mill", heartbeatPort: uint16(baseHeartbeatPort + nextHost.Add(1)), processes: make(map[string]Process),
 		gates: make(map[string]*beechsettings.Gate), keepers: make(map[string]*beechsettings.Keeper),
 	}
 	var err error
-	w.Places["store"], err = w.listen(loopback(), w.Store)
+	w.Places["store"], err = w.listen(nextLoopbackAddress(), w.Store)
 	return w, err
 }
 
-// loopback gives an address that no other host has, of this process or of
-// another one that plays at the same time: the middle of it is the process's.
-// With addresses counted from one in each process, two that played side by side
-// bound the same ports for datagrams.
-func loopback() netip.Addr {
+// nextLoopbackAddress returns an address that no other host of this process uses,
+// nor any of another process that runs at the same time: the two middle bytes
+// derive from the process ID. When each process counted addresses from 1, two
+// concurrent processes bound the same UDP ports.
+func nextLoopbackAddress() netip.Addr {
 	n := nextHost.Add(1) - 1
 	process := os.Getpid()
-	second := firstNet + (process>>8+int(n)/hostsInNet)%nets
-	return netip.AddrFrom4([4]byte{127, byte(second), byte(process), byte(1 + int(n)%hostsInNet)})
+	second := firstSubnet + (process>>8+int(n)/hostsPerSubnet)%subnets
+	return netip.AddrFrom4([4]byte{127, byte(second), byte(process), byte(1 + int(n)%hostsPerSubnet)})
 }
 
 func (w *Cluster) listen(address netip.Addr, h http.Handler) (netip.AddrPort, error) {
@@ -84,32 +84,34 @@
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headTime}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	go func() { _ = server.Serve(l) }() // until Close
 	w.servers = append(w.servers, server)
 	return netip.ParseAddrPort(l.Addr().String())
 }
 
-// AddEngine starts a backend server and lists it; with a model it gets a keeper.
+// AddEngine starts a backend server and lists it in the store. If the server has
+// a model, a keeper is started for it.
 func (w *Cluster) AddEngine(name string, s beechhome.EngineSettings) (*beechhome.Engine, error) {
 	s.ID = name
 	e := beechhome.NewEngine(s)
-	address := loopback()
-	place, err := w.listen(address, e)
+	address := nextLoopbackAddress()
+	endpoint, err := w.listen(address, e)
 	if err != nil {
 		return nil, err
 	}
-	w.Engines[name], w.Places[name] = e, place
+	w.Engines[name], w.Places[name] = e, endpoint
 	w.ListServer(name, "ready")
 	if s.Model == "" {
 		return e, nil
 	}
 	keeper := "keeper-" + name
-	w.keepers[keeper] = &beechsettings.Keeper{Name: keeper, Zone: w.zone, Engine: place, Beats: netip.AddrPortFrom(address, w.beats)}
+	w.keepers[keeper] = &beechsettings.Keeper{Name: keeper, Zone: w.zone, Engine: endpoint, Beats: netip.AddrPortFrom(address, w.heartbeatPort)}
 	return e, w.Start(keeper)
 }
 
-// ListServer writes a server's entry, as the server itself would, with its state.
+// ListServer writes the store entry of a server with the given state, as the
+// server itself would.
 func (w *Cluster) ListServer(name, state string) {
 	e := w.Engines[name]
 	service := PlainService
@@ -119,10 +121,11 @@
 	w.Store.List(e, service, w.Places[name].String(), w.zone, state)
 }
 
-// SetZone has what is added from now on stand in an availability zone.
+// SetZone sets the availability zone of servers and gates that are added later.
 func (w *Cluster) SetZone(zone string) { w.zone = zone }
 
-// Configure writes a configuration; edit may change it before.
+// Configure writes a version of the configuration to the store. If edit is not
+// nil, it may change the document first.
 func (w *Cluster) Configure(version int, edit func(c Document)) {
 	c := beechhome.Configuration(version, Host, Model, EngineService, PlainService, Key, IsolateKey)
 	if edit != nil {
@@ -131,25 +134,26 @@
 	w.Store.Put(beechhome.ConfigurationKey, c)
 }
 
-// SetWeights names a version of the model's weights.
+// SetWeights publishes a version of the model's weights in the store.
 func (w *Cluster) SetWeights(version int) { w.Store.Name(Model, version) }
 
-// AddGate starts a gate; its front door and its readiness stand in Places.
+// AddGate starts a gate. Places gets the addresses of its listener and of its
+// readiness check.
 func (w *Cluster) AddGate(name string, bounds beechsettings.GateBounds) error {
-	address := loopback()
-	front, ready, err := freePorts(address)
+	address := nextLoopbackAddress()
+	listen, ready, err := freePorts(address)
 	if err != nil {
 		return err
 	}
 	w.gates[name] = &beechsettings.Gate{
-		Name: name, Zone: w.zone, Listen: front, Ready: ready, Beats: netip.AddrPortFrom(address, w.beats), Store: w.Places["store"], Bounds: bounds,
+		Name: name, Zone: w.zone, Listen: listen, Ready: ready, Beats: netip.AddrPortFrom(address, w.heartbeatPort), Store: w.Places["store"], Bounds: bounds,
 	}
-	w.Places[name], w.Places[name+"-ready"] = front, ready
+	w.Places[name], w.Places[name+"-ready"] = listen, ready
 	return w.Start(name)
 }
 
-// Start starts a gate or a keeper that the world knows, also again after it has
-// stopped, at the same addresses.
+// Start starts a gate or keeper that was added before, for example after it has
+// stopped. It keeps its addresses.
 func (w *Cluster) Start(name string) error {
 	var p Process
 	var err error
@@ -165,39 +169,39 @@
 	return nil
 }
 
-// freePorts gives two ports that nobody listens on now. Both are held until both
-// are known: chosen one after the other they may be the same one, and then a
-// gate could not open its second door.
-func freePorts(address netip.Addr) (front, ready netip.AddrPort, err error) {
-	places := make([]netip.AddrPort, 0, 2)
-	for range cap(places) {
+// freePorts returns two addresses with unused ports. Both ports are held until
+// both are known: chosen one after the other they may be equal, and then a gate
+// cannot open its second listener.
+func freePorts(address netip.Addr) (listen, ready netip.AddrPort, err error) {
+	endpoints := make([]netip.AddrPort, 0, 2)
+	for range cap(endpoints) {
 		l, err := net.Listen("tcp4", netip.AddrPortFrom(address, 0).String())
 		if err != nil {
-			return front, ready, err
+			return listen, ready, err
 		}
 		defer l.Close()
-		place, err := netip.ParseAddrPort(l.Addr().String())
+		endpoint, err := netip.ParseAddrPort(l.Addr().String())
 		if err != nil {
-			return front, ready, err
+			return listen, ready, err
 		}
-		places = append(places, place)
+		endpoints = append(endpoints, endpoint)
 	}
-	return places[0], places[1], nil
+	return endpoints[0], endpoints[1], nil
 }
 
-// Process gives a process that was started.
+// Process returns a process that was started.
 func (w *Cluster) Process(name string) Process { return w.processes[name] }
 
-// Signal asks a process to stop, without waiting for it.
+// Signal requests a process to stop and does not wait for it.
 func (w *Cluster) Signal(name string) { w.processes[name].Signal() }
 
-// Stop asks a process to stop and waits until it has.
+// Stop requests a process to stop and waits for it.
 func (w *Cluster) Stop(name string) error {
 	w.processes[name].Signal()
 	return w.processes[name].Wait()
 }
 
-// Close stops everything, processes side by side.
+// Close stops all processes, concurrently, and then the servers.
 func (w *Cluster) Close() error {
 	var errs []error
 	for _, p := range w.processes {
@@ -207,12 +211,12 @@
 		errs = append(errs, p.Wait())
 	}
 	for _, s := range w.servers {
-		_ = s.Close() // only stand-ins that nobody calls any more
+		_ = s.Close() // only simulated servers, which have no clients left
 	}
 	return errors.Join(errs...)
 }
 
-// Runs counts how often a request ran, over all servers.
+// Runs returns how often a request ran on all servers together.
 func (w *Cluster) Runs(id string) int {
 	total := 0
 	for _, e := range w.Engines {
--- a/internal/command/beechplay/doc.go
+++ b/internal/command/beechplay/doc.go
@@ -1,7 +1,7 @@
-// Package beechplay plays a small day: stand-ins of the users' platform, real
-// gates and keepers, and callers, all in one process on loopback addresses,
-// with troubles at set times. It is the project's own load and experiment tool,
-// and the world that tests of the whole path use.
+// Package beechplay runs load scenarios, called days: a simulated platform, real
+// gates and keepers, and callers, all in one process on loopback addresses, with
+// faults injected at set times. It is the project's tool for load tests and
+// experiments. End-to-end tests use its Cluster.
 //
 // # Usage
 //
--- a/internal/command/beechplay/launch.go
+++ b/internal/command/beechplay/launch.go
@@ -18,37 +18,38 @@
 )
 
 type (
-	// Launcher starts the processes of a world: Inside within this process, or
-	// what a test brings, as processes of their own.
+	// Launcher starts the gates and keepers of a cluster. InProcess runs them in
+	// the current process; tests may supply one that starts separate processes.
 	Launcher interface {
 		Gate(s *beechsettings.Gate) (Process, error)
 		Keeper(s *beechsettings.Keeper) (Process, error)
 	}
 
-	// Process is a gate or a keeper that runs.
+	// Process is a running gate or keeper.
 	Process interface {
-		// Signal asks it to stop.
+		// Signal requests a stop and does not wait for it.
 		Signal()
-		// Wait waits until it has stopped, and gives an error if it does not, or
-		// did not end as it should.
+		// Wait waits for the process to stop. It returns an error if the process
+		// does not stop in time or stopped with a failure.
 		Wait() error
 	}
 
-	// Inside starts gates and keepers within this process.
+	// InProcess starts gates and keepers in the current process.
 	InProcess struct {
-		Age beechfresh.Clock // by which gates tell how old their beliefs are
+		Age beechfresh.Clock // clock by which gates measure the age of their data
 		Log *zap.Logger
 	}
 
-	inside struct {
+	inProcess struct {
 		name   string
 		cancel context.CancelFunc
 		done   chan error
 	}
 )
 
-// stopMost is how long a process may take to stop: its grace time and more.
-const stopMost = 12 * time.Second
+// stopTimeout is the time a process may take to stop. It must exceed the grace
+// period.
+const stopTimeout = 12 * time.Second
 
 // Gate implements Launcher.
 func (i InProcess) Gate(s *beechsettings.Gate) (Process, error) {
@@ -80,9 +81,9 @@
 	return i.launch(s.Name, k.Run), nil
 }
 
-func (i InProcess) launch(name string, run func(context.Context) error) *inside {
+func (i InProcess) launch(name string, run func(context.Context) error) *inProcess {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &inside{name: name, cancel: cancel, done: make(chan error, 1)}
+	p := &inProcess{name: name, cancel: cancel, done: make(chan error, 1)}
 	go func() {
 		err := run(ctx)
 		if err != nil {
@@ -94,15 +95,15 @@
 }
 
 // Signal implements Process.
-func (p *inside) Signal() { p.cancel() }
+func (p *inProcess) Signal() { p.cancel() }
 
 // Wait implements Process.
-func (p *inside) Wait() error {
+func (p *inProcess) Wait() error {
 	select {
 	case err := <-p.done:
 		p.done <- err
 		return err
-	case <-time.After(stopMost):
-		return fmt.Errorf("stop %s: not within %s", p.name, stopMost)
+	case <-time.After(stopTimeout):
+		return fmt.Errorf("stop %s: not within %s", p.name, stopTimeout)
 	}
 }
--- a/internal/command/beechplay/limits_soak_test.go
+++ b/internal/command/beechplay/limits_soak_test.go
@@ -8,53 +8,55 @@
 	"github.com/beechring/beechring/internal/standin/beechhome"
 )
 
-// limitSpan is a time in which a server named one limit.
+// limitSpan is a period in which a server announced one limit.
 type limitSpan struct {
 	server      *beechhome.Engine
 	rate        float64
 	from, until time.Time
 }
 
-// limits has servers name limits, one after the other, beside the other faults. It draws
-// on its own, so that those of a seed stay what they were.
-func (s *soak) limits() {
+// injectLimits has one server after the other announce a limit, concurrently with
+// the other faults. It has its own random source, so that the other faults of a
+// seed do not depend on it.
+func (s *soak) injectLimits() {
 	draw := rand.New(rand.NewPCG(s.seed, 2))
-	for end := time.Now().Add(soakTime - 4*time.Second); time.Now().Before(end); {
-		server := s.world.Engines[[]string{"e0", "e1", "e2", "s0"}[draw.IntN(4)]]
+	for end := time.Now().Add(soakDuration - 4*time.Second); time.Now().Before(end); {
+		server := s.cluster.Engines[[]string{"e0", "e1", "e2", "s0"}[draw.IntN(4)]]
 		span := limitSpan{server: server, rate: []float64{0, 0.5, 1, 2.5}[draw.IntN(4)], from: time.Now()}
 		server.SetLimit(strconv.FormatFloat(span.rate, 'f', -1, 64))
 		time.Sleep(time.Duration(3000+draw.IntN(4000)) * time.Millisecond)
 		span.until = time.Now()
 		server.SetLimit([]string{"", "-1", "many"}[draw.IntN(3)])
-		s.named = append(s.named, span)
+		s.limitSpans = append(s.limitSpans, span)
 	}
-	for _, e := range s.world.Engines {
+	for _, e := range s.cluster.Engines {
 		e.SetLimit("")
 	}
 }
 
-// upsets notes that a gate is disturbed: what it sends then is not held against the others.
-func (s *soak) upsets() {
+// recordDisturbance records the time at which a gate is killed, stopped, suspended
+// or resumed. Limits need not be kept right after it.
+func (s *soak) recordDisturbance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.upset = append(s.upset, time.Now())
+	s.disturbances = append(s.disturbances, time.Now())
 }
 
-// checkLimits checks what servers were sent while they named a limit and, for as long as
-// must have passed for it to be kept, no gate was disturbed.
+// checkLimits checks how many requests servers received during a limit. Periods
+// within limitSettleTime of the start of a limit or of a disturbance are excluded.
 func (s *soak) checkLimits() {
 	checked := 0
-	for _, span := range s.named {
+	for _, span := range s.limitSpans {
 		calm := span.from
-		for _, at := range append(s.upset, span.until) {
+		for _, at := range append(s.disturbances, span.until) {
 			until := at
 			if until.After(span.until) {
 				until = span.until
 			}
-			if from := calm.Add(limitKnown); from.Before(until) {
+			if from := calm.Add(limitSettleTime); from.Before(until) {
 				checked++
 				if most := span.server.MostArrivals(limitWindow, calm, from, until); float64(most) > MaxArrivals(span.rate) {
-					s.t.Errorf("a server that takes %g a second was sent %d requests in %s", span.rate, most, limitWindow)
+					s.t.Errorf("a server with a limit of %g per second got %d requests in %s", span.rate, most, limitWindow)
 				}
 			}
 			if at.After(calm) {
@@ -62,5 +64,5 @@
 			}
 		}
 	}
-	s.t.Logf("%d limits, %d calm spans", len(s.named), checked)
+	s.t.Logf("%d limits, %d undisturbed periods", len(s.limitSpans), checked)
 }
--- a/internal/command/beechplay/loglines_test.go
+++ b/internal/command/beechplay/loglines_test.go
@@ -15,9 +15,9 @@
 	"github.com/beechring/beechring/internal/process/beechsettings"
 )
 
-// documented gives the messages in the first column of the operators' table of
-// log lines.
-func documented(t *testing.T) map[string]bool {
+// documentedMessages returns the messages in the first column of the table of log
+// lines in the operators' manual.
+func documentedMessages(t *testing.T) map[string]bool {
 	page, err := os.ReadFile("../../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -39,10 +39,9 @@
 	return messages
 }
 
-// An operator looks up a line and does not find it, since it was renamed or
-// added without the page: what happened cannot be told from the logs then. Each
-// line of a day with troubles is JSON, has a level, a time and a message, and
-// the message stands in the operators' table.
+// If a log message is added or renamed without updating the operators' manual,
+// operators cannot look it up. Each log line of a day with faults must be JSON
+// with a level, a time and a message, and the manual must list the message.
 func TestLogLinesAreDocumented(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -64,7 +63,7 @@
 	}
 	_, err = Play(t.Context(), day, log)
 	is.NoErr(err)
-	known := documented(t)
+	known := documentedMessages(t)
 	is.True(len(known) > 20)
 	seen := make(map[string]bool)
 	for line := range strings.Lines(out.String()) {
--- a/internal/command/beechplay/play.go
+++ b/internal/command/beechplay/play.go
@@ -21,96 +21,97 @@
 )
 
 type (
-	// Report is what callers got.
+	// Report sums up the results of the callers' requests.
 	Report struct {
 		Asked    int
-		Served   int // whole
-		Late     int // of these, first byte after the objective
-		Refused  int // not run, with a time to come back
+		Served   int // answered completely
+		Late     int // of those served, with the first byte after the latency objective
+		Refused  int // rejected with status 503, not run
 		Failed   int
-		First    *hdrhistogram.Histogram // microseconds to the first byte of whole answers
-		Read     int                     // prompt tokens that engines read
-		Prompts  int                     // prompt tokens in all
-		Promises []string                // broken
+		First    *hdrhistogram.Histogram // microseconds to the first byte of complete answers
+		Read     int                     // prompt tokens that engines prefilled
+		Prompts  int                     // prompt tokens of all requests
+		Promises []string                // violated guarantees
 	}
 
-	// player plays one day.
-	player struct {
-		day    Day
-		world  *Cluster
-		random *rand.Rand
-		client *http.Client
+	// simulation is the state of one run of a day.
+	simulation struct {
+		day     Day
+		cluster *Cluster
+		random  *rand.Rand
+		client  *http.Client
 
-		mu      sync.Mutex
-		report  Report
-		once    map[string]int // status by id of requests that run at most once
-		version int
-		config  int
-		gates   []string
-		made    int
+		mu               sync.Mutex
+		report           Report
+		atMostOnceStatus map[string]int // status by ID of the requests that may run at most once
+		version          int
+		config           int
+		gates            []string
+		gatesStarted     int
 	}
 
-	kind struct {
-		path      string
-		objective time.Duration
-		once      bool
-		stream    bool
-		share     float64
+	requestKind struct {
+		path       string
+		objective  time.Duration
+		atMostOnce bool
+		stream     bool
+		weight     float64
 	}
 )
 
 const (
-	readyMost  = 10 * time.Second
-	readyPoll  = 20 * time.Millisecond
-	callerTime = 6 * time.Second
-	latencyMax = int64(time.Hour / time.Microsecond)
-	digits     = 2
-	grace      = 8 * time.Second
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	callerTimeout     = 6 * time.Second
+	maxLatencyMicros  = int64(time.Hour / time.Microsecond)
+	histogramDigits   = 2
+	gateGracePeriod   = 8 * time.Second
 
-	// A limit must be kept from limitKnown after it was first named on.
-	limitKnown   = 3 * time.Second
-	limitWindow  = 4 * time.Second
-	limitOverage = 0.5
-	limitSlack   = 5
+	// A limit must be kept once limitSettleTime has passed since the server first
+	// announced it.
+	limitSettleTime = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	limitTolerance  = 0.5
+	limitSlack      = 5
 )
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{"/pick/", 600 * time.Millisecond, false, true, 0.3},
 	{"/card/", 600 * time.Millisecond, true, true, 0.4},
 	{"/label/", 100 * time.Millisecond, true, false, 0.2},
 	{"/check/", 100 * time.Millisecond, false, false, 0.1},
 }
 
-// Play plays a day and reports what callers got. An error says that the day
-// could not be played, not that callers were served badly.
+// Play runs a day and reports the results. An error means that the day could not
+// be run; failed requests and violated guarantees are in the report.
 func Play(ctx context.Context, day Day, log *zap.Logger) (*Report, error) {
-	world, err := NewCluster(InProcess{Age: beechfresh.BootClock{}, Log: log})
+	cluster, err := NewCluster(InProcess{Age: beechfresh.BootClock{}, Log: log})
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
 	}
-	p := &player{
-		day: day, world: world, random: rand.New(rand.NewPCG(day.Seed, day.Seed)), version: 1, config: 1, once: make(map[string]int),
-		client: &http.Client{Timeout: callerTime, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}},
-		report: Report{First: hdrhistogram.New(1, latencyMax, digits)},
+	p := &simulation{
+		day: day, cluster: cluster, random: rand.New(rand.NewPCG(day.Seed, day.Seed)), version: 1, config: 1, atMostOnceStatus: make(map[string]int),
+		client: &http.Client{Timeout: callerTimeout, Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 64}},
+		report: Report{First: hdrhistogram.New(1, maxLatencyMicros, histogramDigits)},
 	}
-	if err := p.begin(); err != nil {
-		_ = world.Close()
+	if err := p.deploy(); err != nil {
+		_ = cluster.Close()
 		return nil, fmt.Errorf("play: %w", err)
 	}
-	p.run(ctx)
-	p.promises()
+	p.sendRequests(ctx)
+	p.checkInvariants()
 	p.client.CloseIdleConnections()
-	if err := world.Close(); err != nil {
+	if err := cluster.Close(); err != nil {
 		return nil, fmt.Errorf("play: %w", err)
 	}
 	return &p.report, nil
 }
 
-func (p *player) begin() error {
-	p.world.Configure(p.config, nil)
-	p.world.SetWeights(p.version)
+func (p *simulation) deploy() error {
+	p.cluster.Configure(p.config, nil)
+	p.cluster.SetWeights(p.version)
 	for i := range p.day.Engines {
-		_, err := p.world.AddEngine(fmt.Sprintf("e%d", i+1), beechhome.EngineSettings{
+		_, err := p.cluster.AddEngine(fmt.Sprintf("e%d", i+1), beechhome.EngineSettings{
 			Model: Model, Version: 1, Slots: 48, Token: time.Duration(p.day.Token), ReadRate: p.day.Reading, Load: 300 * time.Millisecond,
 		})
 		if err != nil {
@@ -118,7 +119,7 @@
 		}
 	}
 	for i := range p.day.Services {
-		if _, err := p.world.AddEngine(fmt.Sprintf("s%d", i+1), beechhome.EngineSettings{Slots: 48}); err != nil {
+		if _, err := p.cluster.AddEngine(fmt.Sprintf("s%d", i+1), beechhome.EngineSettings{Slots: 48}); err != nil {
 			return err
 		}
 	}
@@ -130,18 +131,18 @@
 	return nil
 }
 
-func (p *player) addGate() error {
-	p.made++
-	name := fmt.Sprintf("gate-%d", p.made)
+func (p *simulation) addGate() error {
+	p.gatesStarted++
+	name := fmt.Sprintf("gate-%d", p.gatesStarted)
 	bounds := beechsettings.GateBounds{
-		Revoke: beechsettings.Duration(5 * time.Second), Grace: beechsettings.Duration(grace), Weights: beechsettings.Duration(8 * time.Second),
+		Revoke: beechsettings.Duration(5 * time.Second), Grace: beechsettings.Duration(gateGracePeriod), Weights: beechsettings.Duration(8 * time.Second),
 		Retries: 0.2, Spare: 50, Window: beechsettings.Duration(10 * time.Second),
 	}
-	if err := p.world.AddGate(name, bounds); err != nil {
+	if err := p.cluster.AddGate(name, bounds); err != nil {
 		return err
 	}
-	for end := time.Now().Add(readyMost); time.Now().Before(end); time.Sleep(readyPoll) {
-		response, err := p.client.Get("http://" + p.world.Places[name+"-ready"].String() + beechhome.ReadyPath)
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
+		response, err := p.client.Get("http://" + p.cluster.Places[name+"-ready"].String() + beechhome.ReadyPath)
 		if err != nil {
 			continue
 		}
@@ -151,11 +152,12 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not ready within %s", name, readyMost)
+	return fmt.Errorf("%s is not ready within %s", name, readyTimeout)
 }
 
-// run sends the day's requests at random times, and brings the faults about.
-func (p *player) run(ctx context.Context) {
+// sendRequests sends the day's requests with exponentially distributed pauses
+// and injects its faults.
+func (p *simulation) sendRequests(ctx context.Context) {
 	var callers, faults sync.WaitGroup
 	defer callers.Wait()
 	defer faults.Wait()
@@ -168,34 +170,34 @@
 			faults.Add(1)
 			go func() {
 				defer faults.Done()
-				p.fault(f)
+				p.injectFault(f)
 			}()
 		}
-		k, subject := p.draw()
+		k, subject := p.drawRequest()
 		gate := p.gates[n%len(p.gates)]
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			p.ask(ctx, fmt.Sprintf("play-%d", n), gate, k, subject)
+			p.sendRequest(ctx, fmt.Sprintf("play-%d", n), gate, k, subject)
 		}()
 		time.Sleep(time.Duration(p.random.ExpFloat64() / p.day.Rate * float64(time.Second)))
 	}
 }
 
-func (p *player) draw() (kind, int) {
+func (p *simulation) drawRequest() (requestKind, int) {
 	left := p.random.Float64()
-	for _, k := range kinds {
-		if left -= k.share; left < 0 {
+	for _, k := range requestKinds {
+		if left -= k.weight; left < 0 {
 			return k, p.random.IntN(p.day.Subjects)
 		}
 	}
-	return kinds[0], 0
+	return requestKinds[0], 0
 }
 
-// fault brings a trouble about and ends it.
-func (p *player) fault(f Fault) {
+// injectFault starts a fault and ends it after its duration.
+func (p *simulation) injectFault(f Fault) {
 	servers := func(t beechhome.EngineTrouble) {
-		for name, e := range p.world.Engines {
+		for name, e := range p.cluster.Engines {
 			if f.On == "" || f.On == name {
 				e.SetTrouble(t)
 			}
@@ -204,16 +206,16 @@
 	switch f.Kind {
 	case "weights":
 		p.version++
-		p.world.SetWeights(p.version)
+		p.cluster.SetWeights(p.version)
 	case "configure":
 		p.config++
-		p.world.Configure(p.config, nil)
+		p.cluster.Configure(p.config, nil)
 	case "compact":
-		p.world.Store.Compact()
+		p.cluster.Store.Compact()
 	case "store down":
-		p.world.Store.SetTrouble(beechhome.Trouble{Status: http.StatusServiceUnavailable})
+		p.cluster.Store.SetTrouble(beechhome.Trouble{Status: http.StatusServiceUnavailable})
 	case "store silent":
-		p.world.Store.SetTrouble(beechhome.Trouble{Silent: true})
+		p.cluster.Store.SetTrouble(beechhome.Trouble{Silent: true})
 	case "refuse":
 		servers(beechhome.EngineTrouble{Refuse: true})
 	case "hang":
@@ -225,7 +227,7 @@
 	case "fail":
 		servers(beechhome.EngineTrouble{Status: http.StatusInternalServerError})
 	case "limit":
-		p.limit(f)
+		p.injectLimit(f)
 		return
 	case "stop":
 		p.replaceGate()
@@ -234,62 +236,63 @@
 		return
 	}
 	time.Sleep(time.Duration(f.For))
-	p.world.Store.SetTrouble(beechhome.Trouble{})
+	p.cluster.Store.SetTrouble(beechhome.Trouble{})
 	servers(beechhome.EngineTrouble{})
 }
 
-// limit has servers name a limit for a time, to the day's end if none is given, and checks
-// that they are not sent more.
-func (p *player) limit(f Fault) {
+// injectLimit has servers announce a rate limit, until the end of the day if the
+// fault has no duration, and checks that they do not receive more requests.
+func (p *simulation) injectLimit(f Fault) {
 	length := time.Duration(cmp.Or(f.For, p.day.Length-f.At))
 	since := time.Now()
-	for name, e := range p.world.Engines {
+	for name, e := range p.cluster.Engines {
 		if f.On == "" || f.On == name {
 			e.SetLimit(strconv.FormatFloat(f.Rate, 'f', -1, 64))
 		}
 	}
 	time.Sleep(length)
 	until := time.Now()
-	for name, e := range p.world.Engines {
+	for name, e := range p.cluster.Engines {
 		if f.On != "" && f.On != name {
 			continue
 		}
 		e.SetLimit("")
-		if most := e.MostArrivals(limitWindow, since, since.Add(limitKnown), until); float64(most) > MaxArrivals(f.Rate) {
-			p.broken("%s: was sent %d requests in %s, and takes %g a second", name, most, limitWindow, f.Rate)
+		if most := e.MostArrivals(limitWindow, since, since.Add(limitSettleTime), until); float64(most) > MaxArrivals(f.Rate) {
+			p.recordViolation("%s: got %d requests in %s at a limit of %g per second", name, most, limitWindow, f.Rate)
 		}
 	}
 }
 
-// Tolerated is what a server that names a limit may be sent in limitWindow, some of it
-// under way when the limit was named.
+// MaxArrivals returns how many requests a server with a rate limit may receive
+// in limitWindow. It allows for requests that were in flight when the limit was
+// announced.
 func MaxArrivals(rate float64) float64 {
-	return rate*limitWindow.Seconds()*(1+limitOverage) + limitSlack
+	return rate*limitWindow.Seconds()*(1+limitTolerance) + limitSlack
 }
 
-// replaceGate has the first gate leave, as a balancer would see it: it gets no
-// new callers, and ends when those it has are answered.
-func (p *player) replaceGate() {
+// replaceGate starts a new gate and drains the first one, as a load balancer
+// would: it gets no new requests and stops when its requests are answered.
+func (p *simulation) replaceGate() {
 	leaving := p.gates[0]
 	if err := p.addGate(); err != nil {
-		p.broken("%v", err)
+		p.recordViolation("%v", err)
 		return
 	}
 	p.gates = p.gates[1:]
-	if err := p.world.Stop(leaving); err != nil {
-		p.broken("%v", err)
+	if err := p.cluster.Stop(leaving); err != nil {
+		p.recordViolation("%v", err)
 	}
 }
 
-func (p *player) ask(ctx context.Context, id, gate string, k kind, subject int) {
-	ask := beechhome.Ask{ID: id, Key: Key, Host: Host, URL: "http://" + p.world.Places[gate].String() + k.path + "x", Left: callerTime, Body: "question"}
+func (p *simulation) sendRequest(ctx context.Context, id, gate string, k requestKind, subject int) {
+	ask := beechhome.Ask{ID: id, Key: Key, Host: Host, URL: "http://" + p.cluster.Places[gate].String() + k.path + "x", Left: callerTimeout, Body: "question"}
 	if k.stream {
 		ask.Model, ask.Prompt, ask.Output = Model, p.day.Shared+p.day.Own, p.day.Output
 		ask.Parts = fmt.Sprintf("c0:%d,a%x:%d,f%s:%d", p.day.Shared/3, subject, p.day.Shared-p.day.Shared/3, strings.TrimPrefix(id, "play-"), p.day.Own)
 	}
 	r, err := ask.Request()
 	if err != nil {
-		p.broken("%v", err)
+		p.recordViolation("%v", err)
 		return
 	}
 	began := time.Now()
@@ -301,25 +304,25 @@
 		body, failed := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		whole = failed == nil && status == http.StatusOK
-		if whole && k.stream && string(body) != stream(p.day.Output) {
-			p.broken("%s: its stream is not the whole stream", id)
+		if whole && k.stream && string(body) != expectedStream(p.day.Output) {
+			p.recordViolation("%s: streamed answer is not the expected one", id)
 		}
 	}
-	p.note(id, k, status, whole, first, ask.Prompt)
+	p.recordResult(id, k, status, whole, first, ask.Prompt)
 }
 
-func (p *player) note(id string, k kind, status int, whole bool, first time.Duration, tokens int) {
+func (p *simulation) recordResult(id string, k requestKind, status int, whole bool, first time.Duration, tokens int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Asked++
 	p.report.Prompts += tokens
-	if k.once {
-		p.once[id] = status
+	if k.atMostOnce {
+		p.atMostOnceStatus[id] = status
 	}
 	switch {
 	case whole:
 		p.report.Served++
-		_ = p.report.First.RecordValue(min(max(first.Microseconds(), 1), latencyMax)) // within bounds, so it cannot fail
+		_ = p.report.First.RecordValue(min(max(first.Microseconds(), 1), maxLatencyMicros)) // cannot fail for a value in range
 		if first > k.objective {
 			p.report.Late++
 		}
@@ -330,8 +333,8 @@
 	}
 }
 
-// stream is the whole stream of so many events.
-func stream(n int) string {
+// expectedStream returns a complete stream of n events.
+func expectedStream(n int) string {
 	var text strings.Builder
 	for i := 1; i <= n; i++ {
 		_, _ = fmt.Fprintf(&text, "id: %d\ndata: token %d\n\n", i, i)
@@ -339,42 +342,43 @@
 	return text.String()
 }
 
-func (p *player) broken(format string, values ...any) {
+func (p *simulation) recordViolation(format string, values ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Promises = append(p.report.Promises, fmt.Sprintf(format, values...))
 }
 
-// promises checks what must hold whatever happened.
-func (p *player) promises() {
-	for id, status := range p.once {
-		runs := p.world.Runs(id)
+// checkInvariants checks the guarantees that must hold under all faults.
+func (p *simulation) checkInvariants() {
+	for id, status := range p.atMostOnceStatus {
+		runs := p.cluster.Runs(id)
 		if runs > 1 {
-			p.broken("%s: ran %d times, though it may run once", id, runs)
+			p.recordViolation("%s: ran %d times, may run at most once", id, runs)
 		}
 		if runs > 0 && status == http.StatusServiceUnavailable {
-			p.broken("%s: was called not run, and ran", id)
+			p.recordViolation("%s: ran, though its caller was told that it did not", id)
 		}
 	}
-	for name, e := range p.world.Engines {
+	for name, e := range p.cluster.Engines {
 		p.report.Read += e.ReadTokens()
 		for _, o := range e.Orders() {
 			if o.Holder != "keeper-"+name {
-				p.broken("%s: had an order from %s", name, o.Holder)
+				p.recordViolation("%s: got an order from %s", name, o.Holder)
 			}
 		}
 	}
 }
 
-// first is the time to the first byte of so many in a hundred whole answers.
-func (r *Report) first(quantile float64) time.Duration {
+// firstByteLatency returns a percentile of the time to the first byte of complete
+// answers.
+func (r *Report) firstByteLatency(quantile float64) time.Duration {
 	return time.Duration(r.First.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Print writes the report for people.
+// Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "asked            %d\nwhole answers    %d, %d of them late\nrefused, not run %d\nfailed           %d\nfirst byte       p50 %s, p99 %s\n",
-		r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.first(medianAt).Round(10*time.Microsecond), r.first(tailAt).Round(10*time.Microsecond))
+		r.Asked, r.Served, r.Late, r.Refused, r.Failed, r.firstByteLatency(medianPercentile).Round(10*time.Microsecond), r.firstByteLatency(tailPercentile).Round(10*time.Microsecond))
 	if r.Prompts > 0 {
 		_, _ = fmt.Fprintf(w, "prompt tokens    %d, %.1f%% of them read\n", r.Prompts, 100*float64(r.Read)/float64(r.Prompts))
 	}
--- a/internal/command/beechplay/play_test.go
+++ b/internal/command/beechplay/play_test.go
@@ -12,9 +12,9 @@
 	"github.com/beechring/beechring/internal/process/beechsettings"
 )
 
-// Servers refuse, hang, reset and cut, the store falls silent, weights and
-// configuration change and a gate is replaced, all within some seconds. Callers
-// may be refused, but no promise is broken.
+// Within a few seconds servers reject requests, hang, reset connections and close
+// streams, the store stops answering, weights and configuration change, and a gate
+// is replaced. Requests may be rejected, but no guarantee may be violated.
 func TestDayWithFaults(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../../docs/examples/day.json")
@@ -37,21 +37,22 @@
 	is.Equal(report.Promises, nil)
 	is.Equal(report.Failed, 0)
 	is.True(report.Served > report.Asked*98/100)
-	is.True(report.Read < report.Prompts/2) // more than half of the prompts' tokens were found in caches
+	is.True(report.Read < report.Prompts/2) // more than half of the prompt tokens were cached
 }
 
-// A gate has two doors. Chosen one after the other their ports are the same one in a
-// few of a hundred thousand cases (27 of 200,000 were); the gate then ends when it
-// opens the second, and the day is over before it began: `not ready within 10s`.
+// A gate has two listeners. If their ports were chosen one after the other, they
+// would be equal in a few of 100,000 cases (27 of 200,000 were). The gate would
+// then stop when it opens the second one, and the day would fail with
+// `not ready within 10s`.
 func TestGatePortsDiffer(t *testing.T) {
-	address := loopback()
+	address := nextLoopbackAddress()
 	for range 20000 {
-		front, ready, err := freePorts(address)
+		listen, ready, err := freePorts(address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if front == ready {
-			t.Fatalf("both doors at %s", front)
+		if listen == ready {
+			t.Fatalf("both listeners at %s", listen)
 		}
 	}
 }
@@ -71,8 +72,8 @@
 	}
 }
 
-// Two servers name limits while callers ask, one of them with a keeper. Nobody is refused,
-// and neither server is sent more than it takes.
+// Two servers, one of them with a keeper, announce limits under load. Almost all
+// requests must be answered, and neither server may get more than its limit.
 func TestDayWithLimits(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../../docs/examples/limit.json")
--- a/internal/command/beechplay/record_test.go
+++ b/internal/command/beechplay/record_test.go
@@ -13,7 +13,7 @@
 
 func TestAppendAndReadRecords(t *testing.T) {
 	is := is.New(t)
-	report := &Report{Asked: 10, Served: 8, Late: 2, Prompts: 1000, Read: 250, Promises: []string{"one"}, First: hdrhistogram.New(1, latencyMax, digits)}
+	report := &Report{Asked: 10, Served: 8, Late: 2, Prompts: 1000, Read: 250, Promises: []string{"one"}, First: hdrhistogram.New(1, maxLatencyMicros, histogramDigits)}
 	is.NoErr(report.First.RecordValue(20000))
 	at := time.Date(2026, 5, 1, 10, 0, 0, 0, time.UTC)
 	path := filepath.Join(t.TempDir(), "plays.jsonl")
@@ -29,5 +29,5 @@
 	is.Equal(records[0].AnsweredShare(), 0.8)
 	is.Equal(records[0].ReadShare(), 0.25)
 	is.Equal(records[0].Promises, 1)
-	is.Equal(Record{}.AnsweredShare(), 0.0) // nothing was asked
+	is.Equal(Record{}.AnsweredShare(), 0.0) // no requests
 }
--- a/internal/command/beechplay/soak_test.go
+++ b/internal/command/beechplay/soak_test.go
@@ -24,63 +24,64 @@
 )
 
 var (
-	soakSeed  = flag.Uint64("seed", 0, "one seed of the fault soak")
-	soakSeeds = flag.Int("seeds", 3, "how many seeds of the fault soak, from the clock beyond the first three")
+	soakSeed  = flag.Uint64("seed", 0, "run the soak test with this seed only")
+	soakSeeds = flag.Int("seeds", 3, "number of seeds of the soak test; beyond the first three they are taken from the clock")
 )
 
 const (
-	soakTime     = 14 * time.Second
-	soakRate     = 40.0
-	revokeBound  = 5 * time.Second
-	faultSpace   = 700 * time.Millisecond
-	healthyShare = 0.5 // of requests that must be answered, whatever happens
-	// sureFor without the store a gate may be sure of keys, as operators bound it.
-	sureFor = revokeBound / 2
+	soakDuration     = 14 * time.Second
+	soakRequestRate  = 40.0
+	revokeBound      = 5 * time.Second
+	faultInterval    = 700 * time.Millisecond
+	minAnsweredShare = 0.5 // of requests that must be answered under all faults
+	// keyValidity is how long a gate may accept keys without the store; it follows
+	// from the configured revocation bound.
+	keyValidity = revokeBound / 2
 )
 
 type (
-	// outside starts gates and keepers as processes of their own.
-	outside struct {
+	// processLauncher starts gates and keepers as separate processes.
+	processLauncher struct {
 		t       *testing.T
 		program string
 		folder  string
 	}
 
-	// program is one of them.
-	program struct {
-		name   string
-		cmd    *exec.Cmd
-		output string
-		mu     sync.Mutex
-		asked  bool // it was told to end, or killed
-		ended  chan struct{}
-		err    error
+	// childProcess is a gate or keeper started by processLauncher.
+	childProcess struct {
+		name          string
+		cmd           *exec.Cmd
+		output        string
+		mu            sync.Mutex
+		stopRequested bool // the test stopped or killed it
+		exited        chan struct{}
+		err           error
 	}
 
-	// soak is one run: a world of real processes, callers, faults from outside,
-	// and what callers saw.
+	// soak is one run of the test: a cluster of separate processes, the faults
+	// injected into it, and the results of its callers.
 	soak struct {
-		t      *testing.T
-		seed   uint64
-		world  *Cluster
-		random *rand.Rand
-		client *http.Client
-		gates  []string
+		t       *testing.T
+		seed    uint64
+		cluster *Cluster
+		random  *rand.Rand
+		client  *http.Client
+		gates   []string
 
-		mu     sync.Mutex
-		seen   map[string]int // status by id; 0: no answer
-		once   map[string]bool
-		keyed  map[string]time.Time // when a request under the key that goes was sent
-		unsure int                  // requests without an answer while no gate could be sure of keys any more
-		lost   time.Time            // since when the store is in trouble; zero: it is not
-		gone   time.Time            // when that key went
-		good   int
-		upset  []time.Time // when a gate was killed, stopped or suspended, or went on
-		named  []limitSpan
+		mu              sync.Mutex
+		statuses        map[string]int // status by request ID; 0 if there was no answer
+		atMostOnce      map[string]bool
+		revocableSentAt map[string]time.Time // when a request was sent with the key that gets revoked
+		excused         int                  // requests rejected while no gate could verify keys
+		storeLostAt     time.Time            // start of the store's current fault; zero if there is none
+		revokedAt       time.Time            // when that key was revoked
+		answered        int
+		disturbances    []time.Time // when a gate was killed, stopped, suspended or resumed
+		limitSpans      []limitSpan
 	}
 )
 
-func (o outside) start(name, role string, settings any) (Process, error) {
+func (o processLauncher) start(name, role string, settings any) (Process, error) {
 	data, err := json.Marshal(settings)
 	if err != nil {
 		return nil, err
@@ -93,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &program{name: name, cmd: exec.Command(o.program, role, "--settings", file), output: output.Name(), ended: make(chan struct{})}
+	p := &childProcess{name: name, cmd: exec.Command(o.program, role, "--settings", file), output: output.Name(), exited: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = output, output
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
@@ -101,56 +102,60 @@
 	go func() {
 		p.err = p.cmd.Wait()
 		_ = output.Close()
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-func (o outside) Gate(s *beechsettings.Gate) (Process, error) { return o.start(s.Name, "gate", s) }
+func (o processLauncher) Gate(s *beechsettings.Gate) (Process, error) {
+	return o.start(s.Name, "gate", s)
+}
 
-func (o outside) Keeper(s *beechsettings.Keeper) (Process, error) {
+func (o processLauncher) Keeper(s *beechsettings.Keeper) (Process, error) {
 	return o.start(s.Name, "keeper", s)
 }
 
-func (p *program) signal(s syscall.Signal, ends bool) {
+func (p *childProcess) signal(s syscall.Signal, ends bool) {
 	p.mu.Lock()
-	p.asked = p.asked || ends
+	p.stopRequested = p.stopRequested || ends
 	p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // one that has ended is told by Wait
+	_ = p.cmd.Process.Signal(s) // Wait reports a process that has already exited
 }
 
-func (p *program) Signal() { p.signal(syscall.SIGTERM, true) }
+func (p *childProcess) Signal() { p.signal(syscall.SIGTERM, true) }
 
-func (p *program) Wait() error {
+func (p *childProcess) Wait() error {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		var exit *exec.ExitError
 		if errors.As(p.err, &exit) && exit.Sys().(syscall.WaitStatus).Signaled() {
 			return nil // killed by this test
 		}
 		return p.err
-	case <-time.After(stopMost):
+	case <-time.After(stopTimeout):
 		_ = p.cmd.Process.Kill()
 		return fmt.Errorf("%s has not stopped", p.name)
 	}
 }
 
-// byItself tells whether the process has ended though nobody asked it to.
-func (p *program) byItself() bool {
+// exitedUnexpectedly reports whether the process exited without being stopped by
+// the test.
+func (p *childProcess) exitedUnexpectedly() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
-		return !p.asked
+	case <-p.exited:
+		return !p.stopRequested
 	default:
 		return false
 	}
 }
 
-// TestSoak plays random faults, from outside, on real processes: kills, stops,
-// suspensions, a store that is down, silent or forgets, engines that refuse,
-// hang, reset, cut and fail, new weights, new configurations and a key that is
-// taken away. Whatever comes, what the users' brief says must always hold does.
+// TestSoak injects random faults into separate processes: kills, stops and
+// suspensions; a store that is down, does not answer or drops its history; engines
+// that reject requests, hang, reset connections, close streams and return errors;
+// new weights, new configurations and a revoked key. The guarantees of the users'
+// requirements must hold throughout.
 func TestSoak(t *testing.T) {
 	program := buildProgram(t)
 	seeds := []uint64{*soakSeed}
@@ -167,7 +172,7 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, program, seed)
+			runSoak(t, program, seed)
 		})
 	}
 }
@@ -182,17 +187,17 @@
 	return program
 }
 
-func play(t *testing.T, binary string, seed uint64) {
-	w, err := NewCluster(outside{t: t, program: binary, folder: beechtrace.Folder(t)})
+func runSoak(t *testing.T, binary string, seed uint64) {
+	w, err := NewCluster(processLauncher{t: t, program: binary, folder: beechtrace.Folder(t)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &soak{
-		t: t, seed: seed, world: w, random: rand.New(rand.NewPCG(seed, seed)), client: &http.Client{Timeout: 7 * time.Second},
-		seen: make(map[string]int), once: make(map[string]bool), keyed: make(map[string]time.Time),
+		t: t, seed: seed, cluster: w, random: rand.New(rand.NewPCG(seed, seed)), client: &http.Client{Timeout: 7 * time.Second},
+		statuses: make(map[string]int), atMostOnce: make(map[string]bool), revocableSentAt: make(map[string]time.Time),
 	}
-	s.begin()
-	s.run()
+	s.deploy()
+	s.sendRequests()
 	s.check()
 	s.client.CloseIdleConnections()
 	if err := w.Close(); err != nil {
@@ -200,12 +205,12 @@
 	}
 }
 
-func (s *soak) begin() {
-	s.world.Configure(1, nil)
-	s.world.SetWeights(1)
+func (s *soak) deploy() {
+	s.cluster.Configure(1, nil)
+	s.cluster.SetWeights(1)
 	for i := range 3 {
-		s.must(s.world.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{Model: Model, Version: 1, Slots: 32, Token: 20 * time.Millisecond, Load: 300 * time.Millisecond}))
-		s.must(s.world.AddEngine(fmt.Sprintf("s%d", i), beechhome.EngineSettings{Slots: 32}))
+		s.must(s.cluster.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{Model: Model, Version: 1, Slots: 32, Token: 20 * time.Millisecond, Load: 300 * time.Millisecond}))
+		s.must(s.cluster.AddEngine(fmt.Sprintf("s%d", i), beechhome.EngineSettings{Slots: 32}))
 	}
 	bounds := beechsettings.GateBounds{
 		Revoke: beechsettings.Duration(revokeBound), Grace: beechsettings.Duration(6 * time.Second), Weights: beechsettings.Duration(8 * time.Second),
@@ -213,7 +218,7 @@
 	}
 	for i := range 3 {
 		name := fmt.Sprintf("gate-%d", i)
-		if err := s.world.AddGate(name, bounds); err != nil {
+		if err := s.cluster.AddGate(name, bounds); err != nil {
 			s.t.Fatal(err)
 		}
 		s.gates = append(s.gates, name)
@@ -227,23 +232,23 @@
 	}
 }
 
-func (s *soak) run() {
+func (s *soak) sendRequests() {
 	var callers sync.WaitGroup
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		var limits sync.WaitGroup
-		limits.Go(s.limits)
+		limits.Go(s.injectLimits)
 		defer limits.Wait()
 		version := 1
-		for end := time.Now().Add(soakTime - 4*time.Second); time.Now().Before(end); time.Sleep(faultSpace) {
+		for end := time.Now().Add(soakDuration - 4*time.Second); time.Now().Before(end); time.Sleep(faultInterval) {
 			version++
-			s.fault(version)
+			s.injectFault(version)
 		}
-		s.heal()
+		s.endFaults()
 	}()
 	draw := rand.New(rand.NewPCG(s.random.Uint64(), 1))
-	for n, end := 0, time.Now().Add(soakTime); time.Now().Before(end); n++ {
+	for n, end := 0, time.Now().Add(soakDuration); time.Now().Before(end); n++ {
 		path, key := []string{"/pick/", "/card/", "/label/", "/check/"}[draw.IntN(4)], Key
 		if draw.IntN(5) == 0 {
 			key = IsolateKey
@@ -252,52 +257,52 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			s.ask(fmt.Sprintf("soak-%d", n), gate, path, key)
+			s.sendRequest(fmt.Sprintf("soak-%d", n), gate, path, key)
 		}()
-		time.Sleep(time.Duration(draw.ExpFloat64() / soakRate * float64(time.Second)))
+		time.Sleep(time.Duration(draw.ExpFloat64() / soakRequestRate * float64(time.Second)))
 	}
 	callers.Wait()
 	<-done
 }
 
-// fault brings one trouble about; what it harms is healed by a later one, or in
-// the end.
-func (s *soak) fault(version int) {
+// injectFault injects one fault. Faults of the store and the engines last until a
+// later fault replaces them or the run ends.
+func (s *soak) injectFault(version int) {
 	gate := s.gates[s.random.IntN(len(s.gates))]
-	process := s.world.Process(gate).(*program)
-	engine := s.world.Engines[[]string{"e0", "e1", "e2", "s0", "s1", "s2"}[s.random.IntN(6)]]
+	process := s.cluster.Process(gate).(*childProcess)
+	engine := s.cluster.Engines[[]string{"e0", "e1", "e2", "s0", "s1", "s2"}[s.random.IntN(6)]]
 	troubles := []beechhome.EngineTrouble{{}, {Refuse: true}, {Hang: true}, {Drop: true}, {CutAfter: 2}, {Status: http.StatusInternalServerError}, {SilentOrders: true}}
 	switch s.random.IntN(10) {
 	case 0:
-		s.upsets()
+		s.recordDisturbance()
 		process.signal(syscall.SIGKILL, true)
-		s.again(gate, process)
-		s.upsets()
+		s.restart(gate, process)
+		s.recordDisturbance()
 	case 1:
-		s.upsets()
+		s.recordDisturbance()
 		process.Signal()
-		s.again(gate, process)
-		s.upsets()
+		s.restart(gate, process)
+		s.recordDisturbance()
 	case 2:
-		s.upsets()
+		s.recordDisturbance()
 		process.signal(syscall.SIGSTOP, false)
 		time.Sleep(time.Duration(s.random.IntN(2500)) * time.Millisecond)
 		process.signal(syscall.SIGCONT, false)
-		s.upsets()
+		s.recordDisturbance()
 	case 3:
 		keeper := fmt.Sprintf("keeper-e%d", s.random.IntN(3))
-		p := s.world.Process(keeper).(*program)
+		p := s.cluster.Process(keeper).(*childProcess)
 		p.signal(syscall.SIGKILL, true)
-		s.again(keeper, p)
+		s.restart(keeper, p)
 	case 4:
-		s.loseStore(true)
-		s.world.Store.SetTrouble([]beechhome.Trouble{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
+		s.setStoreLost(true)
+		s.cluster.Store.SetTrouble([]beechhome.Trouble{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
 	case 5:
-		s.world.Store.SetTrouble(beechhome.Trouble{})
-		s.loseStore(false)
-		s.world.Store.Compact()
+		s.cluster.Store.SetTrouble(beechhome.Trouble{})
+		s.setStoreLost(false)
+		s.cluster.Store.Compact()
 	case 6:
-		s.world.SetWeights(version)
+		s.cluster.SetWeights(version)
 	case 7:
 		s.revoke(version)
 	default:
@@ -305,49 +310,49 @@
 	}
 }
 
-// again waits until a process has ended, and starts it anew.
-func (s *soak) again(name string, p *program) {
+// restart waits until a process has exited and starts it again.
+func (s *soak) restart(name string, p *childProcess) {
 	if err := p.Wait(); err != nil {
 		s.t.Error(err)
 	}
-	if err := s.world.Start(name); err != nil {
+	if err := s.cluster.Start(name); err != nil {
 		s.t.Error(err)
 	}
 }
 
-// revoke takes a key away for good, once.
+// revoke removes a key from the configuration permanently.
 func (s *soak) revoke(version int) {
-	s.world.Configure(version, func(c Document) { c["tenants"] = c["tenants"].([]Document)[:1] })
+	s.cluster.Configure(version, func(c Document) { c["tenants"] = c["tenants"].([]Document)[:1] })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone.IsZero() {
-		s.gone = time.Now()
+	if s.revokedAt.IsZero() {
+		s.revokedAt = time.Now()
 	}
 }
 
-// loseStore notes that the store is in trouble, or no longer.
-func (s *soak) loseStore(lost bool) {
+// setStoreLost records the start or the end of a fault of the store.
+func (s *soak) setStoreLost(lost bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case !lost:
-		s.lost = time.Time{}
-	case s.lost.IsZero():
-		s.lost = time.Now()
+		s.storeLostAt = time.Time{}
+	case s.storeLostAt.IsZero():
+		s.storeLostAt = time.Now()
 	}
 }
 
-func (s *soak) heal() {
-	s.world.Store.SetTrouble(beechhome.Trouble{})
-	s.loseStore(false)
-	for _, e := range s.world.Engines {
+func (s *soak) endFaults() {
+	s.cluster.Store.SetTrouble(beechhome.Trouble{})
+	s.setStoreLost(false)
+	for _, e := range s.cluster.Engines {
 		e.SetTrouble(beechhome.EngineTrouble{})
 	}
 }
 
-func (s *soak) ask(id, gate, path, key string) {
+func (s *soak) sendRequest(id, gate, path, key string) {
 	streams := path == "/pick/" || path == "/card/"
-	ask := beechhome.Ask{ID: id, Key: key, Host: Host, URL: "http://" + s.world.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
+	ask := beechhome.Ask{ID: id, Key: key, Host: Host, URL: "http://" + s.cluster.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
 	if streams {
 		ask.Model, ask.Prompt, ask.Output, ask.Parts = Model, 1000, 10, "c0:400,5b:300,"+strings.TrimPrefix(id, "soak-")+":300"
 	}
@@ -357,9 +362,9 @@
 		return
 	}
 	s.mu.Lock()
-	s.once[id] = path != "/check/" && path != "/pick/"
+	s.atMostOnce[id] = path != "/check/" && path != "/pick/"
 	if key == IsolateKey {
-		s.keyed[id] = time.Now()
+		s.revocableSentAt[id] = time.Now()
 	}
 	s.mu.Unlock()
 	status := 0
@@ -370,53 +375,53 @@
 		switch {
 		case failed != nil:
 			status = 0
-		case status == http.StatusOK && streams && string(body) != stream(10):
-			s.t.Errorf("%s: was given as whole: %q", id, body)
+		case status == http.StatusOK && streams && string(body) != expectedStream(10):
+			s.t.Errorf("%s: incomplete stream ended as complete: %q", id, body)
 		case status == http.StatusOK && !streams && !bytes.HasPrefix(body, []byte("POST "+path)):
-			s.t.Errorf("%s: another's answer: %q", id, body)
+			s.t.Errorf("%s: answer of another request: %q", id, body)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[id] = status
+	s.statuses[id] = status
 	switch {
 	case status == http.StatusOK:
-		s.good++
-	case status == http.StatusServiceUnavailable && !s.lost.IsZero() && time.Since(s.lost) > sureFor && key == Key:
-		s.unsure++
+		s.answered++
+	case status == http.StatusServiceUnavailable && !s.storeLostAt.IsZero() && time.Since(s.storeLostAt) > keyValidity && key == Key:
+		s.excused++
 	}
 }
 
-// check compares what callers saw with what ran.
+// check compares the callers' results with the requests that ran.
 func (s *soak) check() {
-	for id, status := range s.seen {
-		runs := s.world.Runs(id)
-		if s.once[id] && runs > 1 {
-			s.t.Errorf("%s: ran %d times, though it may run once", id, runs)
+	for id, status := range s.statuses {
+		runs := s.cluster.Runs(id)
+		if s.atMostOnce[id] && runs > 1 {
+			s.t.Errorf("%s: ran %d times, may run at most once", id, runs)
 		}
-		if s.once[id] && runs > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
-			s.t.Errorf("%s: was called not run with %d, and ran", id, status)
+		if s.atMostOnce[id] && runs > 0 && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests) {
+			s.t.Errorf("%s: ran, though its caller got status %d", id, status)
 		}
-		if sent, ok := s.keyed[id]; ok && !s.gone.IsZero() && sent.After(s.gone.Add(revokeBound)) && runs > 0 {
-			s.t.Errorf("%s: ran under a key %s after it was taken away", id, sent.Sub(s.gone))
+		if sent, ok := s.revocableSentAt[id]; ok && !s.revokedAt.IsZero() && sent.After(s.revokedAt.Add(revokeBound)) && runs > 0 {
+			s.t.Errorf("%s: ran with a key %s after it was revoked", id, sent.Sub(s.revokedAt))
 		}
 	}
-	for name, e := range s.world.Engines {
+	for name, e := range s.cluster.Engines {
 		for _, o := range e.Orders() {
 			if o.Holder != "keeper-"+name {
-				s.t.Errorf("%s: had an order from %s", name, o.Holder)
+				s.t.Errorf("%s: got an order from %s", name, o.Holder)
 			}
 		}
 	}
 	s.checkLimits()
-	for name, p := range s.world.processes {
-		if p.(*program).byItself() {
-			log, _ := os.ReadFile(p.(*program).output)
-			s.t.Errorf("%s ended by itself:\n%s", name, log[max(len(log)-2000, 0):])
+	for name, p := range s.cluster.processes {
+		if p.(*childProcess).exitedUnexpectedly() {
+			log, _ := os.ReadFile(p.(*childProcess).output)
+			s.t.Errorf("%s exited unexpectedly:\n%s", name, log[max(len(log)-2000, 0):])
 		}
 	}
-	s.t.Logf("%d of %d answered", s.good, len(s.seen))
-	if float64(s.good) < healthyShare*float64(len(s.seen)-len(s.keyed)-s.unsure) {
-		s.t.Errorf("only %d of %d requests were answered", s.good, len(s.seen))
+	s.t.Logf("%d of %d answered", s.answered, len(s.statuses))
+	if float64(s.answered) < minAnsweredShare*float64(len(s.statuses)-len(s.revocableSentAt)-s.excused) {
+		s.t.Errorf("only %d of %d requests were answered", s.answered, len(s.statuses))
 	}
 }
--- a/internal/command/beechplay/streams_test.go
+++ b/internal/command/beechplay/streams_test.go
@@ -19,53 +19,53 @@
 	"github.com/beechring/beechring/internal/standin/beechhome"
 )
 
-// momentRun has callers of streams that come back with the last event that they
-// saw, while gates and engines fail.
-type momentRun struct {
-	t     *testing.T
-	soak  *soak
-	mu    sync.Mutex
-	ended map[string]int // how calls ended, counted
+// streamTest runs callers that resume interrupted streams after the last event
+// they received, while gates and engines fail.
+type streamTest struct {
+	t        *testing.T
+	soak     *soak
+	mu       sync.Mutex
+	outcomes map[string]int // number of calls by outcome
 }
 
 const (
-	momentCallers  = 24
-	momentSpan     = 6 * time.Second
-	momentGap      = 300 * time.Millisecond
-	streamEvents   = 40
-	callerWaits    = 800 * time.Millisecond // without an event
-	callerIsAway   = 80 * time.Millisecond  // at most
-	mostReturns    = 60
-	lastEventField = "Last-Event-Id"
+	streamCallers     = 24
+	faultDuration     = 6 * time.Second
+	maxFaultInterval  = 300 * time.Millisecond
+	streamEvents      = 40
+	eventTimeout      = 800 * time.Millisecond // longest wait for an event
+	maxReconnectDelay = 80 * time.Millisecond
+	maxAttempts       = 60
+	lastEventHeader   = "Last-Event-Id"
 )
 
-// TestStreamsOutliveEveryMoment guards against streams of which an event is
-// missing, comes twice or never comes where a gate is killed, stopped or
-// suspended, or an engine breaks off, at any moment of them.
+// TestStreamsSurviveGateAndEngineFailures guards against missing, duplicated or
+// never delivered events when a gate is killed, stopped or suspended, or an engine
+// closes its connection, at any point of a stream.
 func TestStreamsSurviveGateAndEngineFailures(t *testing.T) {
-	playMoments(t, func(r *momentRun) func() { return r.fail })
+	runStreamTest(t, func(r *streamTest) func() { return r.injectFault })
 }
 
-// TestEnginesThatFailInTwoWays guards against streams whose rest is asked for at an
-// engine that answers with an error, and which then end as if they were whole.
+// TestStreamsSurviveEngineErrors guards against streams that end as if complete
+// after the engine that was to resume them has answered with an error.
 func TestStreamsSurviveEngineErrors(t *testing.T) {
-	playMoments(t, func(r *momentRun) func() { return r.failEngines })
+	runStreamTest(t, func(r *streamTest) func() { return r.failEngines })
 }
 
-// playMoments plays some seeds with failures of a kind.
-func playMoments(t *testing.T, failure func(r *momentRun) func()) {
+// runStreamTest runs several seeds with the given kind of failure.
+func runStreamTest(t *testing.T, failure func(r *streamTest) func()) {
 	program := buildProgram(t)
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed-", seed+1), func(t *testing.T) {
 			t.Parallel()
-			w, err := NewCluster(outside{t: t, program: program, folder: beechtrace.Folder(t)})
+			w, err := NewCluster(processLauncher{t: t, program: program, folder: beechtrace.Folder(t)})
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &momentRun{t: t, ended: map[string]int{}, soak: &soak{t: t, world: w, random: rand.New(rand.NewPCG(seed+1, 0))}}
+			r := &streamTest{t: t, outcomes: map[string]int{}, soak: &soak{t: t, cluster: w, random: rand.New(rand.NewPCG(seed+1, 0))}}
 			r.deploy()
-			r.play(seed+1, failure(r))
-			t.Log(r.ended)
+			r.run(seed+1, failure(r))
+			t.Log(r.outcomes)
 			if err := w.Close(); err != nil {
 				t.Error(err)
 			}
@@ -73,8 +73,8 @@
 	}
 }
 
-func (r *momentRun) deploy() {
-	w := r.soak.world
+func (r *streamTest) deploy() {
+	w := r.soak.cluster
 	w.Configure(1, nil)
 	w.SetWeights(1)
 	for i := range 3 {
@@ -96,14 +96,14 @@
 	time.Sleep(time.Second)
 }
 
-func (r *momentRun) play(seed uint64, fail func()) {
+func (r *streamTest) run(seed uint64, fail func()) {
 	over := make(chan struct{})
 	var callers sync.WaitGroup
-	for i := range momentCallers {
+	for i := range streamCallers {
 		random := rand.New(rand.NewPCG(seed, uint64(1+i)))
 		callers.Go(func() {
 			for n := 0; ; n++ {
-				r.read(fmt.Sprintf("moment-%d-%d", i, n), random)
+				r.readStream(fmt.Sprintf("moment-%d-%d", i, n), random)
 				select {
 				case <-over:
 					return
@@ -112,30 +112,30 @@
 			}
 		})
 	}
-	for end := time.Now().Add(momentSpan); time.Now().Before(end); {
-		time.Sleep(time.Duration(r.soak.random.Int64N(int64(momentGap))))
+	for end := time.Now().Add(faultDuration); time.Now().Before(end); {
+		time.Sleep(time.Duration(r.soak.random.Int64N(int64(maxFaultInterval))))
 		fail()
 	}
-	r.soak.heal()
+	r.soak.endFaults()
 	close(over)
 	callers.Wait()
 }
 
-// fail has a gate or an engine fail for a while.
-func (r *momentRun) fail() {
+// injectFault makes a gate or an engine fail for a random time.
+func (r *streamTest) injectFault() {
 	random := r.soak.random
 	gate := r.soak.gates[random.IntN(len(r.soak.gates))]
-	process := r.soak.world.Process(gate).(*program)
-	engine := r.soak.world.Engines[fmt.Sprintf("e%d", random.IntN(3))]
+	process := r.soak.cluster.Process(gate).(*childProcess)
+	engine := r.soak.cluster.Engines[fmt.Sprintf("e%d", random.IntN(3))]
 	lasts := time.Duration(random.Int64N(int64(time.Second)))
 	troubles := []beechhome.EngineTrouble{{CutAfter: 5}, {Drop: true}, {Hang: true}, {Refuse: true}}
 	switch kind := random.IntN(6); kind {
 	case 0:
 		process.signal(syscall.SIGKILL, true)
-		r.soak.again(gate, process)
+		r.soak.restart(gate, process)
 	case 1:
 		process.Signal()
-		r.soak.again(gate, process)
+		r.soak.restart(gate, process)
 	case 2:
 		process.signal(syscall.SIGSTOP, false)
 		time.Sleep(lasts)
@@ -147,40 +147,42 @@
 	}
 }
 
-// failEngines has each engine break off, answer with an error, or do neither for a while.
-func (r *momentRun) failEngines() {
+// failEngines makes each engine close its streams early, answer with an error, or
+// work normally until the next call.
+func (r *streamTest) failEngines() {
 	troubles := []beechhome.EngineTrouble{{}, {CutAfter: 5}, {Status: http.StatusInternalServerError}, {Status: http.StatusNotFound}}
 	for i := range 3 {
-		r.soak.world.Engines[fmt.Sprintf("e%d", i)].SetTrouble(troubles[r.soak.random.IntN(len(troubles))])
+		r.soak.cluster.Engines[fmt.Sprintf("e%d", i)].SetTrouble(troubles[r.soak.random.IntN(len(troubles))])
 	}
 }
 
-// read is one caller, who comes back for the rest until it has the last event.
-func (r *momentRun) read(name string, random *rand.Rand) {
+// readStream reads one stream as a caller that resumes until it has the last
+// event.
+func (r *streamTest) readStream(name string, random *rand.Rand) {
 	seen, last := 0, ""
-	for try := range mostReturns {
+	for try := range maxAttempts {
 		gate := r.soak.gates[random.IntN(len(r.soak.gates))]
-		next, outcome := r.ask(fmt.Sprintf("%s-%d", name, try), gate, seen)
+		next, outcome := r.attempt(fmt.Sprintf("%s-%d", name, try), gate, seen)
 		r.mu.Lock()
-		r.ended[outcome]++
+		r.outcomes[outcome]++
 		r.mu.Unlock()
 		seen, last = next, outcome
 		if outcome == "whole" {
 			return
 		}
-		time.Sleep(time.Duration(random.Int64N(int64(callerIsAway))))
+		time.Sleep(time.Duration(random.Int64N(int64(maxReconnectDelay))))
 	}
-	r.t.Errorf("%s has %d of %d events after %d tries, the last: %s", name, seen, streamEvents, mostReturns, last)
+	r.t.Errorf("%s has %d of %d events after %d attempts; last outcome: %s", name, seen, streamEvents, maxAttempts, last)
 }
 
-// ask sends one request and returns the last event that came, and how it ended.
-func (r *momentRun) ask(id, gate string, seen int) (last int, outcome string) {
+// attempt sends one request and returns the last event received and the outcome.
+func (r *streamTest) attempt(id, gate string, seen int) (last int, outcome string) {
 	ask := beechhome.Ask{
-		ID: id, Key: Key, Host: Host, URL: "http://" + r.soak.world.Places[gate].String() + "/pick/x", Left: 5 * time.Second, Body: "question",
+		ID: id, Key: Key, Host: Host, URL: "http://" + r.soak.cluster.Places[gate].String() + "/pick/x", Left: 5 * time.Second, Body: "question",
 		Model: Model, Prompt: 1000, Output: streamEvents, Parts: "c0:400,5b:300," + id + ":300",
 	}
 	if seen > 0 {
-		ask.Headers = map[string]string{lastEventField: strconv.Itoa(seen)}
+		ask.Headers = map[string]string{lastEventHeader: strconv.Itoa(seen)}
 	}
 	request, err := ask.Request()
 	if err != nil {
@@ -189,8 +191,8 @@
 	}
 	ctx, leave := context.WithCancel(context.Background())
 	defer leave()
-	patience := time.AfterFunc(callerWaits, leave)
-	defer patience.Stop()
+	timeout := time.AfterFunc(eventTimeout, leave)
+	defer timeout.Stop()
 	response, err := http.DefaultTransport.RoundTrip(request.WithContext(ctx))
 	if err != nil {
 		return seen, "no answer"
@@ -199,12 +201,12 @@
 	if response.StatusCode != http.StatusOK {
 		return seen, fmt.Sprint("status ", response.StatusCode)
 	}
-	return r.events(id, seen, response.Body, func() { patience.Reset(callerWaits) })
+	return r.readEvents(id, seen, response.Body, func() { timeout.Reset(eventTimeout) })
 }
 
-// events reads a stream's events, which go on after the one that was seen. An event
-// that is cut off half way does not count.
-func (r *momentRun) events(id string, seen int, body io.Reader, came func()) (last int, outcome string) {
+// readEvents reads the events of a stream, which must continue after the last
+// event seen. An incomplete event does not count.
+func (r *streamTest) readEvents(id string, seen int, body io.Reader, onEvent func()) (last int, outcome string) {
 	lines := bufio.NewScanner(body)
 	name, data := "", ""
 	for lines.Scan() {
@@ -216,10 +218,10 @@
 			data = value
 		case "":
 			if name != strconv.Itoa(seen+1) || data != "token "+name {
-				r.t.Errorf("%s: event %q with %q came after %d", id, name, data, seen)
+				r.t.Errorf("%s: event %q with data %q followed event %d", id, name, data, seen)
 			}
 			seen++
-			came()
+			onEvent()
 		}
 	}
 	switch {
