--- a/internal/command/beechdemo/speed_test.go
+++ b/internal/command/beechdemo/bench_test.go
@@ -17,19 +17,20 @@
 	"time"
 )
 
-// The load of the first-token benchmark, as the requirement states it.
+// Load of the benchmarks. benchRate is the rate that the requirement for the
+// first token states.
 const (
-	benchRate     = 2000 // requests a second
-	benchSeconds  = 4
-	benchWarmup   = 500
-	openStreams   = 5000
-	plainCallers  = 96
-	benchDeadline = 60 * time.Second
+	benchRate         = 2000 // requests per second
+	benchSeconds      = 4
+	benchWarmup       = 500
+	openStreams       = 5000
+	unstreamedCallers = 96
+	benchDeadline     = 60 * time.Second
 )
 
-// startBench brings up a deployment whose engines compute in no time, so that
-// what is measured is the way through entry and agent.
-func startBench(b *testing.B) *deployment {
+// startBenchDeployment starts a deployment with instant engines, so that only the
+// latency of entry and agent is measured.
+func startBenchDeployment(b *testing.B) *deployment {
 	b.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	d, err := start(ctx, Settings{Log: "error", instant: true}, io.Discard)
@@ -88,9 +89,9 @@
 	return took, err
 }
 
-// openLoad sends at a steady rate, whether answers come or not, and returns the
-// sorted times to the first token.
-func openLoad(b *testing.B, target func(number int) netip.AddrPort, count int) []time.Duration {
+// sendAtFixedRate sends requests at benchRate regardless of outstanding answers
+// (open loop) and returns the sorted times to the first token.
+func sendAtFixedRate(b *testing.B, target func(number int) netip.AddrPort, count int) []time.Duration {
 	b.Helper()
 	client := benchClient()
 	times := make([]time.Duration, count)
@@ -120,17 +121,17 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// BenchmarkFirstToken pairs both ways in one run: straight to the engines'
-// stand-ins, and through entry and agent, at 2,000 requests a second each.
+// BenchmarkFirstToken compares both paths in one run: directly to the simulated
+// engines, and through entry and agent, at 2,000 requests per second each.
 func BenchmarkFirstToken(b *testing.B) {
-	d := startBench(b)
-	through := func(number int) netip.AddrPort { return d.callers[number%len(d.callers)] }
-	straight := func(number int) netip.AddrPort { return d.engines[number%len(d.engines)] }
-	openLoad(b, through, benchWarmup)
-	openLoad(b, straight, benchWarmup)
+	d := startBenchDeployment(b)
+	toEntries := func(number int) netip.AddrPort { return d.entryAddresses[number%len(d.entryAddresses)] }
+	toEngines := func(number int) netip.AddrPort { return d.engines[number%len(d.engines)] }
+	sendAtFixedRate(b, toEntries, benchWarmup)
+	sendAtFixedRate(b, toEngines, benchWarmup)
 	for b.Loop() {
-		direct := openLoad(b, straight, benchRate*benchSeconds)
-		routed := openLoad(b, through, benchRate*benchSeconds)
+		direct := sendAtFixedRate(b, toEngines, benchRate*benchSeconds)
+		routed := sendAtFixedRate(b, toEntries, benchRate*benchSeconds)
 		for _, q := range []float64{0.5, 0.99} {
 			name := fmt.Sprintf("p%.0f", 100*q)
 			b.ReportMetric(float64(quantile(direct, q).Microseconds()), "direct-"+name+"-us")
@@ -140,17 +141,17 @@
 	}
 }
 
-// BenchmarkPlain sends small unstreamed requests as fast as they are answered.
+// BenchmarkPlain sends small unstreamed requests in a closed loop.
 func BenchmarkPlain(b *testing.B) {
-	d := startBench(b)
+	d := startBenchDeployment(b)
 	client := benchClient()
 	var number atomic.Int64
 	b.ResetTimer()
-	b.SetParallelism(plainCallers / runtime.GOMAXPROCS(0))
+	b.SetParallelism(unstreamedCallers / runtime.GOMAXPROCS(0))
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			n := int(number.Add(1))
-			if err := plainRequest(client, d.callers[n%len(d.callers)], benchBody(b, n, false)); err != nil {
+			if err := unstreamedRequest(client, d.entryAddresses[n%len(d.entryAddresses)], benchBody(b, n, false)); err != nil {
 				b.Error(err)
 				return
 			}
@@ -159,7 +160,7 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-func plainRequest(client *http.Client, address netip.AddrPort, body []byte) error {
+func unstreamedRequest(client *http.Client, address netip.AddrPort, body []byte) error {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address.String()+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/command/beechdemo/client_test.go
+++ b/internal/command/beechdemo/client_test.go
@@ -12,8 +12,8 @@
 	"github.com/openai/openai-go/option"
 )
 
-// startSmall brings up the demo's deployment for a test.
-func startSmall(t *testing.T) *deployment {
+// startTestDeployment starts the demo deployment with instant engines.
+func startTestDeployment(t *testing.T) *deployment {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	d, err := start(ctx, Settings{Log: "error", instant: true}, io.Discard)
@@ -29,11 +29,11 @@
 	return d
 }
 
-// The published client library knows nothing of beechring. It must read a
-// stream, a plain answer, the models and an error as it reads any other's.
-func TestOfficialClientWorksUnchanged(t *testing.T) {
-	d := startSmall(t)
-	base := "http://" + d.callers[0].String() + "/v1"
+// The official OpenAI client library must work without changes for streamed and
+// unstreamed answers, the list of models, and errors.
+func TestOpenAIClientCompatibility(t *testing.T) {
+	d := startTestDeployment(t)
+	base := "http://" + d.entryAddresses[0].String() + "/v1"
 	client := openai.NewClient(option.WithBaseURL(base), option.WithAPIKey(demoKey), option.WithMaxRetries(0))
 	question := openai.ChatCompletionNewParams{
 		Model:     model,
@@ -67,8 +67,8 @@
 	})
 	t.Run("error", func(t *testing.T) {
 		is := is.New(t)
-		stranger := openai.NewClient(option.WithBaseURL(base), option.WithAPIKey("nobody"), option.WithMaxRetries(0))
-		_, err := stranger.Chat.Completions.New(context.Background(), question)
+		invalidKeyClient := openai.NewClient(option.WithBaseURL(base), option.WithAPIKey("nobody"), option.WithMaxRetries(0))
+		_, err := invalidKeyClient.Chat.Completions.New(context.Background(), question)
 		var refused *openai.Error
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.StatusCode, http.StatusUnauthorized)
--- a/internal/command/beechdemo/demo_test.go
+++ b/internal/command/beechdemo/demo_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// Someone tries beechring for the first time. The demo must end well and print
-// what it measured.
-func TestDemoServesItsWholeLoad(t *testing.T) {
+// The demo is the first thing that new users run. It must succeed and print its
+// measurements.
+func TestDemoAnswersAllRequests(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	is.NoErr(Run(context.Background(), Settings{Requests: 60, Callers: 4}, &out, io.Discard))
--- a/internal/command/beechdemo/deployment.go
+++ b/internal/command/beechdemo/deployment.go
@@ -29,34 +29,35 @@
 )
 
 type (
-	// deployment is everything that runs. Its group ends with its context.
+	// deployment holds all running processes. They belong to group and stop when
+	// the context passed to start ends.
 	deployment struct {
-		settings Settings
-		log      *zap.Logger
-		clock    clockwork.Clock
-		platform netip.AddrPort
-		hosts    []beechstore.Host
-		entries  []*beechentry.Entry
-		callers  []netip.AddrPort
-		engines  []netip.AddrPort
-		group    *errgroup.Group
+		settings       Settings
+		log            *zap.Logger
+		clock          clockwork.Clock
+		platform       netip.AddrPort
+		hosts          []beechstore.Host
+		entries        []*beechentry.Entry
+		entryAddresses []netip.AddrPort
+		engines        []netip.AddrPort
+		group          *errgroup.Group
 	}
 )
 
 const (
-	demoKey      = "demo-key"
-	demoSecret   = "demo-secret-of-one-process"
-	demoAdminKey = "demo-admin-key-of-one-process"
-	model        = "fit-advisor"
-	weights      = "1"
-	engineCount  = 4
-	readyTimeout = 10 * time.Second
-	readyPause   = 10 * time.Millisecond
-	closeTimeout = time.Second
-	maxLoads     = 3
+	demoKey           = "demo-key"
+	demoSecret        = "demo-secret-of-one-process"
+	demoAdminKey      = "demo-admin-key-of-one-process"
+	model             = "fit-advisor"
+	weights           = "1"
+	engineCount       = 4
+	readyTimeout      = 10 * time.Second
+	readyPollInterval = 10 * time.Millisecond
+	closeTimeout      = time.Second
+	maxLoads          = 3
 
-	// figures of the stand-in engines
-	enginePrefillRate = 20000 // tokens a second
+	// Settings of the simulated engines.
+	enginePrefillRate = 20000 // tokens per second
 	engineTokenTime   = 2 * time.Millisecond
 	engineCacheTokens = 40000
 	engineSlots       = 16
@@ -67,7 +68,7 @@
 	errNotReady = errors.New("the deployment did not become ready")
 )
 
-// start brings a deployment up and returns once every entry serves.
+// start starts a deployment and waits until all entries are ready.
 func start(ctx context.Context, s Settings, errs io.Writer) (*deployment, error) {
 	log, err := beechlog.New(errs, s.Log)
 	if err != nil {
@@ -108,13 +109,13 @@
 	return nil
 }
 
-// newStore gives a client of its own to each process, each with its own budget
-// of calls.
+// newStore returns a store client. Each process has its own, with its own call
+// budget.
 func (d *deployment) newStore() beechstore.Store {
 	return beechstore.New(beechstore.Settings{Addresses: []netip.AddrPort{d.platform}}, &http.Client{}, d.clock)
 }
 
-// serve runs a stand-in's handler on a free loopback port.
+// serve runs a simulated server's handler on a free loopback port.
 func (d *deployment) serve(ctx context.Context, handler http.Handler) (netip.AddrPort, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,7 +129,7 @@
 		return nil
 	})
 	context.AfterFunc(ctx, func() {
-		time.Sleep(closeTimeout) // agents end first
+		time.Sleep(closeTimeout) // agents must stop first
 		_ = server.Close()
 	})
 	return listener.Addr().(*net.TCPAddr).AddrPort(), nil
@@ -233,7 +234,7 @@
 	}
 	d.hosts = append(d.hosts, beechstore.Host{Name: name, Address: ports[0], Zone: zone, Role: "entry"})
 	d.entries = append(d.entries, entry)
-	d.callers = append(d.callers, ports[0])
+	d.entryAddresses = append(d.entryAddresses, ports[0])
 	d.group.Go(func() error { return entry.Serve(ctx) })
 	return nil
 }
@@ -244,7 +245,7 @@
 	}
 }
 
-// freePorts finds ports that are free now.
+// freePorts returns loopback addresses with currently unused ports.
 func freePorts(count int) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for range count {
@@ -258,7 +259,7 @@
 	return out, nil
 }
 
-// awaitReady waits until every entry has every agent.
+// awaitReady waits until every entry is connected to all agents.
 func (d *deployment) awaitReady(ctx context.Context) error {
 	limit := time.Now().Add(readyTimeout)
 	for time.Now().Before(limit) {
@@ -266,7 +267,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/internal/command/beechdemo/doc.go
+++ b/internal/command/beechdemo/doc.go
@@ -1,7 +1,7 @@
-// Package beechdemo runs a whole small deployment in one process: two entry
-// hosts in two availability zones, agents beside stand-ins of engines and of a
-// plain service, and a stand-in of the platform's service, all on loopback. It
-// sends a small mixed load over HTTP and prints what the callers saw.
+// Package beechdemo runs a complete small deployment in one process: two entry
+// hosts in two availability zones, agents with simulated engines and a simulated
+// plain service, and a simulated platform service, all on loopback. It sends a
+// small mixed load over HTTP and prints the results seen by its callers.
 //
 // # Usage
 //
--- a/internal/command/beechdemo/load.go
+++ b/internal/command/beechdemo/load.go
@@ -19,18 +19,18 @@
 )
 
 type (
-	// Settings of the demo. Zero fields get the defaults.
+	// Settings configures the demo. Zero fields get the defaults.
 	Settings struct {
 		Requests int
 		Callers  int
 		Keep     bool
 		Log      string
 
-		instant bool // engines compute in no time
+		instant bool // prefill and token generation take no time
 	}
 
-	// figures add up what callers saw.
-	figures struct {
+	// loadStats sums up the results of all callers.
+	loadStats struct {
 		mu         sync.Mutex
 		firstToken *hdrhistogram.Histogram // microseconds
 		whole      int
@@ -41,7 +41,8 @@
 		lastError  error
 	}
 
-	// event is what the demo reads of a streamed answer.
+	// event holds the fields that the demo reads from an event of a streamed
+	// answer.
 	event struct {
 		Usage *struct {
 			Prompt  int `json:"prompt_tokens"`
@@ -62,19 +63,19 @@
 )
 
 const (
-	members          = 24
-	instructionWords = 400
-	historyWords     = 900
-	maxTokens        = 16
-	serviceEvery     = 10 // one call in so many goes to the plain service
-	maxMicros        = 60_000_000
-	figuresDigits    = 3
-	seed             = 7
+	members             = 24
+	instructionWords    = 400
+	historyWords        = 900
+	maxTokens           = 16
+	serviceCallInterval = 10 // every n-th request goes to the plain service
+	maxLatencyMicros    = 60_000_000
+	histogramDigits     = 3
+	seed                = 7
 )
 
-var errCut = errors.New("the answer ended without its last event")
+var errStreamTruncated = errors.New("the answer ended without its last event")
 
-// Run brings the demo up, sends its load and prints its figures.
+// Run starts the demo deployment, sends its load and prints the results.
 func Run(ctx context.Context, s Settings, out, errs io.Writer) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -92,32 +93,32 @@
 		return err
 	}
 	fmt.Fprintf(out, "%d entry hosts, %d engines and a plain service are up; sending %d requests from %d callers\n",
-		len(d.callers), engineCount, s.Requests, s.Callers)
-	f := &figures{firstToken: hdrhistogram.New(1, maxMicros, figuresDigits)}
+		len(d.entryAddresses), engineCount, s.Requests, s.Callers)
+	stats := &loadStats{firstToken: hdrhistogram.New(1, maxLatencyMicros, histogramDigits)}
 	began := time.Now()
-	d.load(ctx, s, f)
-	f.print(out, d, time.Since(began))
+	d.load(ctx, s, stats)
+	stats.print(out, d, time.Since(began))
 	if s.Keep {
-		d.keep(ctx, out)
+		d.stayUp(ctx, out)
 	}
 	stop()
 	if err := d.group.Wait(); err != nil && !errors.Is(err, context.Canceled) {
 		return err
 	}
-	if f.failed > 0 {
-		return fmt.Errorf("%d requests failed, the last with: %w", f.failed, f.lastError)
+	if stats.failed > 0 {
+		return fmt.Errorf("%d requests failed, the last with: %w", stats.failed, stats.lastError)
 	}
 	return nil
 }
 
-func (d *deployment) load(ctx context.Context, s Settings, f *figures) {
+func (d *deployment) load(ctx context.Context, s Settings, stats *loadStats) {
 	var wait sync.WaitGroup
 	jobs := make(chan int)
 	for caller := range s.Callers {
 		wait.Go(func() {
 			random := rand.New(rand.NewPCG(seed, uint64(caller)))
 			for number := range jobs {
-				d.sendOne(ctx, number, random, f)
+				d.sendOne(ctx, number, random, stats)
 			}
 		})
 	}
@@ -128,19 +129,19 @@
 	wait.Wait()
 }
 
-func (d *deployment) sendOne(ctx context.Context, number int, random *rand.Rand, f *figures) {
-	entry := d.callers[number%len(d.callers)]
-	if number%serviceEvery == 0 {
-		f.noteCall(shipParcel(ctx, entry, number))
+func (d *deployment) sendOne(ctx context.Context, number int, random *rand.Rand, stats *loadStats) {
+	entry := d.entryAddresses[number%len(d.entryAddresses)]
+	if number%serviceCallInterval == 0 {
+		stats.recordServiceCall(shipParcel(ctx, entry, number))
 		return
 	}
-	// A few members ask most: the square of a uniform draw.
+	// Squaring a uniform draw skews the load towards a few members.
 	draw := random.Float64()
 	member := int(draw * draw * members)
-	f.note(askAdvisor(ctx, entry, member, number))
+	stats.recordAnswer(askAdvisor(ctx, entry, member, number))
 }
 
-// shipParcel makes a call that may not be repeated.
+// shipParcel makes a call to the plain service that must run at most once.
 func shipParcel(ctx context.Context, entry netip.AddrPort, number int) error {
 	url := "http://" + entry.String() + "/v1/services/shipping/shipments"
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(fmt.Sprintf(`{"parcel":%d}`, number)))
@@ -170,8 +171,8 @@
 	cached     int
 }
 
-// askAdvisor streams one answer whose prompt has the levels of the fit advisor:
-// a common instruction, the member's history, a question.
+// askAdvisor streams one answer. Its prompt has the levels of the fit advisor: a
+// common instruction, the member's history and a question.
 func askAdvisor(ctx context.Context, entry netip.AddrPort, member, number int) (answer, error) {
 	body, err := json.Marshal(map[string]any{
 		"model":  model,
@@ -232,7 +233,7 @@
 			got.cached = e.Usage.Details.Cached
 		}
 	}
-	return got, errors.Join(errCut, lines.Err())
+	return got, errors.Join(errStreamTruncated, lines.Err())
 }
 
 func words(word string, of, count int) string {
@@ -243,41 +244,41 @@
 	return b.String()
 }
 
-func (f *figures) note(a answer, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (stats *loadStats) recordAnswer(a answer, err error) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
 	if err != nil {
-		f.failed++
-		f.lastError = err
+		stats.failed++
+		stats.lastError = err
 		return
 	}
-	f.whole++
-	f.prompt += a.prompt
-	f.cached += a.cached
-	_ = f.firstToken.RecordValue(a.firstToken.Microseconds())
+	stats.whole++
+	stats.prompt += a.prompt
+	stats.cached += a.cached
+	_ = stats.firstToken.RecordValue(a.firstToken.Microseconds())
 }
 
-func (f *figures) noteCall(err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (stats *loadStats) recordServiceCall(err error) {
+	stats.mu.Lock()
+	defer stats.mu.Unlock()
 	if err != nil {
-		f.failed++
-		f.lastError = err
+		stats.failed++
+		stats.lastError = err
 		return
 	}
-	f.calls++
+	stats.calls++
 }
 
-func (f *figures) print(out io.Writer, d *deployment, took time.Duration) {
+func (stats *loadStats) print(out io.Writer, d *deployment, took time.Duration) {
 	wasted := uint64(0)
 	for _, e := range d.entries {
 		wasted += e.WastedTokens()
 	}
-	fmt.Fprintf(out, "whole answers       %d of %d\n", f.whole, f.whole+f.failed)
-	fmt.Fprintf(out, "shipments, once     %d\n", f.calls)
-	fmt.Fprintf(out, "prefix hit rate     %.1f%%\n", percent(f.cached, f.prompt))
-	fmt.Fprintf(out, "first token         p50 %s, p99 %s\n", micros(f.firstToken.ValueAtQuantile(50)), micros(f.firstToken.ValueAtQuantile(99)))
-	fmt.Fprintf(out, "wasted recompute    %.1f%% of prompt tokens\n", percent(int(wasted), f.prompt))
+	fmt.Fprintf(out, "whole answers       %d of %d\n", stats.whole, stats.whole+stats.failed)
+	fmt.Fprintf(out, "shipments, once     %d\n", stats.calls)
+	fmt.Fprintf(out, "prefix hit rate     %.1f%%\n", percent(stats.cached, stats.prompt))
+	fmt.Fprintf(out, "first token         p50 %s, p99 %s\n", micros(stats.firstToken.ValueAtQuantile(50)), micros(stats.firstToken.ValueAtQuantile(99)))
+	fmt.Fprintf(out, "wasted recompute    %.1f%% of prompt tokens\n", percent(int(wasted), stats.prompt))
 	fmt.Fprintf(out, "took                %s\n", took.Round(time.Millisecond))
 }
 
@@ -292,9 +293,9 @@
 	return (time.Duration(value) * time.Microsecond).Round(10 * time.Microsecond)
 }
 
-// keep stays up until the context ends.
-func (d *deployment) keep(ctx context.Context, out io.Writer) {
+// stayUp keeps the deployment running until the context ends.
+func (d *deployment) stayUp(ctx context.Context, out io.Writer) {
 	fmt.Fprintf(out, "\nStaying up; interrupt to end. Try:\n\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"+
-		"    -d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":8,\"messages\":[{\"role\":\"user\",\"content\":\"Which size?\"}]}'\n", d.callers[0], demoKey, model)
+		"    -d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":8,\"messages\":[{\"role\":\"user\",\"content\":\"Which size?\"}]}'\n", d.entryAddresses[0], demoKey, model)
 	<-ctx.Done()
 }
