--- a/internal/command/beechcommand/admin.go
+++ b/internal/command/beechcommand/admin.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
-// adminFlags name the admin listeners to ask.
+// adminFlags are the flags of commands that query admin listeners.
 type adminFlags struct {
 	addresses []string
 	key       string
@@ -20,8 +20,8 @@
 }
 
 const (
-	adminTimeout = 5 * time.Second
-	adminLimit   = 64 << 20
+	adminTimeout  = 5 * time.Second
+	maxAdminBytes = 64 << 20
 )
 
 func (f *adminFlags) add(c *cobra.Command) {
@@ -31,29 +31,29 @@
 	addOutputFlag(c, &f.format)
 }
 
-// getAdmin reads one page of an admin listener.
-func getAdmin(ctx context.Context, address netip.AddrPort, key, path string, into any) error {
-	asking, cancel := context.WithTimeout(ctx, adminTimeout)
+// getAdmin gets a page of an admin listener and decodes its JSON into target.
+func getAdmin(ctx context.Context, address netip.AddrPort, key, path string, target any) error {
+	requestContext, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(asking, http.MethodGet, "http://"+address.String()+path, nil)
+	request, err := http.NewRequestWithContext(requestContext, http.MethodGet, "http://"+address.String()+path, nil)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", address, err)
+		return fmt.Errorf("query %s: %w", address, err)
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Errorf("ask %s: %w", address, err)
+		return fmt.Errorf("query %s: %w", address, err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, adminLimit))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAdminBytes))
 	if err != nil {
-		return fmt.Errorf("read answer of %s: %w", address, err)
+		return fmt.Errorf("read response of %s: %w", address, err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("ask %s: %s", address, response.Status)
+		return fmt.Errorf("query %s: %s", address, response.Status)
 	}
-	if err := json.Unmarshal(data, into); err != nil {
-		return fmt.Errorf("read answer of %s: %w", address, err)
+	if err := json.Unmarshal(data, target); err != nil {
+		return fmt.Errorf("decode response of %s: %w", address, err)
 	}
 	return nil
 }
--- a/internal/command/beechcommand/agent.go
+++ b/internal/command/beechcommand/agent.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	backendConnect = 2 * time.Second
-	servicePath    = "/ready"
+	connectTimeout = 2 * time.Second
+	readyPath      = "/ready"
 )
 
 func newAgentCommand() *cobra.Command {
@@ -51,13 +51,13 @@
 		return &usageError{err}
 	}
 	clock := clockwork.NewRealClock()
-	client := beechbackend.NewClient(backendConnect)
+	client := beechbackend.NewClient(connectTimeout)
 	agent, err := beechagent.New(settings, beechagent.Dependencies{
 		Clock:   clock,
 		Log:     log,
 		Store:   newStore(settings.Platform, settings.PlatformKey, clock),
 		Engine:  beechbackend.NewOpenAI(settings.Backend, client),
-		Service: beechbackend.NewService(settings.Backend, servicePath, client),
+		Service: beechbackend.NewService(settings.Backend, readyPath, client),
 		LinkTLS: links,
 	})
 	if err != nil {
--- a/internal/command/beechcommand/apply.go
+++ b/internal/command/beechcommand/apply.go
@@ -37,11 +37,11 @@
 	newestBase   = -1
 	applyTimeout = 15 * time.Second
 
-	// applyCalls is the budget of calls a second. A manifest of 9,300 workspaces
-	// has 257 parts that are read back; at the 50 a second of a process that
-	// stays, a change would take 5 s before anyone could hear of it. It is a
-	// quarter of what the service takes.
-	applyCalls = 500
+	// applyCallsPerSecond limits calls to the platform's service to a quarter of
+	// what the service accepts. Apply reads back the parts of a manifest, 257 for
+	// 9,300 workspaces; at the 50 calls per second of a long-running process, a
+	// change would take 5 s before any process could be notified of it.
+	applyCallsPerSecond = 500
 )
 
 var errPlatform = errors.New("give the platform's address as --platform IP:PORT")
@@ -86,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(c.Context(), flags.timeout)
 	defer cancel()
 	clock := clockwork.NewRealClock()
-	store := beechstore.New(beechstore.Settings{Addresses: addresses, Key: flags.key, CallsPerSecond: applyCalls}, &http.Client{}, clock)
+	store := beechstore.New(beechstore.Settings{Addresses: addresses, Key: flags.key, CallsPerSecond: applyCallsPerSecond}, &http.Client{}, clock)
 	base, err := baseGeneration(ctx, store, flags.base)
 	if err != nil {
 		return &refusedError{err}
--- a/internal/command/beechcommand/cases_test.go
+++ b/internal/command/beechcommand/cases_test.go
@@ -12,10 +12,11 @@
 	"github.com/matryer/is"
 )
 
-var update = flag.Bool("update", false, "write the cases' expected output anew")
+var update = flag.Bool("update", false, "write the expected output of the cases")
 
-// TestCases runs every folder under cases/: its cmd is a command line, its
-// expected is what it prints, to both outputs in order, and its exit code.
+// TestCases runs the command line in the cmd file of every folder under cases and
+// compares its output and exit code with the folder's expected file. Standard
+// output and standard error are written to one buffer in order.
 func TestCases(t *testing.T) {
 	folders, err := filepath.Glob("cases/*")
 	if err != nil || len(folders) == 0 {
--- a/internal/command/beechcommand/command.go
+++ b/internal/command/beechcommand/command.go
@@ -1,6 +1,7 @@
-// Package beechcommand is beechring's command line: one file a command, all of
-// one shape (a constructor that sets usage text, flags and the worker), and the
-// table below that lists them. A new command is a file and a line in the table.
+// Package beechcommand implements beechring's command line. Each command has
+// its own file with a constructor that sets the usage text, the flags and the
+// function to run. To add a command, add such a file and list its constructor
+// in commandConstructors.
 //
 // # Usage
 //
@@ -19,11 +20,12 @@
 )
 
 type (
-	// refusedError is an answer of no: the command worked and what it asked
-	// for was refused.
+	// refusedError marks an error for exit code 1: the command ran, but its
+	// request was rejected or could not be completed.
 	refusedError struct{ err error }
 
-	// usageError is a command line that makes no sense.
+	// usageError marks an error for exit code 2: an invalid command line,
+	// invalid settings or an unreadable file.
 	usageError struct{ err error }
 )
 
@@ -34,8 +36,8 @@
 	ExitUsage   = 2
 )
 
-// table lists the commands.
-var table = []func() *cobra.Command{
+// commandConstructors lists the commands in the order of their registration.
+var commandConstructors = []func() *cobra.Command{
 	newEntryCommand,
 	newAgentCommand,
 	newGateCommand,
@@ -53,7 +55,7 @@
 }
 
 // Run executes one command line and returns the exit code. An interrupt or a
-// termination signal ends the command gracefully.
+// termination signal cancels the command's context for a graceful shutdown.
 func Run(arguments []string, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -74,8 +76,8 @@
 	return ExitRefused
 }
 
-// newRoot makes the command tree. Started is called when a command's worker
-// begins; an error before that is the command line's.
+// newRoot builds the command tree. It calls started before a command's RunE
+// function runs; any earlier error is a usage error.
 func newRoot(started func()) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "beechring",
@@ -87,18 +89,19 @@
 			return c.Help()
 		},
 	}
-	for _, construct := range table {
+	for _, construct := range commandConstructors {
 		command := construct()
-		announce(command, started)
+		notifyStart(command, started)
 		for _, sub := range command.Commands() {
-			announce(sub, started)
+			notifyStart(sub, started)
 		}
 		root.AddCommand(command)
 	}
 	return root
 }
 
-func announce(c *cobra.Command, started func()) {
+// notifyStart wraps the RunE function of c to call started first.
+func notifyStart(c *cobra.Command, started func()) {
 	work := c.RunE
 	c.RunE = func(c *cobra.Command, arguments []string) error {
 		started()
--- a/internal/command/beechcommand/explain.go
+++ b/internal/command/beechcommand/explain.go
@@ -14,7 +14,7 @@
 )
 
 type (
-	// logLine is a line of a process's log.
+	// logLine is a parsed line of a process's log.
 	logLine struct {
 		at      time.Time
 		process string
@@ -22,29 +22,31 @@
 		fields  map[string]any
 	}
 
-	// believed is the last word of one kind before the request, in a process.
-	believed struct {
+	// stateKey identifies a kind of state message of a process.
+	stateKey struct {
 		process string
 		message string
 	}
 )
 
 const (
-	lineMost = 1 << 20
-	// beliefsBefore is how long before a request a process's beliefs are told.
-	beliefsBefore = 30 * time.Second
+	maxLineBytes = 1 << 20
+	// stateWindow is how long before a request's first line state messages are
+	// still printed.
+	stateWindow = 30 * time.Second
 )
 
-// beliefMessages are the lines that tell what a process believes, as
-// docs/OPERATIONS.md lists them.
-var beliefMessages = map[string]bool{
+// stateMessages are the log messages that report a process's view of the
+// deployment, as listed in docs/OPERATIONS.md.
+var stateMessages = map[string]bool{
 	"configuration in force": true, "weights named": true, "store lost": true, "store regained": true,
 	"engine's phase": true, "server gone": true, "gate leaving": true, "gate started": true, "bounds in force": true,
 	"server's limit known": true, "server's limit changed": true, "server's limit ended": true,
 }
 
-// plainFields stand in a line's own columns.
-var plainFields = map[string]bool{"time": true, "level": true, "message": true, "process": true, "request": true}
+// columnFields are printed in columns of their own or left out, not as name=value
+// pairs.
+var columnFields = map[string]bool{"time": true, "level": true, "message": true, "process": true, "request": true}
 
 func newExplainCommand() *cobra.Command {
 	return &cobra.Command{
@@ -67,12 +69,12 @@
 	}
 }
 
-// parseLog reads the lines of a log that are this project's, wherever in a line
-// the object begins.
+// parseLog returns the JSON log lines with a valid time, sorted by time. Text
+// before the JSON object is skipped; other lines are ignored.
 func parseLog(r io.Reader) []logLine {
 	var lines []logLine
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, lineMost)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		text := scanner.Text()
 		begin := strings.IndexByte(text, '{')
@@ -81,52 +83,52 @@
 		}
 		fields := make(map[string]any)
 		if json.Unmarshal([]byte(text[begin:]), &fields) != nil {
-			continue // another program's line
+			continue // line of another program
 		}
-		at, err := time.Parse(time.RFC3339Nano, word(fields, "time"))
+		at, err := time.Parse(time.RFC3339Nano, stringField(fields, "time"))
 		if err != nil {
 			continue
 		}
-		lines = append(lines, logLine{at: at, process: word(fields, "process"), message: word(fields, "message"), fields: fields})
+		lines = append(lines, logLine{at: at, process: stringField(fields, "process"), message: stringField(fields, "message"), fields: fields})
 	}
 	slices.SortStableFunc(lines, func(x, y logLine) int { return x.at.Compare(y.at) })
 	return lines
 }
 
-func word(fields map[string]any, name string) string {
+func stringField(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	return text
 }
 
 func explain(out io.Writer, id string, lines []logLine) error {
-	var own []logLine
-	touched := make(map[string]bool)
+	var requestLines []logLine
+	processes := make(map[string]bool)
 	for _, l := range lines {
-		if word(l.fields, "request") == id {
-			own = append(own, l)
-			touched[l.process] = true
+		if stringField(l.fields, "request") == id {
+			requestLines = append(requestLines, l)
+			processes[l.process] = true
 		}
 	}
-	if len(own) == 0 {
-		return &refusedError{fmt.Errorf("request %s is in none of the logs; a request that ended as it should is there at level debug only", id)}
+	if len(requestLines) == 0 {
+		return &refusedError{fmt.Errorf("request %s not found in the logs; requests that ended normally are logged at debug level only", id)}
 	}
-	first := own[0].at
-	for _, l := range beliefs(lines, touched, first) {
+	first := requestLines[0].at
+	for _, l := range stateLines(lines, processes, first) {
 		printLine(out, l, first)
 	}
-	for _, l := range own {
+	for _, l := range requestLines {
 		printLine(out, l, first)
 	}
 	return nil
 }
 
-// beliefs gives the last line of each kind before a time, of the processes that
-// touched the request.
-func beliefs(lines []logLine, touched map[string]bool, before time.Time) []logLine {
-	last := make(map[believed]logLine)
+// stateLines returns, for each process that handled the request, the last line of
+// each state message within stateWindow before the given time, sorted by time.
+func stateLines(lines []logLine, processes map[string]bool, before time.Time) []logLine {
+	last := make(map[stateKey]logLine)
 	for _, l := range lines {
-		if beliefMessages[l.message] && touched[l.process] && l.at.Before(before) && before.Sub(l.at) < beliefsBefore {
-			last[believed{l.process, l.message}] = l
+		if stateMessages[l.message] && processes[l.process] && l.at.Before(before) && before.Sub(l.at) < stateWindow {
+			last[stateKey{l.process, l.message}] = l
 		}
 	}
 	sorted := make([]logLine, 0, len(last))
@@ -140,7 +142,7 @@
 func printLine(out io.Writer, l logLine, first time.Time) {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
-		if !plainFields[name] {
+		if !columnFields[name] {
 			names = append(names, name)
 		}
 	}
--- a/internal/command/beechcommand/follow.go
+++ b/internal/command/beechcommand/follow.go
@@ -13,11 +13,12 @@
 	"github.com/beechring/beechring/platform"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPoll = 5 * time.Second
+// settingsPollInterval is the interval between reads of the settings file, which
+// may change without a hangup signal.
+const settingsPollInterval = 5 * time.Second
 
-// settingsFile is the file that was named, or the platform's.
+// settingsFile returns the given path, or the one in the platform's environment
+// variable if it is empty.
 func settingsFile(named string) string {
 	if named != "" {
 		return named
@@ -25,20 +26,21 @@
 	return os.Getenv(platform.SettingsVariable)
 }
 
-// followSettings calls apply with the settings file's content when it has
-// changed, at a hangup signal and at intervals. Content that cannot be used
-// leaves the last in force, with a line in the log. The signal ends no process.
+// followSettings reads the settings file at every SIGHUP and at regular
+// intervals, and calls apply if the content has changed. If the file cannot be
+// read or apply fails, it logs a warning and the previous settings stay in force.
+// SIGHUP no longer terminates the process.
 func followSettings(ctx context.Context, file string, last []byte, log *zap.Logger, apply func([]byte) error) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	go func() {
 		defer signal.Stop(hangups)
-		ticker := time.NewTicker(settingsPoll)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-hangups:
-				log.Info("hangup signal, settings read again")
+				log.Info("SIGHUP received, reading settings again")
 			case <-ticker.C:
 			case <-ctx.Done():
 				return
@@ -49,7 +51,7 @@
 				last = data
 			}
 			if err != nil {
-				log.Warn("settings not used, the last stay in force", zap.String("file", file), zap.Error(err))
+				log.Warn("cannot use settings file, previous settings stay in force", zap.String("file", file), zap.Error(err))
 			}
 		}
 	}()
--- a/internal/command/beechcommand/gate.go
+++ b/internal/command/beechcommand/gate.go
@@ -19,7 +19,7 @@
 		name: "gate", short: "Run the process of an entry host on the users' platform",
 		long:  "Run the process of an entry host on the users' platform. It takes callers' requests\nand sends them straight to engines. SIGTERM ends it once every request has its\nwhole answer. Without --settings the platform's variable names the file.",
 		parse: beechsettings.ParseGate, run: runGate,
-		basics: func(s *beechsettings.Gate) roleBasics { return roleBasics{s.Name, s.Log, s.Memory} },
+		common: func(s *beechsettings.Gate) commonSettings { return commonSettings{s.Name, s.Log, s.Memory} },
 	}.command()
 }
 
@@ -44,6 +44,6 @@
 		return err
 	})
 	serveMetrics(ctx, r.settings.Admin, gate.Metrics(), r.log)
-	door := platform.NewHandler(gate, clock)
-	return gate.Run(ctx, door, http.HandlerFunc(door.ServeReady))
+	handler := platform.NewHandler(gate, clock)
+	return gate.Run(ctx, handler, http.HandlerFunc(handler.ServeReady))
 }
--- a/internal/command/beechcommand/keeper.go
+++ b/internal/command/beechcommand/keeper.go
@@ -17,14 +17,14 @@
 		name: "keeper", short: "Run the process beside an engine on the users' platform",
 		long:  "Run the process beside an engine on the users' platform. It gives the engine its\norders and tells gates how the engine stands. Without --settings the platform's\nvariable names the file.",
 		parse: beechsettings.ParseKeeper, run: runKeeper,
-		basics: func(s *beechsettings.Keeper) roleBasics { return roleBasics{s.Name, s.Log, s.Memory} },
+		common: func(s *beechsettings.Keeper) commonSettings { return commonSettings{s.Name, s.Log, s.Memory} },
 	}.command()
 }
 
 func runKeeper(ctx context.Context, r *role[beechsettings.Keeper]) error {
 	followSettings(ctx, r.file, r.data, r.log, func(data []byte) error {
 		_, err := beechsettings.ParseKeeper(data)
-		return err // all of them are in force from the next start on
+		return err // only validated here; changes take effect at the next start
 	})
 	clock := clockwork.NewRealClock()
 	engines := platform.NewEngines(beechpool.New(beechpool.DefaultSettings, clock), clock)
--- a/internal/command/beechcommand/process.go
+++ b/internal/command/beechcommand/process.go
@@ -18,7 +18,7 @@
 	"github.com/beechring/beechring/internal/state/beechstore"
 )
 
-var errAuthority = errors.New("holds no certificate in PEM")
+var errNoCertificate = errors.New("no PEM-encoded certificate found")
 
 // readFile reads a named file, or standard input for "-".
 func readFile(name string, in io.Reader) ([]byte, error) {
@@ -47,7 +47,8 @@
 	return beechstore.New(beechstore.Settings{Addresses: addresses, Key: key}, &http.Client{}, clock)
 }
 
-// serverTLS is for a listener that shows a certificate.
+// serverTLS returns the configuration of a listener that presents a certificate,
+// or nil if t is nil.
 func serverTLS(t *beechsettings.TLS) (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -59,7 +60,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// linkTLS is for links, where both sides show a certificate of one authority.
+// linkTLS returns the mutual TLS configuration of links, where both sides present
+// a certificate issued by the same authority. It returns nil if t is nil.
 func linkTLS(t *beechsettings.TLS) (*tls.Config, error) {
 	config, err := serverTLS(t)
 	if err != nil || config == nil {
@@ -71,7 +73,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fmt.Errorf("load link authority %s: %w", t.Authority, errAuthority)
+		return nil, fmt.Errorf("load link authority %s: %w", t.Authority, errNoCertificate)
 	}
 	config.MinVersion = tls.VersionTLS13
 	config.RootCAs = pool
--- a/internal/command/beechcommand/role.go
+++ b/internal/command/beechcommand/role.go
@@ -14,32 +14,33 @@
 )
 
 type (
-	// role is what a process on the users' platform begins with.
+	// role holds the settings and the logger that a process on the users'
+	// platform starts with.
 	role[S any] struct {
-		file     string // of the settings
-		data     []byte // that was in it at the start
+		file     string // path of the settings file
+		data     []byte // content of the file at startup
 		settings *S
 		log      *zap.Logger
 	}
 
-	// roleBasics are the settings that every role has.
-	roleBasics struct {
+	// commonSettings are the settings shared by all roles.
+	commonSettings struct {
 		name   string
-		level  string // of the log
-		memory int    // MB that the host gives the process
+		level  string // log level
+		memory int    // memory limit of the process on its host, in MB
 	}
 
-	// roleCommand describes a role's command.
+	// roleCommand describes the command that runs a role.
 	roleCommand[S any] struct {
 		name, short, long string
 		parse             func([]byte) (*S, error)
-		basics            func(*S) roleBasics
+		common            func(*S) commonSettings
 		run               func(ctx context.Context, r *role[S]) error
 	}
 )
 
-// command makes the role's command. The platform's variable names the settings
-// where the command line does not.
+// command builds the cobra command of the role. Without --settings, the path of
+// the settings file comes from the platform's environment variable.
 func (d roleCommand[S]) command() *cobra.Command {
 	var file string
 	command := &cobra.Command{
@@ -49,15 +50,15 @@
 		Example: "  beechring " + d.name + " --settings " + d.name + ".json",
 		Args:    cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return d.begin(c, settingsFile(file))
+			return d.start(c, settingsFile(file))
 		},
 	}
 	command.Flags().StringVar(&file, "settings", "", "settings file in JSON, or - for standard input")
 	return command
 }
 
-// begin reads the settings, opens the log and runs the role.
-func (d roleCommand[S]) begin(c *cobra.Command, file string) error {
+// start reads the settings, creates the logger and runs the role.
+func (d roleCommand[S]) start(c *cobra.Command, file string) error {
 	data, err := readFile(file, c.InOrStdin())
 	if err != nil {
 		return err
@@ -66,33 +67,35 @@
 	if err != nil {
 		return &usageError{err}
 	}
-	basics := d.basics(settings)
+	common := d.common(settings)
 	out := beechlog.NewAsyncWriter(c.OutOrStdout())
 	defer out.Close()
-	log, err := newLog(out, basics.level, basics.name)
+	log, err := newLog(out, common.level, common.name)
 	if err != nil {
 		return err
 	}
-	limitMemory(basics.memory)
+	limitMemory(common.memory)
 	return d.run(c.Context(), &role[S]{file: file, data: data, settings: settings, log: log})
 }
 
 const (
-	memoryShare = 70 // percent of the host's memory at which the collector works harder
-	megabyte    = 1 << 20
+	memoryLimitPercent = 70 // percent of the process's memory limit above which garbage collection runs more often
+	megabyte           = 1 << 20
 )
 
-// limitMemory has the garbage collector keep the process well below what the
-// host gives it: beyond that the process is killed.
+// limitMemory sets the Go runtime's soft memory limit well below the memory limit
+// of the process, because the host kills a process that exceeds its limit. Zero
+// sets no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(megabytes) * megabyte * memoryShare / 100)
+		debug.SetMemoryLimit(int64(megabytes) * megabyte * memoryLimitPercent / 100)
 	}
 }
 
-// serveMetrics serves a process's metrics until the context ends. An address
-// that is not set serves nothing. One that cannot be had is told and left: the
-// port is the same on all hosts, and callers come before metrics.
+// serveMetrics serves a process's metrics until the context is done. It does
+// nothing if the address is not set. If it cannot listen on the address, it logs
+// an error and the process runs without metrics: the port is the same on all
+// hosts, and serving callers matters more than metrics.
 func serveMetrics(ctx context.Context, address netip.AddrPort, metrics http.Handler, log *zap.Logger) {
 	if !address.IsValid() {
 		return
--- a/internal/command/beechcommand/standin.go
+++ b/internal/command/beechcommand/standin.go
@@ -19,15 +19,15 @@
 	"github.com/beechring/beechring/internal/standin/beechservice"
 )
 
-// standinFlags are those that stand-ins with a journal share.
+// standinFlags are the flags shared by stand-ins that write a journal.
 type standinFlags struct {
 	listen  string
 	journal string
 }
 
 const (
-	standinHeaderTimeout = 5 * time.Second
-	standinClose         = 2 * time.Second
+	standinHeaderTimeout   = 5 * time.Second
+	standinShutdownTimeout = 2 * time.Second
 )
 
 func newStandinCommand() *cobra.Command {
@@ -116,7 +116,8 @@
 	c.Flags().StringVar(&f.journal, "journal", "", "file that gets what ran, as JSON lines")
 }
 
-// serve opens the journal, makes the stand-in with it and serves it.
+// serve opens the journal, then creates the handler, which writes to it, and
+// serves it.
 func (f *standinFlags) serve(c *cobra.Command, journal *io.Writer, handler func() http.Handler) error {
 	closeJournal, err := openJournal(f.journal, journal)
 	if err != nil {
@@ -131,8 +132,9 @@
 	_ = c.MarkFlagRequired("listen")
 }
 
-// openJournal opens the file for a stand-in's journal; no name is no file.
-func openJournal(name string, into *io.Writer) (func() error, error) {
+// openJournal opens a stand-in's journal file for appending and stores it in
+// target. It does nothing if the name is empty.
+func openJournal(name string, target *io.Writer) (func() error, error) {
 	if name == "" {
 		return func() error { return nil }, nil
 	}
@@ -140,11 +142,11 @@
 	if err != nil {
 		return nil, &usageError{err}
 	}
-	*into = file
+	*target = file
 	return file.Close, nil
 }
 
-// serveStandin serves until the command is told to end.
+// serveStandin serves HTTP until the command's context is done.
 func serveStandin(c *cobra.Command, listen string, handler http.Handler) error {
 	address, err := netip.ParseAddrPort(listen)
 	if err != nil {
@@ -156,7 +158,7 @@
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: standinHeaderTimeout}
 	stop := context.AfterFunc(c.Context(), func() {
-		ctx, cancel := context.WithTimeout(context.Background(), standinClose)
+		ctx, cancel := context.WithTimeout(context.Background(), standinShutdownTimeout)
 		defer cancel()
 		if server.Shutdown(ctx) != nil {
 			_ = server.Close()
--- a/internal/command/beechcommand/status.go
+++ b/internal/command/beechcommand/status.go
@@ -8,7 +8,8 @@
 	"github.com/spf13/cobra"
 )
 
-// processStatus is what status reads of an entry's or agent's page.
+// processStatus is the part of an entry's or agent's status page that the status
+// command shows.
 type processStatus struct {
 	Name       string   `json:"name"`
 	Zone       string   `json:"zone"`
--- a/internal/command/beechcommand/tls_test.go
+++ b/internal/command/beechcommand/tls_test.go
@@ -37,7 +37,8 @@
 	return a
 }
 
-// settings issues a certificate for loopback and names its files.
+// settings issues a certificate for the loopback address and returns the paths of
+// its files.
 func (a *authority) settings(name string) *beechsettings.TLS {
 	a.issue(name, &x509.Certificate{
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
@@ -71,9 +72,9 @@
 	return certificate, key
 }
 
-// shake lets a client and a server greet one another and returns the server's
-// error: with TLS 1.3 a client learns of a refusal only when it reads.
-func shake(t *testing.T, client, server *tls.Config) error {
+// handshake runs a TLS handshake and returns the server's error, because a TLS 1.3
+// client sees a rejected certificate only on its next read.
+func handshake(t *testing.T, client, server *tls.Config) error {
 	t.Helper()
 	is := is.New(t)
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -91,23 +92,23 @@
 	return conn.(*tls.Conn).Handshake()
 }
 
-// A host that is not of the deployment tries to link, with a certificate of
-// another authority or with none. If it were let in it could give work to
-// agents in any workspace's name.
-func TestLinksTakeOnlyTheDeploymentsCertificates(t *testing.T) {
+// A host outside the deployment connects to an agent with a certificate of another
+// authority or with none. If it were accepted, it could send work to agents on
+// behalf of any workspace.
+func TestLinksAcceptOnlyTheDeploymentsCertificates(t *testing.T) {
 	is := is.New(t)
 	deployment := newAuthority(t)
 	agent, err := linkTLS(deployment.settings("agent"))
 	is.NoErr(err)
 	entry, err := linkTLS(deployment.settings("entry"))
 	is.NoErr(err)
-	is.NoErr(shake(t, entry, agent))
+	is.NoErr(handshake(t, entry, agent))
 
-	stranger, err := linkTLS(newAuthority(t).settings("stranger"))
+	untrusted, err := linkTLS(newAuthority(t).settings("untrusted"))
 	is.NoErr(err)
-	stranger.InsecureSkipVerify = true
-	is.True(shake(t, stranger, agent) != nil)
-	is.True(shake(t, &tls.Config{InsecureSkipVerify: true}, agent) != nil)
+	untrusted.InsecureSkipVerify = true
+	is.True(handshake(t, untrusted, agent) != nil)
+	is.True(handshake(t, &tls.Config{InsecureSkipVerify: true}, agent) != nil)
 }
 
 func TestMissingCertificateIsAnError(t *testing.T) {
