--- a/internal/link/beechframing/framing.go
+++ b/internal/link/beechframing/framing.go
@@ -11,7 +11,7 @@
 // # Usage
 //
 //	listener = beechframing.Listen(listener)
-//	server := &http.Server{ConnContext: beechframing.Context, ConnState: beechframing.State}
+//	server := &http.Server{ConnContext: beechframing.ConnContext, ConnState: beechframing.ConnState}
 //	// in the handler
 //	if beechframing.Ambiguous(r) {
 //		// 400, Connection: close
--- a/internal/link/beechpool/pool.go
+++ b/internal/link/beechpool/pool.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	pool := beechpool.New(beechpool.Defaults, clock)
+//	pool := beechpool.New(beechpool.DefaultSettings, clock)
 //	response, err := pool.Exchange(ctx, address, request, func(r *http.Response) bool {
 //		return r.Header.Get("X-Id") == id
 //	})
--- a/internal/state/beechmirror/mirror.go
+++ b/internal/state/beechmirror/mirror.go
@@ -73,7 +73,7 @@
 	}
 
 	// Freshness tracks the age of the copy, which each full read confirms. It is
-	// implemented by *beechfresh.Belief.
+	// implemented by *beechfresh.Tracker.
 	Freshness interface {
 		Now() time.Duration
 		Confirm(asked time.Duration)
