--- a/internal/command/beechplay/cluster.go
+++ b/internal/command/beechplay/cluster.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/beechring/beechring/internal/process/beechsettings"
-	"github.com/beechring/beechring/internal/standin/beechhome"
+	"github.com/beechring/beechring/internal/standin/beechsimulator"
 )
 
 type (
@@ -19,8 +19,8 @@
 	// services, and gates in front of them, each on its own loopback address. It
 	// is not safe for concurrent use.
 	Cluster struct {
-		Store   *beechhome.Store
-		Engines map[string]*beechhome.Engine
+		Store   *beechsimulator.Store
+		Engines map[string]*beechsimulator.Engine
 		Places  map[string]netip.AddrPort // addresses of the store, engines and gates by name, and of a gate's readiness check by NAME-ready
 
 		launcher      Launcher
@@ -33,7 +33,7 @@
 	}
 
 	// Document is a JSON document in the store.
-	Document = beechhome.Document
+	Document = beechsimulator.Document
 )
 
 // Names in a cluster's configuration.
@@ -59,7 +59,7 @@
 // NewCluster returns a cluster that has a store only.
 func NewCluster(launcher Launcher) (*Cluster, error) {
 	w := &Cluster{
-		Store: beechhome.NewStore(), Engines: make(map[string]*beechhome.Engine), Places: make(map[string]netip.AddrPort),
+		Store: beechsimulator.NewStore(), Engines: make(map[string]*beechsimulator.Engine), Places: make(map[string]netip.AddrPort),
 		launcher: launcher, zone: "mill", heartbeatPort: uint16(baseHeartbeatPort + nextHost.Add(1)), processes: make(map[string]Process),
 		gates: make(map[string]*beechsettings.Gate), keepers: make(map[string]*beechsettings.Keeper),
 	}
@@ -92,9 +92,9 @@
 
 // AddEngine starts a backend server and lists it in the store. If the server has
 // a model, a keeper is started for it.
-func (w *Cluster) AddEngine(name string, s beechhome.EngineSettings) (*beechhome.Engine, error) {
+func (w *Cluster) AddEngine(name string, s beechsimulator.EngineSettings) (*beechsimulator.Engine, error) {
 	s.ID = name
-	e := beechhome.NewEngine(s)
+	e := beechsimulator.NewEngine(s)
 	address := nextLoopbackAddress()
 	endpoint, err := w.listen(address, e)
 	if err != nil {
@@ -127,11 +127,11 @@
 // Configure writes a version of the configuration to the store. If edit is not
 // nil, it may change the document first.
 func (w *Cluster) Configure(version int, edit func(c Document)) {
-	c := beechhome.Configuration(version, Host, Model, EngineService, PlainService, Key, IsolateKey)
+	c := beechsimulator.Configuration(version, Host, Model, EngineService, PlainService, Key, IsolateKey)
 	if edit != nil {
 		edit(c)
 	}
-	w.Store.Put(beechhome.ConfigurationKey, c)
+	w.Store.Put(beechsimulator.ConfigurationKey, c)
 }
 
 // SetWeights publishes a version of the model's weights in the store.
--- a/internal/command/beechplay/limits_soak_test.go
+++ b/internal/command/beechplay/limits_soak_test.go
@@ -5,12 +5,12 @@
 	"strconv"
 	"time"
 
-	"github.com/beechring/beechring/internal/standin/beechhome"
+	"github.com/beechring/beechring/internal/standin/beechsimulator"
 )
 
 // limitSpan is a period in which a server announced one limit.
 type limitSpan struct {
-	server      *beechhome.Engine
+	server      *beechsimulator.Engine
 	rate        float64
 	from, until time.Time
 }
--- a/internal/command/beechplay/play.go
+++ b/internal/command/beechplay/play.go
@@ -17,7 +17,7 @@
 
 	"github.com/beechring/beechring/internal/process/beechsettings"
 	"github.com/beechring/beechring/internal/request/beechfresh"
-	"github.com/beechring/beechring/internal/standin/beechhome"
+	"github.com/beechring/beechring/internal/standin/beechsimulator"
 )
 
 type (
@@ -111,7 +111,7 @@
 	p.cluster.Configure(p.config, nil)
 	p.cluster.SetWeights(p.version)
 	for i := range p.day.Engines {
-		_, err := p.cluster.AddEngine(fmt.Sprintf("e%d", i+1), beechhome.EngineSettings{
+		_, err := p.cluster.AddEngine(fmt.Sprintf("e%d", i+1), beechsimulator.EngineSettings{
 			Model: Model, Version: 1, Slots: 48, Token: time.Duration(p.day.Token), ReadRate: p.day.Reading, Load: 300 * time.Millisecond,
 		})
 		if err != nil {
@@ -119,7 +119,7 @@
 		}
 	}
 	for i := range p.day.Services {
-		if _, err := p.cluster.AddEngine(fmt.Sprintf("s%d", i+1), beechhome.EngineSettings{Slots: 48}); err != nil {
+		if _, err := p.cluster.AddEngine(fmt.Sprintf("s%d", i+1), beechsimulator.EngineSettings{Slots: 48}); err != nil {
 			return err
 		}
 	}
@@ -142,7 +142,7 @@
 		return err
 	}
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(readyPollInterval) {
-		response, err := p.client.Get("http://" + p.cluster.Places[name+"-ready"].String() + beechhome.ReadyPath)
+		response, err := p.client.Get("http://" + p.cluster.Places[name+"-ready"].String() + beechsimulator.ReadyPath)
 		if err != nil {
 			continue
 		}
@@ -196,7 +196,7 @@
 
 // injectFault starts a fault and ends it after its duration.
 func (p *simulation) injectFault(f Fault) {
-	servers := func(t beechhome.EngineFaults) {
+	servers := func(t beechsimulator.EngineFaults) {
 		for name, e := range p.cluster.Engines {
 			if f.On == "" || f.On == name {
 				e.SetFaults(t)
@@ -213,19 +213,19 @@
 	case "compact":
 		p.cluster.Store.Compact()
 	case "store down":
-		p.cluster.Store.SetFaults(beechhome.StoreFaults{Status: http.StatusServiceUnavailable})
+		p.cluster.Store.SetFaults(beechsimulator.StoreFaults{Status: http.StatusServiceUnavailable})
 	case "store silent":
-		p.cluster.Store.SetFaults(beechhome.StoreFaults{Silent: true})
+		p.cluster.Store.SetFaults(beechsimulator.StoreFaults{Silent: true})
 	case "refuse":
-		servers(beechhome.EngineFaults{Refuse: true})
+		servers(beechsimulator.EngineFaults{Refuse: true})
 	case "hang":
-		servers(beechhome.EngineFaults{Hang: true})
+		servers(beechsimulator.EngineFaults{Hang: true})
 	case "reset":
-		servers(beechhome.EngineFaults{Drop: true})
+		servers(beechsimulator.EngineFaults{Drop: true})
 	case "cut":
-		servers(beechhome.EngineFaults{CutAfter: 2})
+		servers(beechsimulator.EngineFaults{CutAfter: 2})
 	case "fail":
-		servers(beechhome.EngineFaults{Status: http.StatusInternalServerError})
+		servers(beechsimulator.EngineFaults{Status: http.StatusInternalServerError})
 	case "limit":
 		p.injectLimit(f)
 		return
@@ -236,8 +236,8 @@
 		return
 	}
 	time.Sleep(time.Duration(f.For))
-	p.cluster.Store.SetFaults(beechhome.StoreFaults{})
-	servers(beechhome.EngineFaults{})
+	p.cluster.Store.SetFaults(beechsimulator.StoreFaults{})
+	servers(beechsimulator.EngineFaults{})
 }
 
 // injectLimit has servers announce a rate limit, until the end of the day if the
@@ -285,7 +285,7 @@
 }
 
 func (p *simulation) sendRequest(ctx context.Context, id, gate string, k requestKind, subject int) {
-	ask := beechhome.CallerRequest{ID: id, Key: Key, Host: Host, URL: "http://" + p.cluster.Places[gate].String() + k.path + "x", Left: callerTimeout, Body: "question"}
+	ask := beechsimulator.CallerRequest{ID: id, Key: Key, Host: Host, URL: "http://" + p.cluster.Places[gate].String() + k.path + "x", Left: callerTimeout, Body: "question"}
 	if k.stream {
 		ask.Model, ask.Prompt, ask.Output = Model, p.day.Shared+p.day.Own, p.day.Output
 		ask.Parts = fmt.Sprintf("c0:%d,a%x:%d,f%s:%d", p.day.Shared/3, subject, p.day.Shared-p.day.Shared/3, strings.TrimPrefix(id, "play-"), p.day.Own)
--- a/internal/command/beechplay/soak_test.go
+++ b/internal/command/beechplay/soak_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/beechring/beechring/internal/command/beechtrace"
 	"github.com/beechring/beechring/internal/process/beechsettings"
-	"github.com/beechring/beechring/internal/standin/beechhome"
+	"github.com/beechring/beechring/internal/standin/beechsimulator"
 )
 
 var (
@@ -209,8 +209,8 @@
 	s.cluster.Configure(1, nil)
 	s.cluster.SetWeights(1)
 	for i := range 3 {
-		s.must(s.cluster.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{Model: Model, Version: 1, Slots: 32, Token: 20 * time.Millisecond, Load: 300 * time.Millisecond}))
-		s.must(s.cluster.AddEngine(fmt.Sprintf("s%d", i), beechhome.EngineSettings{Slots: 32}))
+		s.must(s.cluster.AddEngine(fmt.Sprintf("e%d", i), beechsimulator.EngineSettings{Model: Model, Version: 1, Slots: 32, Token: 20 * time.Millisecond, Load: 300 * time.Millisecond}))
+		s.must(s.cluster.AddEngine(fmt.Sprintf("s%d", i), beechsimulator.EngineSettings{Slots: 32}))
 	}
 	bounds := beechsettings.GateBounds{
 		Revoke: beechsettings.Duration(revokeBound), Grace: beechsettings.Duration(6 * time.Second), Weights: beechsettings.Duration(8 * time.Second),
@@ -226,7 +226,7 @@
 	time.Sleep(time.Second)
 }
 
-func (s *soak) must(_ *beechhome.Engine, err error) {
+func (s *soak) must(_ *beechsimulator.Engine, err error) {
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 	gate := s.gates[s.random.IntN(len(s.gates))]
 	process := s.cluster.Process(gate).(*childProcess)
 	engine := s.cluster.Engines[[]string{"e0", "e1", "e2", "s0", "s1", "s2"}[s.random.IntN(6)]]
-	troubles := []beechhome.EngineFaults{{}, {Refuse: true}, {Hang: true}, {Drop: true}, {CutAfter: 2}, {Status: http.StatusInternalServerError}, {SilentOrders: true}}
+	troubles := []beechsimulator.EngineFaults{{}, {Refuse: true}, {Hang: true}, {Drop: true}, {CutAfter: 2}, {Status: http.StatusInternalServerError}, {SilentOrders: true}}
 	switch s.random.IntN(10) {
 	case 0:
 		s.recordDisturbance()
@@ -296,9 +296,9 @@
 		s.restart(keeper, p)
 	case 4:
 		s.setStoreLost(true)
-		s.cluster.Store.SetFaults([]beechhome.StoreFaults{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
+		s.cluster.Store.SetFaults([]beechsimulator.StoreFaults{{Status: http.StatusServiceUnavailable}, {Silent: true}, {Slow: 200 * time.Millisecond}, {Deaf: true}, {Body: "<html>"}}[s.random.IntN(5)])
 	case 5:
-		s.cluster.Store.SetFaults(beechhome.StoreFaults{})
+		s.cluster.Store.SetFaults(beechsimulator.StoreFaults{})
 		s.setStoreLost(false)
 		s.cluster.Store.Compact()
 	case 6:
@@ -343,16 +343,16 @@
 }
 
 func (s *soak) endFaults() {
-	s.cluster.Store.SetFaults(beechhome.StoreFaults{})
+	s.cluster.Store.SetFaults(beechsimulator.StoreFaults{})
 	s.setStoreLost(false)
 	for _, e := range s.cluster.Engines {
-		e.SetFaults(beechhome.EngineFaults{})
+		e.SetFaults(beechsimulator.EngineFaults{})
 	}
 }
 
 func (s *soak) sendRequest(id, gate, path, key string) {
 	streams := path == "/pick/" || path == "/card/"
-	ask := beechhome.CallerRequest{ID: id, Key: key, Host: Host, URL: "http://" + s.cluster.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
+	ask := beechsimulator.CallerRequest{ID: id, Key: key, Host: Host, URL: "http://" + s.cluster.Places[gate].String() + path + "x", Left: 5 * time.Second, Body: "question"}
 	if streams {
 		ask.Model, ask.Prompt, ask.Output, ask.Parts = Model, 1000, 10, "c0:400,5b:300,"+strings.TrimPrefix(id, "soak-")+":300"
 	}
--- a/internal/command/beechplay/streams_test.go
+++ b/internal/command/beechplay/streams_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/beechring/beechring/internal/command/beechtrace"
 	"github.com/beechring/beechring/internal/process/beechsettings"
-	"github.com/beechring/beechring/internal/standin/beechhome"
+	"github.com/beechring/beechring/internal/standin/beechsimulator"
 )
 
 // streamTest runs callers that resume interrupted streams after the last event
@@ -78,7 +78,7 @@
 	w.Configure(1, nil)
 	w.SetWeights(1)
 	for i := range 3 {
-		r.soak.must(w.AddEngine(fmt.Sprintf("e%d", i), beechhome.EngineSettings{
+		r.soak.must(w.AddEngine(fmt.Sprintf("e%d", i), beechsimulator.EngineSettings{
 			Model: Model, Version: 1, Slots: 32, Token: 10 * time.Millisecond,
 		}))
 	}
@@ -128,7 +128,7 @@
 	process := r.soak.cluster.Process(gate).(*childProcess)
 	engine := r.soak.cluster.Engines[fmt.Sprintf("e%d", random.IntN(3))]
 	lasts := time.Duration(random.Int64N(int64(time.Second)))
-	troubles := []beechhome.EngineFaults{{CutAfter: 5}, {Drop: true}, {Hang: true}, {Refuse: true}}
+	troubles := []beechsimulator.EngineFaults{{CutAfter: 5}, {Drop: true}, {Hang: true}, {Refuse: true}}
 	switch kind := random.IntN(6); kind {
 	case 0:
 		process.signal(syscall.SIGKILL, true)
@@ -143,14 +143,14 @@
 	default:
 		engine.SetFaults(troubles[random.IntN(len(troubles))])
 		time.Sleep(lasts)
-		engine.SetFaults(beechhome.EngineFaults{})
+		engine.SetFaults(beechsimulator.EngineFaults{})
 	}
 }
 
 // failEngines makes each engine close its streams early, answer with an error, or
 // work normally until the next call.
 func (r *streamTest) failEngines() {
-	troubles := []beechhome.EngineFaults{{}, {CutAfter: 5}, {Status: http.StatusInternalServerError}, {Status: http.StatusNotFound}}
+	troubles := []beechsimulator.EngineFaults{{}, {CutAfter: 5}, {Status: http.StatusInternalServerError}, {Status: http.StatusNotFound}}
 	for i := range 3 {
 		r.soak.cluster.Engines[fmt.Sprintf("e%d", i)].SetFaults(troubles[r.soak.random.IntN(len(troubles))])
 	}
@@ -177,7 +177,7 @@
 
 // attempt sends one request and returns the last event received and the outcome.
 func (r *streamTest) attempt(id, gate string, seen int) (last int, outcome string) {
-	ask := beechhome.CallerRequest{
+	ask := beechsimulator.CallerRequest{
 		ID: id, Key: Key, Host: Host, URL: "http://" + r.soak.cluster.Places[gate].String() + "/pick/x", Left: 5 * time.Second, Body: "question",
 		Model: Model, Prompt: 1000, Output: streamEvents, Parts: "c0:400,5b:300," + id + ":300",
 	}
--- a/internal/standin/beechhome/engine.go
+++ b/internal/standin/beechsimulator/engine.go
@@ -1,4 +1,4 @@
-package beechhome
+package beechsimulator
 
 import (
 	"encoding/json"
